--- a/crates/cli/src/sidecar.rs
+++ b/crates/cli/src/sidecar.rs
@@ -12,11 +12,11 @@
 use sagemast_sidecar::budget::Budgets;
 use sagemast_sidecar::config::Config;
 use sagemast_sidecar::console::Console;
-use sagemast_sidecar::crossing::Crossing;
+use sagemast_sidecar::cross_zone_budget::Crossing;
 use sagemast_sidecar::driver::Told;
 use sagemast_sidecar::front;
 use sagemast_sidecar::handover::{self, Elder, Hold, Place};
-use sagemast_sidecar::inherited;
+use sagemast_sidecar::inherited_listener;
 use sagemast_sidecar::instance::{Control, Drain, Ended, Instance, Parts};
 use sagemast_sidecar::log::Log;
 use sagemast_sidecar::messages::Outlet;
@@ -51,8 +51,8 @@
     let inherited = std::env::var_os("ROUTER_SOCKET_FD").filter(|text| !text.is_empty());
     let listener = match &inherited {
         Some(text) => {
-            let socket =
-                inherited::adopt(&text.to_string_lossy(), config.listen).context("bad ROUTER_SOCKET_FD")?;
+            let socket = inherited_listener::adopt(&text.to_string_lossy(), config.listen)
+                .context("bad ROUTER_SOCKET_FD")?;
             front::listen_on(socket)?
         }
         None => front::listen(config.listen)?,
--- a/crates/cli/tests/long_lists.rs
+++ b/crates/cli/tests/long_lists.rs
@@ -6,15 +6,15 @@
 //! | what | constant | value | at 1,200 |
 //! | --- | --- | --- | --- |
 //! | bytes of one list from discovery | `discovery::LIST_BYTES` | 2 MiB | 0.5 MiB at most, indented |
-//! | depth of its brackets | `values::DEEPEST` | 32 | 3 |
+//! | depth of its brackets | `json_stream::DEEPEST` | 32 | 3 |
 //! | bytes of one line between processes | `handover::message::LINE_BYTES` | 8 MiB | under 1 MiB |
-//! | servers that a new process takes over | `memory::MOST_SERVERS` | 100,000 | 1,200 |
-//! | kinds that it takes over | `memory::MOST_KINDS` | 1,024 | one a kind, not a server |
+//! | servers that a new process takes over | `snapshot::MOST_SERVERS` | 100,000 | 1,200 |
+//! | kinds that it takes over | `snapshot::MOST_KINDS` | 1,024 | one a kind, not a server |
 //! | kinds before unused ones are forgotten | `balancer::KINDS` | 64 | those in use stay, however many |
 //! | sidecars in the order of a server | `subset::MOST_SIDECARS` | 16,777,216 | 1,200 |
 //! | servers looked at for one request | `balancer::LOOKS`, `slow_start::ASKED` | 24 | drawn anew for each request from all |
 //! | owners of a cold server, at least | `cold::OWNERS` | 4 | up to all sidecars, by its allowance |
-//! | servers whose loss means that of a zone | `outages::WITNESSES` | 3 | a threshold, no bound |
+//! | servers whose loss means that of a zone | `zone_outage::WITNESSES` | 3 | a threshold, no bound |
 //! | connections to upstreams | `limits.sockets`, `limits.memory_mb` | (sockets - 40) / 2 | the oldest idle one makes room |
 //! | processes of one sidecar at once | `shares::MOST_PROCESSES` | 8 | upgrades of one sidecar, not sidecars |
 
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -10,7 +10,7 @@
 use sagemast_decide::settings::Config as SettingsObject;
 use sagemast_flows::file::File as FlowsFile;
 use sagemast_pools::counts::Names;
-use sagemast_pools::crossing;
+use sagemast_pools::cross_zone_budget;
 use sagemast_sidecar::config::Limits;
 
 use crate::ledger::Demand;
@@ -80,7 +80,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct CrossingSpec {
     /// What holds.
-    pub rules: crossing::Rules,
+    pub rules: cross_zone_budget::Rules,
     /// The names; they follow from the settings.
     pub names: Names,
 }
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use sagemast_sidecar::lines::Lines;
+use sagemast_sidecar::line_buffer::Lines;
 use sagemast_sidecar::log::Log;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{UnixListener, UnixStream};
--- a/crates/daemon/src/crossings.rs
+++ b/crates/daemon/src/crossings.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use sagemast_pools::counts::{Counts, Totals};
-use sagemast_sidecar::crossing::Crossing;
+use sagemast_sidecar::cross_zone_budget::Crossing;
 use tokio::time::Instant;
 
 use crate::config::InstanceSpec;
@@ -56,10 +56,8 @@
         let counts = &self.by_name.get(name)?.counts;
         let budgets = spec.crossing.iter().flat_map(|limits| limits.rules.budgets.iter());
         let names = counts.names();
-        let level = |(budget, (level, burst)): (&sagemast_pools::crossing::Budget, (f64, f64))| BudgetLevel {
-            budget: budget.describe(names),
-            level,
-            burst,
+        let level = |(budget, (level, burst)): (&sagemast_pools::cross_zone_budget::Budget, (f64, f64))| {
+            BudgetLevel { budget: budget.describe(names), level, burst }
         };
         Some(CrossingReport {
             name: name.to_string(),
--- a/crates/daemon/src/handover.rs
+++ b/crates/daemon/src/handover.rs
@@ -32,7 +32,7 @@
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags, recvmsg, sendmsg,
 };
-use sagemast_sidecar::lines::Lines;
+use sagemast_sidecar::line_buffer::Lines;
 use sagemast_udp::Legacy;
 use serde::{Deserialize, Serialize};
 use tokio::net::{TcpListener, UnixListener};
--- a/crates/decide/src/balancer.rs
+++ b/crates/decide/src/balancer.rs
@@ -10,21 +10,21 @@
 use rustc_hash::FxHashMap;
 
 use crate::api::*;
-use crate::crossing::{Attempt, CrossZone};
+use crate::attempt_timeout::Evidence;
+use crate::check_schedule::{self, Watch};
+use crate::cross_zone::{Attempt, CrossZone};
+use crate::estimates::{Learnt, Service};
 use crate::fleet::{Fleet, Looks, Reach, Slot};
-use crate::giving_up::Evidence;
-use crate::health;
-use crate::learnt::{Learnt, Service};
-use crate::outages::Outages;
-use crate::overdue::MUTE;
-use crate::probes::Purse;
+use crate::latency_outlier::MUTE;
+use crate::outlier_ejection;
+use crate::probe_budget::Purse;
 use crate::reports::{self, learn_kappa, learn_kind, settled_after, sound_in_flight};
 use crate::staleness::CallSchedule;
 use crate::state::*;
 use crate::subset::{Order, Size};
 use crate::throttle::LATE_TARGET;
 use crate::upload::Uploads;
-use crate::watch::{self, Watch};
+use crate::zone_outage::Outages;
 
 /// Times below are for a mean service time of up to this; longer where it is longer, within a bound; and no
 /// shorter for faster servers: probes cost, and servers take their means over a time that we are not told.
@@ -169,7 +169,7 @@
                 self.cross.iter_mut().for_each(|plan| plan.sidecars(self.now, count));
             }
             Event::Woke(0) if self.discovery_calls.begin_call(self.now) => out.push(Action::Subscribe),
-            Event::Woke(watch::TOKEN) => {
+            Event::Woke(check_schedule::TOKEN) => {
                 self.watch.woke();
                 while let Some(request) = self.watch.next(self.now) {
                     self.look_after(request, out);
@@ -878,10 +878,10 @@
     fn judge(&mut self, id: UpstreamId, failed: bool, lost: bool, out: &mut Vec<Action>) {
         // Of those that it knows: if more look bad, others are known in their place.
         let known = self.upstreams.size(Reach::Members).1;
-        let may_eject = lost || health::may_eject(self.upstreams.ejected(), known);
+        let may_eject = lost || outlier_ejection::may_eject(self.upstreams.ejected(), known);
         let (peers, luck) = (self.upstreams.failure_rate(), self.rng.rand_float());
         let how = (self.now, peers, may_eject, luck);
-        let weigh = |u: &mut Upstream| health::weigh(u, failed, lost, how);
+        let weigh = |u: &mut Upstream| outlier_ejection::weigh(u, failed, lost, how);
         if let Some(said) = self.upstreams.change(id, weigh).flatten() {
             out.push(Action::Log(format!("server {} is {said}", id.0)));
         }
--- a/crates/decide/src/learnt.rs
+++ b/crates/decide/src/estimates.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use crate::api::*;
-use crate::carried::Carried;
-use crate::giving_up::{Law, Silence};
+use crate::attempt_timeout::{Law, Silence};
+use crate::observed_capacity::Carried;
 use crate::state::Upstream;
 use crate::throttle::Throttle;
 
--- a/crates/decide/src/fleet.rs
+++ b/crates/decide/src/fleet.rs
@@ -8,7 +8,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::api::*;
-use crate::carried::WarmServers;
+use crate::observed_capacity::WarmServers;
 use crate::state::{Health, Means, Upstream};
 use crate::subset::Order;
 
--- a/crates/decide/src/overdue.rs
+++ b/crates/decide/src/latency_outlier.rs
@@ -2,7 +2,7 @@
 
 use crate::Balancer;
 use crate::api::*;
-use crate::giving_up::Evidence;
+use crate::attempt_timeout::Evidence;
 use crate::state::{Candidate, Held, Outstanding, Upstream};
 
 /// Time left to the aim when another attempt is tried, where that is set beforehand, in service times.
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -2,27 +2,27 @@
 //! clock and no I/O, so the same seed, settings and events give the same actions.
 
 pub mod api;
+mod attempt_timeout;
 pub mod balancer;
-mod carried;
-pub mod crossing;
+mod check_schedule;
+pub mod cross_zone;
+mod estimates;
 mod fleet;
-mod giving_up;
-mod health;
-mod learnt;
-pub mod memory;
-mod outages;
-mod overdue;
-mod probes;
+mod latency_outlier;
+mod observed_capacity;
+mod outlier_ejection;
+mod outstanding_sends;
+mod probe_budget;
 mod query;
 mod reports;
-mod sends;
 pub mod settings;
 mod slow_start;
+pub mod snapshot;
 pub mod staleness;
 mod state;
 pub mod subset;
 mod throttle;
 mod upload;
-mod watch;
+mod zone_outage;
 
 pub use balancer::Balancer;
--- a/crates/decide/src/reports.rs
+++ b/crates/decide/src/reports.rs
@@ -1,7 +1,7 @@
 //! What a server's own report of its load tells: its capacity κ from in flight and utilisation, and that of its kind.
 
 use crate::api::*;
-use crate::learnt::Learnt;
+use crate::estimates::Learnt;
 use crate::state::Upstream;
 
 /// In-flight is averaged over about this time, as servers average their utilisation.
--- a/crates/decide/src/slow_start.rs
+++ b/crates/decide/src/slow_start.rs
@@ -4,7 +4,7 @@
 
 use crate::Balancer;
 use crate::api::*;
-use crate::crossing::Bend;
+use crate::cross_zone::Bend;
 use crate::fleet::{Looks, Reach, Standing};
 use crate::state::{Candidate, Held, Upstream};
 
--- a/crates/decide/src/memory.rs
+++ b/crates/decide/src/snapshot.rs
@@ -10,7 +10,7 @@
 
 use crate::Balancer;
 use crate::api::*;
-use crate::learnt::{Kind, Service};
+use crate::estimates::{Kind, Service};
 use crate::state::{Health, Upstream};
 
 /// More servers than any site has.
--- a/crates/decide/src/state.rs
+++ b/crates/decide/src/state.rs
@@ -1,8 +1,8 @@
 //! The records that the decision module keeps. Nothing is decided here.
 
 use crate::api::*;
-use crate::crossing::Bend;
-use crate::sends::Sends;
+use crate::cross_zone::Bend;
+use crate::outstanding_sends::Sends;
 
 /// One send of a request.
 #[derive(Debug, Clone, Copy)]
--- a/crates/decide/tests/crossing.rs
+++ b/crates/decide/tests/crossing.rs
@@ -6,7 +6,7 @@
 
 use common::*;
 use sagemast_decide::api::*;
-use sagemast_decide::crossing::{Attempt, Bend, CrossZone, Terms};
+use sagemast_decide::cross_zone::{Attempt, Bend, CrossZone, Terms};
 
 #[derive(Debug)]
 struct Made {
--- a/crates/decide/tests/memory.rs
+++ b/crates/decide/tests/memory.rs
@@ -6,7 +6,7 @@
 use oorandom::Rand64;
 use sagemast_decide::Balancer;
 use sagemast_decide::api::*;
-use sagemast_decide::memory::Memory;
+use sagemast_decide::snapshot::Memory;
 
 /// A module that has served for a while: of ten servers the third fails and the first is slow.
 fn taught(start: Millis, seed: u64) -> (Balancer, Millis) {
--- a/crates/model/src/policy/mod.rs
+++ b/crates/model/src/policy/mod.rs
@@ -5,7 +5,7 @@
 use rustc_hash::FxHashMap;
 use sagemast_decide::api::*;
 use sagemast_pools::counts::Totals;
-use sagemast_pools::crossing::Plan;
+use sagemast_pools::cross_zone_budget::Plan;
 
 mod ewma;
 mod idle_queue;
--- a/crates/model/src/policy/module.rs
+++ b/crates/model/src/policy/module.rs
@@ -4,9 +4,9 @@
 
 use sagemast_decide::Balancer;
 use sagemast_decide::api::*;
-use sagemast_decide::crossing::CrossZone;
+use sagemast_decide::cross_zone::CrossZone;
 use sagemast_pools::counts::Totals;
-use sagemast_pools::crossing::Plan;
+use sagemast_pools::cross_zone_budget::Plan;
 
 use super::{Policy, Truth};
 
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -6,9 +6,9 @@
 use oorandom::Rand64;
 use rustc_hash::FxHashMap;
 use sagemast_decide::api::*;
-use sagemast_decide::crossing::Bend;
+use sagemast_decide::cross_zone::Bend;
 use sagemast_pools::counts::{Counts, Names, Totals};
-use sagemast_pools::crossing::{Budget, Measure, Plan, Rules};
+use sagemast_pools::cross_zone_budget::{Budget, Measure, Plan, Rules};
 
 use crate::clients::{Source, rush};
 use crate::day::{Cold, Day, FaultKind, KEY_WINDOW_MS};
--- a/crates/pools/src/counts.rs
+++ b/crates/pools/src/counts.rs
@@ -4,10 +4,10 @@
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
 use sagemast_decide::api::{ClassId, ZoneId};
-use sagemast_decide::crossing::Bend;
+use sagemast_decide::cross_zone::Bend;
 use serde::{Deserialize, Serialize};
 
-use crate::crossing::MOST_BUDGETS;
+use crate::cross_zone_budget::MOST_BUDGETS;
 
 /// Zones that the settings do not name are counted together under this name.
 pub const ELSEWHERE: &str = "elsewhere";
--- a/crates/pools/src/crossing.rs
+++ b/crates/pools/src/cross_zone_budget.rs
@@ -5,10 +5,10 @@
 
 use rustc_hash::FxHashMap;
 use sagemast_decide::api::*;
-use sagemast_decide::crossing::{Attempt, Bend, CrossZone, Terms};
+use sagemast_decide::cross_zone::{Attempt, Bend, CrossZone, Terms};
 
-use crate::bucket::Bucket;
 use crate::counts::{Counts, Kind, Names};
+use crate::token_bucket::Bucket;
 
 /// So many budgets at most: each is looked at for every attempt.
 pub const MOST_BUDGETS: usize = 32;
--- a/crates/pools/src/file.rs
+++ b/crates/pools/src/file.rs
@@ -5,13 +5,13 @@
 use std::ops::Range;
 
 use sagemast_decide::api::{ClassId, ZoneId};
-use sagemast_decide::crossing::Bend;
+use sagemast_decide::cross_zone::Bend;
 use sagemast_decide::settings::Config as SettingsObject;
 use serde::Deserialize;
 use toml::Spanned;
 
 use crate::counts::Names;
-use crate::crossing::{Budget, MOST_BUDGETS, Measure, Rules};
+use crate::cross_zone_budget::{Budget, MOST_BUDGETS, Measure, Rules};
 
 /// A crossing of no more worth than this is made freely; as [`Rules::fee`].
 const FEE: f64 = 0.03;
--- a/crates/pools/src/lib.rs
+++ b/crates/pools/src/lib.rs
@@ -1,7 +1,7 @@
-//! Limits on where the decision module may choose. [`crossing::Plan`] holds traffic that leaves a sidecar's zone
-//! within budgets; it plugs into the module as its [`CrossZone`](sagemast_decide::crossing::CrossZone).
+//! Limits on where the decision module may choose. [`cross_zone_budget::Plan`] holds traffic that leaves a sidecar's zone
+//! within budgets; it plugs into the module as its [`CrossZone`](sagemast_decide::cross_zone::CrossZone).
 
-pub mod bucket;
 pub mod counts;
-pub mod crossing;
+pub mod cross_zone_budget;
 pub mod file;
+pub mod token_bucket;
--- a/crates/pools/tests/file.rs
+++ b/crates/pools/tests/file.rs
@@ -1,9 +1,9 @@
 //! `pools.toml`: what is read of it, and that every fault is told with line and key.
 
 use sagemast_decide::api::{ClassId, ZoneId};
-use sagemast_decide::crossing::Bend;
+use sagemast_decide::cross_zone::Bend;
 use sagemast_decide::settings::Config;
-use sagemast_pools::crossing::Measure;
+use sagemast_pools::cross_zone_budget::Measure;
 use sagemast_pools::file::File;
 
 fn settings(zone: u64) -> Config {
--- a/crates/pools/tests/plan.rs
+++ b/crates/pools/tests/plan.rs
@@ -5,9 +5,9 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 use sagemast_decide::api::*;
-use sagemast_decide::crossing::{Attempt, Bend, CrossZone};
+use sagemast_decide::cross_zone::{Attempt, Bend, CrossZone};
 use sagemast_pools::counts::{Counts, Names, Totals};
-use sagemast_pools::crossing::{Budget, Measure, Plan, Rules};
+use sagemast_pools::cross_zone_budget::{Budget, Measure, Plan, Rules};
 
 const HOME: ZoneId = ZoneId(0);
 const FAR: ZoneId = ZoneId(1);
--- a/crates/sidecar/benches/ordinary_path.rs
+++ b/crates/sidecar/benches/ordinary_path.rs
@@ -18,9 +18,9 @@
 
 use sagemast_decide::settings::Config as SettingsObject;
 use sagemast_sidecar::budget::Budgets;
-use sagemast_sidecar::calls::counts;
 use sagemast_sidecar::hosts::HostList;
 use sagemast_sidecar::instance::{Instance, Parts};
+use sagemast_sidecar::io_counts::counts;
 use sagemast_sidecar::log::Log;
 use sagemast_sidecar::messages::Outlet;
 
--- a/crates/sidecar/src/client.rs
+++ b/crates/sidecar/src/client.rs
@@ -13,9 +13,9 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep, sleep};
 
-use crate::calls;
-use crate::presence::{Presence, Shared};
-use crate::slot::Slot;
+use crate::client_disconnect::{Presence, Shared};
+use crate::connection_activity::Slot;
+use crate::io_counts;
 use crate::transfer::framing::Framing;
 use crate::transfer::limits::STREAM_IDLE_TIMEOUT;
 
@@ -90,7 +90,7 @@
         let read = (&*SockRef::from(&*lock(&self.stream))).read(&mut room[..most]);
         match read {
             Ok(read) => {
-                calls::read(&Poll::Ready(Ok(())), read);
+                io_counts::read(&Poll::Ready(Ok(())), read);
                 let read = &room[..read];
                 // The end of the stream is given as it is: nothing.
                 let fed = if read.is_empty() { 0 } else { came(&mut self.framing, &self.slot, read) };
@@ -132,7 +132,7 @@
         while self.ahead.len() < AHEAD_BYTES {
             let mut buffer = ReadBuf::new(&mut room);
             let result = Pin::new(&mut *lock(&self.stream)).poll_read(cx, &mut buffer);
-            calls::read(&result, buffer.filled().len());
+            io_counts::read(&result, buffer.filled().len());
             ready!(result)?;
             if buffer.filled().is_empty() {
                 return Poll::Ready(Ok(()));
@@ -159,7 +159,7 @@
 
     /// Ends with an error when the client has taken nothing for too long.
     fn wrote(&mut self, cx: &mut Context<'_>, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        calls::wrote(&result);
+        io_counts::wrote(&result);
         self.slot.set_write_blocked(result.is_pending());
         if result.is_ready() {
             self.stuck = None;
@@ -211,7 +211,7 @@
         let before = buf.filled().len();
         let result = Pin::new(&mut *lock(&this.stream)).poll_read(cx, buf);
         let read = buf.filled().get(before..).unwrap_or_default();
-        calls::read(&result, read.len());
+        io_counts::read(&result, read.len());
         if !read.is_empty() {
             let fed = came(&mut this.framing, &this.slot, read);
             this.keep_ahead(&read[fed..]);
--- a/crates/sidecar/src/connection.rs
+++ b/crates/sidecar/src/connection.rs
@@ -11,8 +11,8 @@
 use tokio::time::{Instant, timeout, timeout_at};
 
 use crate::budget::Permit;
-use crate::counted::{Counted, Meter};
-use crate::transfer::outgoing::Outgoing;
+use crate::metered_stream::{Counted, Meter};
+use crate::transfer::request_body::Outgoing;
 
 /// Room for a head; hyper also reads bodies through it.
 const BUFFER_BYTES: usize = 32 << 10;
--- a/crates/sidecar/src/slot.rs
+++ b/crates/sidecar/src/connection_activity.rs
@@ -8,8 +8,8 @@
 use tokio::sync::Notify;
 use tokio::time::{Duration, Instant};
 
-use crate::closing::Holds;
-use crate::presence::Presence;
+use crate::client_disconnect::Presence;
+use crate::connection_close::Holds;
 
 /// The mark of a connection with an open request.
 const BUSY: u64 = u64::MAX;
--- a/crates/sidecar/src/console.rs
+++ b/crates/sidecar/src/console.rs
@@ -25,11 +25,11 @@
 use tokio::time::sleep;
 
 use crate::client::Client;
+use crate::connection_activity::Slot;
 use crate::instance::Control;
 use crate::lifecycle::Stage;
 use crate::log::Log;
 use crate::metrics::Metrics;
-use crate::slot::Slot;
 
 /// Callers at one time. Who comes when all places are taken gets that of the oldest caller that has not asked yet, or
 /// else of the oldest.
--- a/crates/sidecar/src/crossing.rs
+++ b/crates/sidecar/src/cross_zone_budget.rs
@@ -7,7 +7,7 @@
 use sagemast_decide::api::Millis;
 use sagemast_decide::settings::Config as SettingsObject;
 use sagemast_pools::counts::Counts;
-use sagemast_pools::crossing::{Plan, Rules};
+use sagemast_pools::cross_zone_budget::{Plan, Rules};
 use sagemast_pools::file::{Fault, File};
 
 /// The rules, and where it counts. One generation after another may count in the same place.
--- a/crates/sidecar/src/discovery.rs
+++ b/crates/sidecar/src/discovery.rs
@@ -15,9 +15,9 @@
 use tokio::time::{Instant, sleep, timeout_at};
 
 use crate::hosts::HostList;
+use crate::json_stream::{Next, Values};
 use crate::log::Log;
 use crate::messages::Outlet;
-use crate::values::{Next, Values};
 use crate::watch_liveness::{self, Times};
 
 /// The longest list: thousands of hosts, indented. A stream without an end must not fill the memory.
--- a/crates/sidecar/src/driver.rs
+++ b/crates/sidecar/src/driver.rs
@@ -10,14 +10,15 @@
 use hyper::{HeaderMap, Method, Request, StatusCode, Uri};
 use sagemast_decide::Balancer;
 use sagemast_decide::api::*;
-use sagemast_decide::memory::Memory;
 use sagemast_decide::settings::{Column, Config as SettingsObject, report_from_text};
+use sagemast_decide::snapshot::Memory;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep_until};
 
 use crate::budget::{Budgets, Permit};
+use crate::client_disconnect::Terms;
 use crate::connection::{Connection, Pool};
-use crate::crossing::Crossing;
+use crate::cross_zone_budget::Crossing;
 use crate::discovery::{AbortOnDrop, FromDiscovery, Watch};
 use crate::handover::message::{Estate, Known, Names};
 use crate::headers::end_to_end;
@@ -26,14 +27,13 @@
 use crate::log::Log;
 use crate::messages::{Arrival, End, Final, Flight, Forward, FromClients, Outlet};
 use crate::metrics::{Came, Metrics};
-use crate::presence::Terms;
 use crate::request_bound::{Deadline, RequestState, bound};
 use crate::servers::Servers;
-use crate::transfer::outgoing::Outgoing;
+use crate::transfer::request_body::Outgoing;
 use crate::transfer::upload::Fate;
 use crate::upstream::{Common, FromUpstreams, Source, Wire, Writing, attempt, connect, probe};
 use crate::watch_liveness::{self, Times};
-use crate::writing;
+use crate::write_check;
 
 /// Once its time to connect is over an attempt is written within this or not at all: the rest of a turn in which much else
 /// is to be done.
@@ -733,12 +733,12 @@
     /// Whether an attempt may be written now.
     fn may_be_written(&self, flight: &Flight) -> Result<(), Outcome> {
         let sent = self.sent.get(&(flight.request, flight.attempt));
-        writing::verdict(&writing::Known {
+        write_check::verdict(&write_check::Known {
             open: self.open.contains_key(&flight.request),
             given_up: sent.is_none_or(|sent| sent.given_up),
             time_is_up: Instant::now() >= flight.until,
             too_late: Instant::now() > flight.connect_by + WRITE_IN,
-            upstream: self.servers.get(flight.upstream).map(|server| writing::Upstream {
+            upstream: self.servers.get(flight.upstream).map(|server| write_check::Upstream {
                 same_life: server.life == flight.life,
                 serves: server.listing.lifecycle == Lifecycle::Serving,
             }),
--- a/crates/sidecar/src/driver/tests.rs
+++ b/crates/sidecar/src/driver/tests.rs
@@ -1,7 +1,7 @@
 //! Moments in which an attempt that nothing was written of crosses something else, played turn by turn.
 
 use super::*;
-use crate::transfer::outgoing::Kept;
+use crate::transfer::request_body::Kept;
 
 const SETTINGS: &str = r#"{"classes":[
     {"name":"a","aim":250.0,"hard_limit":900.0,"importance":2.0,"effect":"repeatable"}],
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -27,18 +27,18 @@
 
 use crate::budget::{Quota, Room};
 use crate::client::Client;
-use crate::closing::{self, Deed, Holds, Reason};
+use crate::connection_activity::Slot;
+use crate::connection_close::{self, Deed, Holds, Reason};
 use crate::headers::end_to_end;
 use crate::lifecycle::{Lifecycle, Stage};
 use crate::log::Log;
 use crate::messages::{Arrival, Final, Forward, FromClients, Outlet};
 use crate::metrics::Metrics;
 use crate::request_bound::{RequestState, bound};
-use crate::slot::Slot;
 use crate::transfer::answer::Payload;
-use crate::transfer::gathered::Gathered;
+use crate::transfer::body_buffer::Gathered;
 use crate::transfer::limits::{HEAD, MOST_BYTES, WHOLE_BYTES};
-use crate::transfer::outgoing::Kept;
+use crate::transfer::request_body::Kept;
 use crate::transfer::upload::Upload;
 
 /// Clients that connect while the sidecar starts or is busy wait here.
@@ -360,7 +360,7 @@
             (Holds::Request, Some(next)) if !life.borrow().closes_after_answer(Some(next)) => Holds::Requests,
             (holds, _) => holds,
         };
-        let deed = match closing::deed(reason, holds) {
+        let deed = match connection_close::deed(reason, holds) {
             // Who has just spoken is neither idle nor quiet; the place of another is asked for next.
             Deed::Shut | Deed::Drop if came && !matches!(reason, Reason::Ends | Reason::EndIsNear) => {
                 Deed::Keep
--- a/crates/sidecar/src/handover/link.rs
+++ b/crates/sidecar/src/handover/link.rs
@@ -22,7 +22,7 @@
 use crate::budget::{Amounts, Budgets};
 use crate::instance::Control;
 use crate::lifecycle::Stage;
-use crate::lines::Lines;
+use crate::line_buffer::Lines;
 use crate::log::Log;
 
 const NAME: &str = "sagemast.sock";
--- a/crates/sidecar/src/handover/message.rs
+++ b/crates/sidecar/src/handover/message.rs
@@ -1,7 +1,7 @@
 //! What processes of one sidecar tell each other: lines of JSON, each bounded and checked by itself.
 
-use sagemast_decide::memory::{Common, Memory, ServerMemory};
 use sagemast_decide::settings::Config as SettingsObject;
+use sagemast_decide::snapshot::{Common, Memory, ServerMemory};
 use serde::{Deserialize, Serialize};
 
 use super::shares::Standing;
--- a/crates/sidecar/src/instance.rs
+++ b/crates/sidecar/src/instance.rs
@@ -14,7 +14,7 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 use crate::budget::Budgets;
-use crate::crossing::Crossing;
+use crate::cross_zone_budget::Crossing;
 use crate::driver::{self, Driver, Happening, Order, Told};
 use crate::front::{self, Front, Names};
 use crate::handover::message::Estate;
--- a/crates/sidecar/src/messages.rs
+++ b/crates/sidecar/src/messages.rs
@@ -8,10 +8,10 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-use crate::presence::Presence;
+use crate::client_disconnect::Presence;
 use crate::request_bound::AttemptTimes;
 use crate::transfer::answer::Payload;
-use crate::transfer::outgoing::Kept;
+use crate::transfer::request_body::Kept;
 
 /// Where a part tells what happened, without knowing who listens or what else they hear.
 pub struct Outlet<T>(Arc<dyn Fn(T) -> bool + Send + Sync>);
--- a/crates/sidecar/src/counted.rs
+++ b/crates/sidecar/src/metered_stream.rs
@@ -14,13 +14,13 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, Sleep, sleep};
 
-use crate::calls;
+use crate::client_disconnect::{self, Found, Terms};
 use crate::execution::Written;
+use crate::io_counts;
 use crate::metrics::Metrics;
-use crate::presence::{self, Found, Terms};
 use crate::transfer::framing::Framing;
 use crate::transfer::limits::STREAM_IDLE_TIMEOUT;
-use crate::transfer::patience::Patience;
+use crate::transfer::stall_timeout::Patience;
 
 /// What has crossed a connection. hyper owns the stream, so this is shared with it.
 pub struct Meter {
@@ -215,9 +215,9 @@
         if self.meter.asked.load(Ordering::Relaxed) {
             return Ok(());
         }
-        calls::read(&Poll::Ready(Ok(())), 0);
+        io_counts::read(&Poll::Ready(Ok(())), 0);
         let mut exchange = lock(&self.meter.exchange);
-        match presence::look(&self.stream, exchange.terms.as_ref())? {
+        match client_disconnect::look(&self.stream, exchange.terms.as_ref())? {
             Found::Clear => {
                 self.meter.asked.store(true, Ordering::Relaxed);
                 Ok(())
@@ -239,7 +239,7 @@
         parts: &[io::IoSlice<'_>],
         result: Poll<io::Result<usize>>,
     ) -> Poll<io::Result<usize>> {
-        calls::wrote(&result);
+        io_counts::wrote(&result);
         if let Poll::Ready(Ok(bytes)) = result {
             self.meter.count_written(parts, bytes);
         }
@@ -272,7 +272,7 @@
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let result = Pin::new(&mut self.stream).poll_read(cx, buf);
-        calls::read(&result, buf.filled().len() - before);
+        io_counts::read(&result, buf.filled().len() - before);
         ready!(result)?;
         Poll::Ready(self.meter.count_read(buf.filled().len() - before))
     }
--- a/crates/sidecar/src/transfer/answer.rs
+++ b/crates/sidecar/src/transfer/answer.rs
@@ -13,12 +13,12 @@
 
 use super::answer_hold::AnswerLengths;
 use super::limits::{MOST_BYTES, WHOLE_BYTES};
-use super::patience::Patience;
+use super::stall_timeout::Patience;
 use crate::budget::Taken;
 use crate::connection::Connection;
+use crate::connection_activity::Slot;
 use crate::metrics::Came;
 use crate::request_bound::{RequestState, StreamProgress, bound};
-use crate::slot::Slot;
 
 /// An answer's body.
 #[derive(Debug)]
--- a/crates/sidecar/src/transfer/mod.rs
+++ b/crates/sidecar/src/transfer/mod.rs
@@ -2,9 +2,9 @@
 
 pub mod answer;
 pub mod answer_hold;
+pub mod body_buffer;
 pub mod framing;
-pub mod gathered;
 pub mod limits;
-pub mod outgoing;
-pub mod patience;
+pub mod request_body;
+pub mod stall_timeout;
 pub mod upload;
--- a/crates/sidecar/src/upstream.rs
+++ b/crates/sidecar/src/upstream.rs
@@ -16,20 +16,20 @@
 use tokio::time::{Instant, sleep_until, timeout_at};
 
 use crate::budget::{Permit, Room, Taken};
+use crate::client_disconnect::Terms;
 use crate::connection::Connection;
-use crate::counted::Meter;
 use crate::execution::{self, How, Written};
 use crate::log::Log;
 use crate::messages::{Answer, End, Flight, Outlet};
+use crate::metered_stream::Meter;
 use crate::metrics::{Came, Metrics};
-use crate::presence::Terms;
 use crate::request_bound::{RequestState, bound};
 use crate::transfer::answer::{self, Payload, Stream};
 use crate::transfer::answer_hold::{AnswerLengths, HoldTimes, Pace, SHORT_HOLD, hold_until};
-use crate::transfer::gathered::Gathered;
+use crate::transfer::body_buffer::Gathered;
 use crate::transfer::limits::{self, Plan, WHOLE_BYTES};
-use crate::transfer::outgoing::{Kept, Outgoing};
-use crate::transfer::patience::Patience;
+use crate::transfer::request_body::{Kept, Outgoing};
+use crate::transfer::stall_timeout::Patience;
 use crate::transfer::upload::{Fate, Upload};
 
 /// Why there is no answer.
--- a/crates/sidecar/src/upstream/tests.rs
+++ b/crates/sidecar/src/upstream/tests.rs
@@ -12,7 +12,7 @@
 
 use super::*;
 use crate::budget::Budgets;
-use crate::presence::Presence;
+use crate::client_disconnect::Presence;
 
 /// A body that a peer's kernel and ours never hold together: what is cut before its end was written in part.
 const MORE_THAN_THE_KERNEL_TAKES: usize = 6 << 20;
