--- a/crates/cli/src/bin/sagemast-simhost/main.rs
+++ b/crates/cli/src/bin/sagemast-simhost/main.rs
@@ -92,34 +92,34 @@
                 let rows = lists.get(&number).ok_or_else(|| format!("list {number} is not defined"))?;
                 Ok(rows.iter().map(Listing::from).collect())
             };
-            Event::Listed(match mode {
-                SyncMode::Update => ListNews::Changed(rows()?),
-                SyncMode::Replace => ListNews::Complete(rows()?),
-                SyncMode::Restored => ListNews::Restored(rows()?),
-                SyncMode::Unavailable => ListNews::Unavailable,
+            Event::ListReceived(match mode {
+                SyncMode::Update => ListUpdate::Changed(rows()?),
+                SyncMode::Replace => ListUpdate::Complete(rows()?),
+                SyncMode::Restored => ListUpdate::Restored(rows()?),
+                SyncMode::Unavailable => ListUpdate::Unavailable,
             })
         }
-        WireEvent::Arrival { xid, owner, time_left, category } => Event::Arrived {
+        WireEvent::Arrival { xid, owner, time_left, category } => Event::RequestArrived {
             request: RequestId(xid.0),
             class: ClassId(category),
             tenant: TenantId(owner),
             time_left,
         },
-        WireEvent::Pong { upstream, disposition, server_stats } => Event::Probed {
+        WireEvent::Pong { upstream, disposition, server_stats } => Event::ProbeFinished {
             upstream: UpstreamId(upstream),
             answered: Outcome::from(disposition) == Outcome::Ok,
             report: server_stats.map(|stats| report(columns, &stats)),
         },
-        WireEvent::Ring { token } => Event::Woke(token),
-        WireEvent::Lapsed { xid } => Event::Abandoned(RequestId(xid.0)),
+        WireEvent::Ring { token } => Event::TimerFired(token),
+        WireEvent::Lapsed { xid } => Event::ClientDisconnected(RequestId(xid.0)),
         WireEvent::Returned { xid, ended, upstream, shot, latency, disposition, server_stats } => {
-            Event::Finished(Finished {
+            Event::AttemptFinished(FinishedAttempt {
                 request: RequestId(xid.0),
                 attempt: AttemptNo(shot),
                 upstream: UpstreamId(upstream),
                 outcome: disposition.into(),
                 latency,
-                closed: ended,
+                client_answered: ended,
                 report: server_stats.map(|stats| report(columns, &stats)),
             })
         }
--- a/crates/cli/src/bin/sagemast-simhost/wire.rs
+++ b/crates/cli/src/bin/sagemast-simhost/wire.rs
@@ -161,7 +161,7 @@
             kind: KindId(row.shape),
             lifecycle: match row.lifecycle {
                 WireLifecycle::InService => Lifecycle::Serving,
-                WireLifecycle::Terminating | WireLifecycle::Terminated => Lifecycle::Leaving,
+                WireLifecycle::Terminating | WireLifecycle::Terminated => Lifecycle::Draining,
             },
             weight: row.capacity_hint,
             started: (row.launched > 0.0).then_some(row.launched),
@@ -231,7 +231,7 @@
             }
             Action::Fail(request) => WireAction::Fail { xid: Hex(request.0) },
             Action::Probe(upstream) => WireAction::AskLoad { upstream: upstream.0 },
-            Action::WakeAt { at, token } => WireAction::SetAlarm { time: at, token },
+            Action::SetTimer { at, token } => WireAction::SetAlarm { time: at, token },
             Action::Subscribe => WireAction::Follow { want: true },
             Action::Log(text) => WireAction::NoteDown { text },
         }
--- a/crates/decide/src/api.rs
+++ b/crates/decide/src/api.rs
@@ -41,7 +41,7 @@
 
 /// Which servers discard repeats of a keyed request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Scope {
+pub enum KeyScope {
     /// Every server.
     All,
     /// The servers of the zone that may have run it.
@@ -54,16 +54,16 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Effect {
     /// No harm.
-    Repeatable,
+    Idempotent,
     /// No harm within the scope and for the window counted from the first send that may have run.
-    ByKey {
+    IdempotentByKey {
         /// Who discards repeats.
-        scope: Scope,
+        scope: KeyScope,
         /// For how long.
         window: Millis,
     },
     /// Must never run twice.
-    Once,
+    NonIdempotent,
 }
 
 /// A class of requests.
@@ -92,7 +92,7 @@
     /// Sends of one request, at most.
     pub max_attempts: u32,
     /// Whether two attempts of one request may be out at the same time.
-    pub duplicates: bool,
+    pub allow_parallel_attempts: bool,
     /// Whether probes may be sent.
     pub probes: bool,
     /// Whether attempts may be cancelled.
@@ -105,15 +105,15 @@
 
 /// The figures of the two rules about servers that leave or have just started.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Safety {
+pub struct SlowStartLimits {
     /// A server starts with at least this share of its capacity.
-    pub cold_share: f64,
+    pub initial_capacity_share: f64,
     /// And has all of it after this long.
     pub warm_up: Millis,
     /// Sent more than this multiple of its present capacity...
-    pub fall_multiple: f64,
+    pub overload_multiple: f64,
     /// ...for this long, a cold server falls over.
-    pub fall: Millis,
+    pub overload_window: Millis,
 }
 
 /// How news of servers arrives.
@@ -132,13 +132,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Identity {
     /// Nothing does: it knows all servers.
-    Nobody,
+    Anonymous,
     /// Its number, from 0, among so many that are all numbered.
     Ranked {
         /// Its number.
         rank: u32,
         /// How many there are.
-        of: u32,
+        count: u32,
     },
     /// A number drawn from its name ([`crate::subset::key`]): the same after a restart.
     Named(u64),
@@ -160,15 +160,15 @@
     /// Who it is among them: which servers it knows follows from that.
     pub identity: Identity,
     /// What one zone crossing costs, as a fraction of a mean request's worth.
-    pub crossing_fee: f64,
+    pub cross_zone_cost: f64,
     /// What one probe costs, as a fraction of a mean request's worth.
-    pub probe_fee: f64,
+    pub probe_cost: f64,
     /// What another attempt costs, as a fraction of a mean request's worth: work done for nothing, and a connection.
-    pub attempt_fee: f64,
+    pub attempt_cost: f64,
     /// Allowances.
     pub limits: Limits,
     /// Rule figures.
-    pub safety: Safety,
+    pub slow_start: SlowStartLimits,
     /// How news of servers arrives.
     pub discovery: Discovery,
 }
@@ -179,7 +179,7 @@
     /// It does.
     Serving,
     /// It finishes what it has, or is gone: nothing new goes there.
-    Leaving,
+    Draining,
 }
 
 /// A server as discovery lists it.
@@ -205,7 +205,7 @@
 
 /// News from discovery.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ListNews {
+pub enum ListUpdate {
     /// The complete list as last held before a restart; may be old.
     Restored(Vec<Listing>),
     /// The complete list; who is missing is gone.
@@ -259,7 +259,7 @@
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Finished {
+pub struct FinishedAttempt {
     /// The request.
     pub request: RequestId,
     /// Which of its sends.
@@ -271,7 +271,7 @@
     /// Time since the send.
     pub latency: Millis,
     /// Whether the client has its final answer.
-    pub closed: bool,
+    pub client_answered: bool,
     /// A report that came with it.
     pub report: Option<Report>,
 }
@@ -280,7 +280,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
     /// A client's try came in and is owed one final answer.
-    Arrived {
+    RequestArrived {
         /// Its id, never used again.
         request: RequestId,
         /// Its class.
@@ -291,21 +291,21 @@
         time_left: Millis,
     },
     /// An attempt ended; each [`Action::Send`] gets this once.
-    Finished(Finished),
+    AttemptFinished(FinishedAttempt),
     /// The body of an attempt that is out is still coming from its client, or its last byte is out now. Until then a
     /// server has not begun with it, and a request's times count from there.
-    Upload {
+    UploadProgress {
         /// The request.
         request: RequestId,
         /// Which of its sends.
         attempt: AttemptNo,
         /// Whether it is still coming.
-        coming: bool,
+        in_progress: bool,
     },
     /// The client left; nothing more is owed.
-    Abandoned(RequestId),
+    ClientDisconnected(RequestId),
     /// A probe came back.
-    Probed {
+    ProbeFinished {
         /// Who was asked.
         upstream: UpstreamId,
         /// Whether it answered.
@@ -314,12 +314,12 @@
         report: Option<Report>,
     },
     /// News from discovery.
-    Listed(ListNews),
+    ListReceived(ListUpdate),
     /// How many sidecars there are from now on, this one included: the allowance of cold servers is split
     /// among them. Told before more begin and after some have ended.
-    Sidecars(u32),
-    /// A timer set with [`Action::WakeAt`] came due.
-    Woke(u64),
+    SidecarCountChanged(u32),
+    /// A timer set with [`Action::SetTimer`] came due.
+    TimerFired(u64),
 }
 
 /// Something for the sidecar to do now, in order.
@@ -352,8 +352,8 @@
     Fail(RequestId),
     /// Ask a server for its load.
     Probe(UpstreamId),
-    /// Hand back [`Event::Woke`] with this token at this time or soon after.
-    WakeAt {
+    /// Hand back [`Event::TimerFired`] with this token at this time or soon after.
+    SetTimer {
         /// When.
         at: Millis,
         /// What to hand back.
--- a/crates/decide/src/attempt_timeout.rs
+++ b/crates/decide/src/attempt_timeout.rs
@@ -2,7 +2,7 @@
 //!
 //! Work with a heavy tail is long by itself, and as long the second time. So the question is not how long an attempt has
 //! taken, but what it is waiting for: a server that is at work on it, or one that answers nobody. The first is told by how
-//! long answers take ([`Law`], learnt by class), the second by how often servers went silent of late and by what this one has
+//! long answers take ([`LatencyHistogram`], learnt by class), the second by how often servers went silent of late and by what this one has
 //! or has not done since. From both follow the chance of an answer in the time that is left here, and elsewhere.
 
 /// Answer times are counted as multiples of what was expected, in bins that grow by this factor from this multiple on.
@@ -38,14 +38,14 @@
 
 /// How long answers of one class take, as multiples of what was expected.
 #[derive(Debug, Clone)]
-pub(crate) struct Law {
+pub(crate) struct LatencyHistogram {
     bins: [f64; BINS],
     total: f64,
 }
 
-impl Default for Law {
-    fn default() -> Law {
-        Law { bins: [0.0; BINS], total: 0.0 }
+impl Default for LatencyHistogram {
+    fn default() -> LatencyHistogram {
+        LatencyHistogram { bins: [0.0; BINS], total: 0.0 }
     }
 }
 
@@ -65,7 +65,7 @@
     (1.0 + times / 2.0).powi(-3)
 }
 
-impl Law {
+impl LatencyHistogram {
     /// An answer took so many times what was expected.
     pub fn answered(&mut self, times: f64) {
         self.add(bin_of(times), 1.0);
@@ -110,19 +110,19 @@
 
 /// How often attempts met a server that was silent, of late and over all servers.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Silence {
+pub(crate) struct UnresponsiveRate {
     share: f64,
     /// How much longer answers take than expected: in a rush all do, and nobody is to blame.
     crowd: f64,
 }
 
-impl Default for Silence {
-    fn default() -> Silence {
-        Silence { share: RARELY, crowd: 1.0 }
+impl Default for UnresponsiveRate {
+    fn default() -> UnresponsiveRate {
+        UnresponsiveRate { share: RARELY, crowd: 1.0 }
     }
 }
 
-impl Silence {
+impl UnresponsiveRate {
     /// An attempt has ended, on a server that was silent with such a chance.
     pub fn met(&mut self, chance: f64) {
         self.share += SMOOTH * (chance - self.share);
@@ -146,7 +146,7 @@
 
 /// What is known of an attempt that is out, beside how long it is.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Evidence {
+pub(crate) struct AttemptEvidence {
     /// What was expected, as far as is known now.
     pub wait: f64,
     /// The share of answers that take longer than what others on the same server wait for, one for each request that it
@@ -162,7 +162,7 @@
     pub no_probe: bool,
 }
 
-impl Evidence {
+impl AttemptEvidence {
     /// Whether anything speaks against its server when an attempt is out for so long. Its own time alone is hardly evidence,
     /// for who gives up by it never learns that an answer would have come.
     pub fn is_suspect(&self, out: f64) -> bool {
@@ -172,7 +172,7 @@
     }
 
     /// The chance that its server is silent, when an attempt is out for so long.
-    pub fn silent(&self, law: &Law, out: f64) -> f64 {
+    pub fn silent(&self, law: &LatencyHistogram, out: f64) -> f64 {
         if !self.is_suspect(out) {
             return 0.0;
         }
@@ -184,7 +184,7 @@
     }
 
     /// How much likelier an answer in the time that is left is elsewhere, where it is expected after `elsewhere`, than here.
-    pub fn gain(&self, law: &Law, out: f64, left: f64, elsewhere: f64) -> f64 {
+    pub fn gain(&self, law: &LatencyHistogram, out: f64, left: f64, elsewhere: f64) -> f64 {
         if left <= 0.0 || !self.is_suspect(out) {
             return 0.0;
         }
@@ -200,7 +200,14 @@
 
     /// When an attempt that goes on for so long already is to be looked at: as soon as going elsewhere gains more than it
     /// costs, if nothing else is heard till then. `until` is when an answer is worth nothing any more.
-    pub fn look_at(&self, law: &Law, out: f64, until: f64, elsewhere: f64, cost: f64) -> Option<f64> {
+    pub fn look_at(
+        &self,
+        law: &LatencyHistogram,
+        out: f64,
+        until: f64,
+        elsewhere: f64,
+        cost: f64,
+    ) -> Option<f64> {
         let next = (out * STEP).max(FIRST * self.wait);
         let times = std::iter::successors(Some(next), |out| Some(out * STEP)).take(BINS);
         times.take_while(|at| *at < until).find(|at| self.gain(law, *at, until - *at, elsewhere) > cost)
@@ -213,8 +220,8 @@
 
     use super::*;
 
-    fn learnt(mut draw: impl FnMut(&mut Rand64) -> f64) -> Law {
-        let (mut law, mut rng) = (Law::default(), Rand64::new(9));
+    fn learnt(mut draw: impl FnMut(&mut Rand64) -> f64) -> LatencyHistogram {
+        let (mut law, mut rng) = (LatencyHistogram::default(), Rand64::new(9));
         (0..5_000).for_each(|_| law.answered(draw(&mut rng)));
         law
     }
@@ -228,7 +235,7 @@
         1.1 / 2.1 * (1.0 - rng.rand_float()).powf(-1.0 / 2.1)
     }
 
-    const CALM: Evidence = Evidence {
+    const CALM: AttemptEvidence = AttemptEvidence {
         wait: 30.0,
         others: 1.0,
         silence: 0.0,
@@ -239,8 +246,10 @@
     };
 
     /// On a server that has failed before.
-    fn first_look(law: &Law, silence: f64) -> Option<f64> {
-        Evidence { silence, failing: 0.2, ..CALM }.look_at(law, 0.0, 250.0, 30.0, 0.1).map(|at| at / 30.0)
+    fn first_look(law: &LatencyHistogram, silence: f64) -> Option<f64> {
+        AttemptEvidence { silence, failing: 0.2, ..CALM }
+            .look_at(law, 0.0, 250.0, 30.0, 0.1)
+            .map(|at| at / 30.0)
     }
 
     #[test]
@@ -250,7 +259,7 @@
             let (told, true_share) = (law.longer(times), (-times).exp());
             assert!((told / true_share - 1.0).abs() < 0.25, "{times}: {told} of {true_share}");
         }
-        assert!(Law::default().longer(1e9) > 0.0, "nothing is impossible");
+        assert!(LatencyHistogram::default().longer(1e9) > 0.0, "nothing is impossible");
         assert!((law.longer(0.0) - 1.0).abs() < 1e-9, "{}", law.longer(0.0));
     }
 
@@ -269,13 +278,13 @@
     #[test]
     fn time_alone_is_no_evidence() {
         let law = learnt(exponential);
-        let alone = Evidence { silence: MOSTLY, ..CALM };
+        let alone = AttemptEvidence { silence: MOSTLY, ..CALM };
         assert_eq!(alone.silent(&law, 11.0 * 30.0), 0.0);
         assert!(alone.silent(&law, 13.0 * 30.0) > 0.9, "nobody waits for ever");
         assert_eq!(alone.look_at(&law, 0.0, 250.0, 30.0, 0.1), None);
-        let suspect = Evidence { no_probe: true, ..alone };
+        let suspect = AttemptEvidence { no_probe: true, ..alone };
         assert!(suspect.silent(&law, 150.0) > 0.9);
-        let crowded = Evidence { crowd: 10.0, silence: RARELY, ..suspect };
+        let crowded = AttemptEvidence { crowd: 10.0, silence: RARELY, ..suspect };
         assert!(crowded.silent(&law, 150.0) < 0.1, "all answers take as long");
     }
 
@@ -284,8 +293,8 @@
     #[test]
     fn a_longer_queue_is_no_reason_to_run() {
         let law = learnt(exponential);
-        let behind = Evidence { wait: 300.0, ..CALM };
-        assert!(Evidence { no_probe: true, ..behind }.gain(&law, 30.0, 250.0, 30.0) > 0.2);
+        let behind = AttemptEvidence { wait: 300.0, ..CALM };
+        assert!(AttemptEvidence { no_probe: true, ..behind }.gain(&law, 30.0, 250.0, 30.0) > 0.2);
         assert_eq!(behind.gain(&law, 30.0, 250.0, 30.0), 0.0);
         assert_eq!(behind.look_at(&law, 0.0, 250.0, 30.0, 0.1), None);
     }
@@ -293,20 +302,20 @@
     #[test]
     fn each_piece_of_evidence_moves_the_chance_its_way() {
         let law = learnt(exponential);
-        let plain = Evidence { silence: 0.02, failing: SUSPECT_FAILS, ..CALM };
-        let chance = |evidence: Evidence| evidence.silent(&law, 60.0);
-        assert!(chance(Evidence { answers: true, ..plain }) < 0.2 * chance(plain));
-        assert!(chance(Evidence { no_probe: true, ..plain }) > chance(plain));
-        assert!(chance(Evidence { failing: 0.6, ..plain }) > chance(plain));
-        assert!(chance(Evidence { others: 0.05, ..plain }) > chance(plain));
-        assert!(chance(Evidence { wait: 90.0, ..plain }) < 0.7 * chance(plain), "a queue explains it");
-        assert_eq!(chance(Evidence { failing: 0.0, ..plain }), 0.0, "nothing else speaks against it");
+        let plain = AttemptEvidence { silence: 0.02, failing: SUSPECT_FAILS, ..CALM };
+        let chance = |evidence: AttemptEvidence| evidence.silent(&law, 60.0);
+        assert!(chance(AttemptEvidence { answers: true, ..plain }) < 0.2 * chance(plain));
+        assert!(chance(AttemptEvidence { no_probe: true, ..plain }) > chance(plain));
+        assert!(chance(AttemptEvidence { failing: 0.6, ..plain }) > chance(plain));
+        assert!(chance(AttemptEvidence { others: 0.05, ..plain }) > chance(plain));
+        assert!(chance(AttemptEvidence { wait: 90.0, ..plain }) < 0.7 * chance(plain), "a queue explains it");
+        assert_eq!(chance(AttemptEvidence { failing: 0.0, ..plain }), 0.0, "nothing else speaks against it");
     }
 
     /// Guards against a circle: who gives long ones up sees none, and takes all long ones for lost.
     #[test]
     fn what_is_given_up_still_counts_as_long() {
-        let (mut law, mut rng) = (Law::default(), Rand64::new(4));
+        let (mut law, mut rng) = (LatencyHistogram::default(), Rand64::new(4));
         for _ in 0..20_000 {
             let times = pareto(&mut rng);
             if times < 3.0 { law.answered(times) } else { law.given_up(3.0, 1.0) }
--- a/crates/decide/src/balancer.rs
+++ b/crates/decide/src/balancer.rs
@@ -10,21 +10,21 @@
 use rustc_hash::FxHashMap;
 
 use crate::api::*;
-use crate::attempt_timeout::Evidence;
-use crate::check_schedule::{self, Watch};
-use crate::cross_zone::{Attempt, CrossZone};
-use crate::estimates::{Learnt, Service};
-use crate::fleet::{Fleet, Looks, Reach, Slot};
+use crate::attempt_timeout::AttemptEvidence;
+use crate::check_schedule::{self, CheckSchedule};
+use crate::cross_zone::{CrossZone, CrossZoneAttempt};
+use crate::estimates::{ClassEstimates, Estimates};
+use crate::fleet::{CandidateSampler, CandidateScope, Fleet, Slot};
 use crate::latency_outlier::MUTE;
 use crate::outlier_ejection;
-use crate::probe_budget::Purse;
+use crate::probe_budget::ProbeBudget;
 use crate::reports::{self, learn_kappa, learn_kind, settled_after, sound_in_flight};
 use crate::staleness::CallSchedule;
 use crate::state::*;
-use crate::subset::{Order, Size};
+use crate::subset::{ServerRanking, SubsetSize};
 use crate::throttle::LATE_TARGET;
 use crate::upload::Uploads;
-use crate::zone_outage::Outages;
+use crate::zone_outage::ZoneOutages;
 
 /// Times below are for a mean service time of up to this; longer where it is longer, within a bound; and no
 /// shorter for faster servers: probes cost, and servers take their means over a time that we are not told.
@@ -86,34 +86,35 @@
     pub(crate) now: Millis,
     /// What limits traffic that leaves the zone, if anything does.
     pub(crate) cross: Option<Box<dyn CrossZone>>,
-    pub(crate) requests: FxHashMap<RequestId, Held>,
+    pub(crate) requests: FxHashMap<RequestId, PendingRequest>,
     pub(crate) upstreams: Fleet,
     /// Sends that have not ended: their number in the books of their server. And the next number.
     pub(crate) sends: FxHashMap<(RequestId, AttemptNo), (u64, UpstreamId)>,
     pub(crate) next_send: u64,
     pub(crate) uploads: Uploads,
-    pub(crate) watch: Watch,
+    pub(crate) watch: CheckSchedule,
     discovery_calls: CallSchedule,
-    purse: Purse,
+    purse: ProbeBudget,
     /// Zones that cannot be reached.
-    pub(crate) outages: Outages,
+    pub(crate) outages: ZoneOutages,
     /// In which order servers are taken into the subset, and how many.
-    pub(crate) order: Order,
-    size: Size,
+    pub(crate) order: ServerRanking,
+    size: SubsetSize,
     /// Which requests wait for a server's probe.
     waiting: BTreeSet<(UpstreamId, RequestId)>,
-    pub(crate) seen: Learnt,
+    pub(crate) seen: Estimates,
 }
 
 impl Balancer {
     /// A module that knows nothing yet but its settings.
     pub fn new(settings: Settings, seed: u64) -> Balancer {
         // Until answers tell, a service time that leaves room for a queue and another try.
-        let service = settings.classes.iter().map(|class| Service::new(class.aim * SERVICE_PRIOR)).collect();
-        let seen = Learnt::new(service, settings.tenants.len(), RETRY_BURST);
-        let purse = Purse::new(settings.probe_fee);
-        let order = Order::new(settings.identity);
-        let home = (settings.crossing_fee > 0.0).then_some(settings.zone);
+        let service =
+            settings.classes.iter().map(|class| ClassEstimates::new(class.aim * SERVICE_PRIOR)).collect();
+        let seen = Estimates::new(service, settings.tenants.len(), RETRY_BURST);
+        let purse = ProbeBudget::new(settings.probe_cost);
+        let order = ServerRanking::new(settings.identity);
+        let home = (settings.cross_zone_cost > 0.0).then_some(settings.zone);
         Balancer {
             settings,
             rng: Rand64::new(u128::from(seed)),
@@ -124,12 +125,12 @@
             sends: FxHashMap::default(),
             next_send: 1,
             uploads: Uploads::default(),
-            watch: Watch::default(),
+            watch: CheckSchedule::default(),
             discovery_calls: CallSchedule::default(),
             purse,
-            outages: Outages::default(),
+            outages: ZoneOutages::default(),
             order,
-            size: Size::default(),
+            size: SubsetSize::default(),
             waiting: BTreeSet::new(),
             seen,
         }
@@ -145,16 +146,18 @@
         self.now = self.now.max(now);
         self.upstreams.advance(self.now);
         match event {
-            Event::Arrived { request, class, tenant, time_left } => {
-                self.arrived(request, Held::new(class, tenant, self.now, time_left.max(0.0)), out)
+            Event::RequestArrived { request, class, tenant, time_left } => {
+                self.arrived(request, PendingRequest::new(class, tenant, self.now, time_left.max(0.0)), out)
             }
-            Event::Upload { request, attempt, coming } => self.upload(request, attempt, coming),
-            Event::Finished(end) => {
+            Event::UploadProgress { request, attempt, in_progress } => {
+                self.upload(request, attempt, in_progress)
+            }
+            Event::AttemptFinished(end) => {
                 self.upload(end.request, end.attempt, false);
                 self.settle(end, out);
                 self.finished(end, out);
             }
-            Event::Abandoned(request) => {
+            Event::ClientDisconnected(request) => {
                 // Who goes once the aim has passed was not served in time; who goes before tells nothing.
                 let held = self.requests.get(&request).filter(|held| held.tries.iter().any(|t| t.out));
                 if held.is_some_and(|held| self.aim_left(held) <= 0.0) {
@@ -162,25 +165,27 @@
                 }
                 self.abandoned(request, out);
             }
-            Event::Probed { upstream, answered, report } => self.probed(upstream, answered, report, out),
-            Event::Listed(news) => self.listed(news, out),
-            Event::Sidecars(count) => {
+            Event::ProbeFinished { upstream, answered, report } => {
+                self.probed(upstream, answered, report, out)
+            }
+            Event::ListReceived(news) => self.listed(news, out),
+            Event::SidecarCountChanged(count) => {
                 self.settings.sidecars = count;
                 self.cross.iter_mut().for_each(|plan| plan.sidecars(self.now, count));
             }
-            Event::Woke(0) if self.discovery_calls.begin_call(self.now) => out.push(Action::Subscribe),
-            Event::Woke(check_schedule::TOKEN) => {
+            Event::TimerFired(0) if self.discovery_calls.begin_call(self.now) => out.push(Action::Subscribe),
+            Event::TimerFired(check_schedule::TOKEN) => {
                 self.watch.woke();
                 while let Some(request) = self.watch.next(self.now) {
                     self.look_after(request, out);
                 }
             }
-            Event::Woke(token) => self.resume(token, out),
+            Event::TimerFired(token) => self.resume(token, out),
         }
         self.watch.arm(out);
     }
 
-    fn arrived(&mut self, request: RequestId, held: Held, out: &mut Vec<Action>) {
+    fn arrived(&mut self, request: RequestId, held: PendingRequest, out: &mut Vec<Action>) {
         if self.requests.contains_key(&request) {
             return;
         }
@@ -241,13 +246,13 @@
     /// has just started. So what goes to a cold one is kept to an amount as well: an equal part of its
     /// allowance for each sidecar. A part that never comes to one request is a chance of one instead, spent
     /// whether or not it wins.
-    fn admits(&mut self, to: &Candidate, held: &Held, again: bool) -> bool {
+    fn admits(&mut self, to: &Candidate, held: &PendingRequest, again: bool) -> bool {
         if to.warmth >= 1.0 {
             return true;
         }
         let odds = if again { held.odds } else { self.odds(held) };
         // Where there is no room elsewhere, more requests come than servers can carry, and more to this one.
-        let multiple = self.settings.safety.fall_multiple * to.warmth;
+        let multiple = self.settings.slow_start.overload_multiple * to.warmth;
         let share = COLD_MARGIN * multiple / 2.0 * odds * (1.0 - self.seen.refused);
         self.affords(to, held.class, share)
     }
@@ -264,7 +269,7 @@
         (held.odds, held.holds, held.bend) = (odds, held.holds + 1, pair.iter().find_map(|c| c.bend));
         let most = HOLD_FOR * self.settings.classes[held.class.0].aim;
         let at = self.now + self.seen.probe_time.map_or(most, |time| most.min(HOLD_PROBES * time));
-        out.push(Action::WakeAt { at: at.min(held.deadline), token: request.0 >> 1 });
+        out.push(Action::SetTimer { at: at.min(held.deadline), token: request.0 >> 1 });
         let before = held.pair.replace(pair.map(|c| c.id));
         self.wait_no_more(request, before);
         self.waiting.extend(pair.map(|c| (c.id, request)));
@@ -281,7 +286,7 @@
 
     /// The share of the time left to its aim that a request's wait may take. Under overload queues fill up
     /// to it, so work that earns less for its service time than the usual is the first to be refused.
-    fn room(&self, held: &Held) -> f64 {
+    fn room(&self, held: &PendingRequest) -> f64 {
         let density = self.density(held);
         let worth = (density / self.seen.usual_density.unwrap_or(density)).powf(FAVOUR).clamp(0.5, 1.5);
         // By worth alone one class would bear all refusals.
@@ -291,7 +296,7 @@
 
     /// What a request earns for its service time. No sidecar can know which tenants are over their share;
     /// those with more of our arrivals than of all quotas are the likeliest.
-    fn density(&self, held: &Held) -> f64 {
+    fn density(&self, held: &PendingRequest) -> f64 {
         let quotas: f64 = self.settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
         let quota = self.settings.tenants.get(held.tenant.0).map_or(0.0, |tenant| tenant.quota_per_s);
         let share = self.seen.tenant_shares.get(held.tenant.0).copied().unwrap_or(0.0);
@@ -302,7 +307,7 @@
     }
 
     /// Time until the answer loses its worth.
-    pub(crate) fn aim_left(&self, held: &Held) -> Millis {
+    pub(crate) fn aim_left(&self, held: &PendingRequest) -> Millis {
         held.deadline.min(held.arrived + self.settings.classes[held.class.0].aim) - self.now
     }
 
@@ -310,8 +315,10 @@
     fn give_up(&mut self, request: RequestId, out: &mut Vec<Action>) {
         let Some(held) = self.end(request) else { return };
         let safe = match self.settings.classes[held.class.0].effect {
-            Effect::Repeatable | Effect::ByKey { scope: Scope::All, .. } => true,
-            Effect::ByKey { .. } | Effect::Once => !held.tries.iter().any(|t| t.may_have_run),
+            Effect::Idempotent | Effect::IdempotentByKey { scope: KeyScope::All, .. } => true,
+            Effect::IdempotentByKey { .. } | Effect::NonIdempotent => {
+                !held.tries.iter().any(|t| t.may_have_run)
+            }
         };
         if safe {
             // Soon enough to make its aim yet, and spread: all that were refused together come back.
@@ -323,7 +330,7 @@
     }
 
     /// Takes a request off the books.
-    fn end(&mut self, request: RequestId) -> Option<Held> {
+    fn end(&mut self, request: RequestId) -> Option<PendingRequest> {
         self.watch_no_more(request);
         let held = self.requests.remove(&request)?;
         self.wait_no_more(request, held.pair);
@@ -350,7 +357,7 @@
     }
 
     /// What all servers are looked at with.
-    pub(crate) fn view(&self, held: &Held) -> View {
+    pub(crate) fn view(&self, held: &PendingRequest) -> SelectionContext {
         let aim_left = self.aim_left(held);
         let spare = aim_left > 2.0 * HOLD_FOR * self.settings.classes[held.class.0].aim;
         // With roughly exponential answer times one expected at `wait` misses its aim with probability
@@ -359,7 +366,7 @@
         let limit = |fee: f64| if fee > 0.0 { aim_left / (1.0 / fee).ln().max(1.0) } else { 0.0 };
         let service = self.seen.service[held.class.0].time;
         let soon = self.seen.probe_time.is_none_or(|time| time <= HOLD_WORTH * service);
-        View {
+        SelectionContext {
             service,
             outside: false,
             // Older than what is renewed: there is a probe to wait for.
@@ -371,16 +378,21 @@
                 && spare
                 && soon,
             room: self.room(held) * aim_left * if held.holds > 0 { HELD_ROOM } else { 1.0 },
-            near_limit: limit(terms.map_or(self.settings.crossing_fee, |terms| terms.fee)),
+            near_limit: limit(terms.map_or(self.settings.cross_zone_cost, |terms| terms.fee)),
             failing: terms.map_or(1.0, |terms| terms.bend_at),
         }
     }
 
     /// A server as a request sees it now, with its projected utilisation and expected answer time.
-    pub(crate) fn look(&self, slot: Slot, held: &Held, view: &View) -> Option<Candidate> {
+    pub(crate) fn look(
+        &self,
+        slot: Slot,
+        held: &PendingRequest,
+        view: &SelectionContext,
+    ) -> Option<Candidate> {
         let (id, upstream) = self.upstreams.at(slot)?;
         let (in_flight, kappa) = (self.in_flight(upstream, &view.means), self.kappa(upstream));
-        let warmth = upstream.warmth(self.now, &self.settings.safety);
+        let warmth = upstream.warmth(self.now, &self.settings.slow_start);
         let slowness = self.slowness(upstream) / warmth;
         let depth = ((in_flight + 1.0) / kappa).max(1.0);
         Some(Candidate {
@@ -406,20 +418,20 @@
     }
 
     /// Where a further send may go, by what may have run already.
-    pub(crate) fn reach(&self, held: &Held) -> Option<Reach> {
+    pub(crate) fn reach(&self, held: &PendingRequest) -> Option<CandidateScope> {
         let Some(first) = held.tries.iter().find(|t| t.out || t.may_have_run) else {
-            return Some(Reach::All);
+            return Some(CandidateScope::All);
         };
         match self.settings.classes[held.class.0].effect {
-            Effect::Repeatable => Some(Reach::All),
-            Effect::Once => None,
+            Effect::Idempotent => Some(CandidateScope::All),
+            Effect::NonIdempotent => None,
             // The window counts from the first send that may have run; a tick is kept in hand.
-            Effect::ByKey { scope, window } => {
+            Effect::IdempotentByKey { scope, window } => {
                 let in_time = self.now + self.settings.limits.tick < first.sent + window;
                 in_time.then_some(match scope {
-                    Scope::All => Reach::All,
-                    Scope::Zone => Reach::Zone(first.zone),
-                    Scope::Cell => Reach::Cell(first.cell),
+                    KeyScope::All => CandidateScope::All,
+                    KeyScope::Zone => CandidateScope::Zone(first.zone),
+                    KeyScope::Cell => CandidateScope::Cell(first.cell),
                 })
             }
         }
@@ -430,11 +442,11 @@
     }
 
     /// m: the last report and our sends since; an unheard server takes the mean m of the known ones.
-    fn in_flight(&self, upstream: &Upstream, means: &Means) -> f64 {
+    fn in_flight(&self, upstream: &Upstream, means: &FleetMeans) -> f64 {
         let own = upstream.outstanding.len() as f64;
         if !upstream.is_heard || !self.seen.believes() {
             // What all send to a cold one is kept to what it surely does: others' queues are not its.
-            let cold = upstream.warmth(self.now, &self.settings.safety) < 1.0;
+            let cold = upstream.warmth(self.now, &self.settings.slow_start) < 1.0;
             return own + if cold { 0.0 } else { means.in_flight };
         }
         // A report below what we ourselves have out there is old, whatever it says.
@@ -477,7 +489,7 @@
     /// Two random servers among those with room, near ones first; the smaller projected utilisation wins.
     /// They are looked at in random order until two have room, or [`LOOKS`] have been. Also whether it is the
     /// pair that was drawn before.
-    fn draw(&mut self, held: &Held, out: &mut Vec<Action>) -> Option<([Candidate; 2], bool)> {
+    fn draw(&mut self, held: &PendingRequest, out: &mut Vec<Action>) -> Option<([Candidate; 2], bool)> {
         self.know();
         self.ask_zones(out);
         let reach = self.reach(held)?;
@@ -488,7 +500,7 @@
         let mut pair = before.or(near).or_else(|| self.open(inside, held, &view));
         if pair.is_none() && inside != reach && self.upstreams.size(reach) != self.upstreams.size(inside) {
             // A refusal is honest only after a look outside; what is found there widens the subset.
-            pair = self.open(reach, held, &View { outside: true, ..view });
+            pair = self.open(reach, held, &SelectionContext { outside: true, ..view });
             if pair.is_some() {
                 self.size.widen();
             }
@@ -505,7 +517,7 @@
     /// Brings the subset into line with the traffic and with what has become of its members.
     fn know(&mut self) {
         if self.seen.carried.is_due(self.now) {
-            let warm = self.upstreams.warm_servers(self.now, &self.settings.safety);
+            let warm = self.upstreams.warm_servers(self.now, &self.settings.slow_start);
             self.seen.carried.review(self.now, warm);
         }
         let wanted = self.size.wanted(self.now, self.upstreams.serving(), self.settings.sidecars);
@@ -518,8 +530,8 @@
     }
 
     /// Who is refused leaves something to learn from: else nothing would tell that there is room again.
-    fn ask_anyone(&mut self, reach: Reach, view: &View, out: &mut Vec<Action>) {
-        let mut looks = Looks::new(&self.upstreams, reach, true);
+    fn ask_anyone(&mut self, reach: CandidateScope, view: &SelectionContext, out: &mut Vec<Action>) {
+        let mut looks = CandidateSampler::new(&self.upstreams, reach, true);
         for _ in 0..2 {
             let slot = looks.next(&mut self.upstreams, &mut self.rng);
             let Some((id, upstream)) = slot.and_then(|slot| self.upstreams.at(slot)) else { return };
@@ -530,7 +542,7 @@
     }
 
     /// Of the pair that was drawn before and asked since, those that still suit.
-    fn asked_for(&self, held: &Held, view: &View) -> Option<[Candidate; 2]> {
+    fn asked_for(&self, held: &PendingRequest, view: &SelectionContext) -> Option<[Candidate; 2]> {
         let limit = |c: &Candidate| {
             if held.holds == 1 && c.near { view.near_limit.min(view.room) } else { view.room }
         };
@@ -544,20 +556,29 @@
     }
 
     /// Two near ones with so much room that crossing does not pay.
-    fn near(&mut self, reach: Reach, held: &Held, view: &View) -> Option<[Candidate; 2]> {
+    fn near(
+        &mut self,
+        reach: CandidateScope,
+        held: &PendingRequest,
+        view: &SelectionContext,
+    ) -> Option<[Candidate; 2]> {
         if view.near_limit == 0.0 {
             return None;
         }
-        let reach = if reach == Reach::Members { Reach::MembersIn(self.settings.zone) } else { reach };
+        let reach = if reach == CandidateScope::Members {
+            CandidateScope::MembersIn(self.settings.zone)
+        } else {
+            reach
+        };
         self.two(reach, held, view, false, |c| c.healthy && view.suits_near(c))
     }
 
     /// Two with room that may be sent to, wherever they are.
     pub(crate) fn anywhere(
         &mut self,
-        reach: Reach,
-        held: &Held,
-        view: &View,
+        reach: CandidateScope,
+        held: &PendingRequest,
+        view: &SelectionContext,
         may: impl Fn(&Candidate) -> bool,
     ) -> Option<[Candidate; 2]> {
         let mut healthy = false;
@@ -572,13 +593,13 @@
     /// The first two that are wanted, in a random order; the one there is, twice, where there is only one.
     pub(crate) fn two(
         &mut self,
-        reach: Reach,
-        held: &Held,
-        view: &View,
+        reach: CandidateScope,
+        held: &PendingRequest,
+        view: &SelectionContext,
         all: bool,
         mut wanted: impl FnMut(&Candidate) -> bool,
     ) -> Option<[Candidate; 2]> {
-        let mut looks = Looks::new(&self.upstreams, reach, all);
+        let mut looks = CandidateSampler::new(&self.upstreams, reach, all);
         let mut first = None;
         for _ in 0..LOOKS {
             let Some(slot) = looks.next(&mut self.upstreams, &mut self.rng) else { break };
@@ -592,11 +613,15 @@
     }
 
     /// The share of the servers within reach that a pair is drawn from. Only asked where one of it is cold.
-    fn odds(&mut self, held: &Held) -> f64 {
-        let Some(reach) = self.reach(held).map(Reach::inside) else { return 1.0 };
+    fn odds(&mut self, held: &PendingRequest) -> f64 {
+        let Some(reach) = self.reach(held).map(CandidateScope::inside) else { return 1.0 };
         let view = self.view(held);
         let whole = self.upstreams.size(reach).1.max(1) as f64;
-        let zone = if reach == Reach::Members { Reach::MembersIn(self.settings.zone) } else { reach };
+        let zone = if reach == CandidateScope::Members {
+            CandidateScope::MembersIn(self.settings.zone)
+        } else {
+            reach
+        };
         let near = if view.near_limit != 0.0 {
             // Where nothing pays for a crossing, the near ones are drawn from as long as one has room.
             let stays = self.stays(held.class);
@@ -609,8 +634,14 @@
     }
 
     /// How many of a group are healthy and wanted, by those that are looked at.
-    fn count(&mut self, reach: Reach, held: &Held, view: &View, wanted: impl Fn(&Candidate) -> bool) -> f64 {
-        let mut looks = Looks::new(&self.upstreams, reach, false);
+    fn count(
+        &mut self,
+        reach: CandidateScope,
+        held: &PendingRequest,
+        view: &SelectionContext,
+        wanted: impl Fn(&Candidate) -> bool,
+    ) -> f64 {
+        let mut looks = CandidateSampler::new(&self.upstreams, reach, false);
         let (mut seen, mut found) = (0.0, 0.0);
         for _ in 0..LOOKS {
             let Some(slot) = looks.next(&mut self.upstreams, &mut self.rng) else { break };
@@ -648,7 +679,7 @@
     fn send(&mut self, request: RequestId, to: Candidate, out: &mut Vec<Action>) {
         let Some(held) = self.requests.get(&request) else { return };
         let left = (held.deadline - self.now).max(0.0);
-        let first = Evidence { wait: to.wait, failing: to.failing, ..self.no_evidence() };
+        let first = AttemptEvidence { wait: to.wait, failing: to.failing, ..self.no_evidence() };
         let look =
             self.may_go_on(held, held.tries.len() + 1).then(|| self.next_look(held, &first, 0.0)).flatten();
         // Who may not call an attempt off has to know beforehand.
@@ -663,8 +694,8 @@
         let (sent, number) = (self.now, self.next_send);
         let Candidate { depth, wait, zone, .. } = to;
         let enter = |upstream: &mut Upstream| {
-            upstream.enter(number, Outstanding { class, sent, depth, wait });
-            Try::new(to.id, upstream, sent)
+            upstream.enter(number, OutstandingSend { class, sent, depth, wait });
+            Attempt::new(to.id, upstream, sent)
         };
         let Some(this) = self.upstreams.change(to.id, enter) else { return };
         self.next_send += 1;
@@ -676,12 +707,18 @@
             self.watch.set(request, None, held.look_at);
             self.wait_no_more(request, pair);
         }
-        self.tell_sent(Attempt { request, number: attempt, class, to: zone, bend: to.bend.or(held_bend) });
+        self.tell_sent(CrossZoneAttempt {
+            request,
+            number: attempt,
+            class,
+            to: zone,
+            bend: to.bend.or(held_bend),
+        });
         out.push(Action::Send { request, upstream: to.id, timeout });
     }
 
     /// Goes on with the request after an attempt has ended.
-    fn finished(&mut self, end: Finished, out: &mut Vec<Action>) {
+    fn finished(&mut self, end: FinishedAttempt, out: &mut Vec<Action>) {
         let (request, outcome) = (end.request, end.outcome);
         let Some(held) = self.requests.get_mut(&request) else { return };
         let Some(this) = held.tries.get_mut(end.attempt.0 as usize).filter(|t| t.out) else { return };
@@ -697,7 +734,7 @@
             self.seen.throttle.ended(outcome == Outcome::Ok && !late);
         }
         this.may_have_run = outcome.may_have_run();
-        if end.closed || outcome == Outcome::Ok {
+        if end.client_answered || outcome == Outcome::Ok {
             return self.abandoned(request, out);
         }
         let held = held.clone();
@@ -722,8 +759,8 @@
     }
 
     /// Learns from an attempt's end, whether or not its request is still held.
-    fn settle(&mut self, end: Finished, out: &mut Vec<Action>) {
-        let Finished { upstream: id, outcome, latency, .. } = end;
+    fn settle(&mut self, end: FinishedAttempt, out: &mut Vec<Action>) {
+        let FinishedAttempt { upstream: id, outcome, latency, .. } = end;
         let key = (end.request, end.attempt);
         let Some(&(number, _)) = self.sends.get(&key).filter(|(_, to)| *to == id) else { return };
         self.sends.remove(&key);
@@ -777,8 +814,9 @@
     }
 
     /// Counts what a warm server has done of an attempt that has ended.
-    fn carried(&mut self, id: UpstreamId, sent: &Outstanding, outcome: Outcome) {
-        let warm = self.upstreams.get(id).is_some_and(|u| u.warmth(self.now, &self.settings.safety) >= 1.0);
+    fn carried(&mut self, id: UpstreamId, sent: &OutstandingSend, outcome: Outcome) {
+        let warm =
+            self.upstreams.get(id).is_some_and(|u| u.warmth(self.now, &self.settings.slow_start) >= 1.0);
         if warm {
             let answered = f64::from(u8::from(outcome == Outcome::Ok));
             self.seen.carried.ended(self.now, answered * self.seen.service[sent.class.0].time);
@@ -787,10 +825,10 @@
 
     /// An answer tells the class's service time and this server's pace, with the queue taken out; a time-out
     /// tells that the server is at least this slow.
-    fn learn(&mut self, id: UpstreamId, sent: Outstanding, latency: Millis, answered: bool) {
+    fn learn(&mut self, id: UpstreamId, sent: OutstandingSend, latency: Millis, answered: bool) {
         // What a cold server takes longer is no sign of crowding, nor of the speed it will have.
         let Some(server) = self.upstreams.get(id).filter(|_| latency > 0.0) else { return };
-        let (known, warmth) = (self.remembered(server), server.warmth(self.now, &self.settings.safety));
+        let (known, warmth) = (self.remembered(server), server.warmth(self.now, &self.settings.slow_start));
         let kind = server.kind;
         let alone = latency * warmth / sent.depth;
         let service = &mut self.seen.service[sent.class.0];
@@ -877,7 +915,7 @@
     /// Counts an outcome for or against a server.
     fn judge(&mut self, id: UpstreamId, failed: bool, lost: bool, out: &mut Vec<Action>) {
         // Of those that it knows: if more look bad, others are known in their place.
-        let known = self.upstreams.size(Reach::Members).1;
+        let known = self.upstreams.size(CandidateScope::Members).1;
         let may_eject = lost || outlier_ejection::may_eject(self.upstreams.ejected(), known);
         let (peers, luck) = (self.upstreams.failure_rate(), self.rng.rand_float());
         let how = (self.now, peers, may_eject, luck);
@@ -889,20 +927,20 @@
 
     // --- The server list ---------------------------------------------------------------------
 
-    fn listed(&mut self, news: ListNews, out: &mut Vec<Action>) {
-        let must_ask = matches!(news, ListNews::Unavailable | ListNews::Restored(_));
+    fn listed(&mut self, news: ListUpdate, out: &mut Vec<Action>) {
+        let must_ask = matches!(news, ListUpdate::Unavailable | ListUpdate::Restored(_));
         if !must_ask {
             self.discovery_calls.answered();
         }
         match news {
             // Who is missing from a complete list is gone.
-            ListNews::Restored(list) | ListNews::Complete(list) => {
+            ListUpdate::Restored(list) | ListUpdate::Complete(list) => {
                 self.upstreams.begin_list();
                 list.iter().for_each(|entry| self.list(entry));
                 self.upstreams.end_list();
             }
-            ListNews::Changed(list) => list.iter().for_each(|entry| self.list(entry)),
-            ListNews::Unavailable => out.push(Action::Log("server list unavailable".to_owned())),
+            ListUpdate::Changed(list) => list.iter().for_each(|entry| self.list(entry)),
+            ListUpdate::Unavailable => out.push(Action::Log("server list unavailable".to_owned())),
         }
         if self.seen.kinds.len() > KINDS {
             self.seen.kinds.retain(|kind, _| self.upstreams.has_kind(*kind));
@@ -911,7 +949,7 @@
         if must_ask {
             let luck = self.rng.rand_float();
             let at = self.discovery_calls.next_call(self.now, must_ask_in, luck);
-            out.extend(at.map(|at| Action::WakeAt { at, token: 0 }));
+            out.extend(at.map(|at| Action::SetTimer { at, token: 0 }));
         }
     }
 }
--- a/crates/decide/src/check_schedule.rs
+++ b/crates/decide/src/check_schedule.rs
@@ -13,13 +13,13 @@
 
 /// Requests by when they are due; one entry for each request that is held, at most.
 #[derive(Debug, Default)]
-pub(crate) struct Watch {
+pub(crate) struct CheckSchedule {
     due: BTreeSet<(Due, RequestId)>,
     /// When the timer that is set goes off.
     armed: Option<Due>,
 }
 
-impl Watch {
+impl CheckSchedule {
     /// Changes when a request is looked at.
     pub fn set(&mut self, request: RequestId, before: Option<Millis>, at: Option<Millis>) {
         if let Some(before) = before {
@@ -46,7 +46,7 @@
             return;
         };
         self.armed = Some(*due);
-        out.push(Action::WakeAt { at: due.millis(), token: TOKEN });
+        out.push(Action::SetTimer { at: due.millis(), token: TOKEN });
     }
 
     /// How many are watched.
@@ -62,7 +62,7 @@
 
     #[test]
     fn one_timer_serves_all_and_what_ended_is_not_looked_at() {
-        let (mut watch, mut out) = (Watch::default(), Vec::new());
+        let (mut watch, mut out) = (CheckSchedule::default(), Vec::new());
         for id in 1..=9 {
             watch.set(RequestId(id), None, Some(100.0 - id as f64));
             watch.arm(&mut out);
@@ -76,7 +76,7 @@
         watch.woke();
         assert_eq!((watch.next(91.0), watch.next(92.0), watch.next(92.0)), (None, Some(RequestId(8)), None));
         watch.arm(&mut out);
-        assert_eq!(out, [Action::WakeAt { at: 93.0, token: TOKEN }]);
+        assert_eq!(out, [Action::SetTimer { at: 93.0, token: TOKEN }]);
         assert_eq!(watch.len(), 8);
     }
 }
--- a/crates/decide/src/cross_zone.rs
+++ b/crates/decide/src/cross_zone.rs
@@ -10,12 +10,12 @@
 
 use crate::api::*;
 use crate::balancer::Balancer;
-use crate::fleet::Reach;
-use crate::state::{Candidate, Held, View};
+use crate::fleet::CandidateScope;
+use crate::state::{Candidate, PendingRequest, SelectionContext};
 
 /// Why a request crosses although no budget pays for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Bend {
+pub enum BudgetExemption {
     /// No near server takes part: none is listed, or all are ejected.
     Down,
     /// No near server has room: staying means to be refused.
@@ -28,14 +28,20 @@
     Bound,
 }
 
-impl Bend {
+impl BudgetExemption {
     /// All of them, in the order of their numbers.
-    pub const ALL: [Bend; 5] = [Bend::Down, Bend::Full, Bend::Late, Bend::Failing, Bend::Bound];
+    pub const ALL: [BudgetExemption; 5] = [
+        BudgetExemption::Down,
+        BudgetExemption::Full,
+        BudgetExemption::Late,
+        BudgetExemption::Failing,
+        BudgetExemption::Bound,
+    ];
 }
 
 /// What a crossing costs a request now. Both are shares of a request's worth, above 0 and below 1.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Terms {
+pub struct CrossZoneCost {
     /// A request stays near while it loses less than this by it. Grows as the budget is used up.
     pub fee: f64,
     /// Without a budget it stays while it loses less than this, or would win less than this across.
@@ -44,7 +50,7 @@
 
 /// An attempt that goes out.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Attempt {
+pub struct CrossZoneAttempt {
     /// The request.
     pub request: RequestId,
     /// Which of its sends.
@@ -54,7 +60,7 @@
     /// Where it goes.
     pub to: ZoneId,
     /// Why it crosses without a budget; `None` if it stays or a budget pays.
-    pub bend: Option<Bend>,
+    pub bend: Option<BudgetExemption>,
 }
 
 /// A plan for traffic that leaves the sidecar's zone. Its owner may find out which one it is. It has no clock and does no I/O; times only move forward.
@@ -63,16 +69,16 @@
     fn sidecars(&mut self, now: Millis, count: u32);
 
     /// What a crossing costs a request of this class.
-    fn terms(&self, now: Millis, class: ClassId) -> Terms;
+    fn terms(&self, now: Millis, class: ClassId) -> CrossZoneCost;
 
     /// Whether a budget pays for one more crossing, to this zone or (`None`) to any that has no budget of its own.
     fn pays(&self, now: Millis, class: ClassId, to: Option<ZoneId>) -> bool;
 
     /// Whether a request may cross without a budget for this reason.
-    fn bends(&self, why: Bend) -> bool;
+    fn bends(&self, why: BudgetExemption) -> bool;
 
     /// An attempt goes out, near or far.
-    fn sent(&mut self, now: Millis, attempt: Attempt);
+    fn sent(&mut self, now: Millis, attempt: CrossZoneAttempt);
 
     /// It has ended so, with so many bytes of bodies: sent, received.
     fn ended(
@@ -101,7 +107,7 @@
 
 impl Balancer {
     /// Puts a plan for traffic that leaves the zone into force, or takes it away. Without one requests cross as
-    /// [`Settings::crossing_fee`] has it.
+    /// [`Settings::cross_zone_cost`] has it.
     pub fn set_cross_zone(&mut self, plan: Option<Box<dyn CrossZone>>) {
         self.cross = plan;
     }
@@ -112,7 +118,12 @@
     }
 
     /// Two with room, wherever the request may go.
-    pub(crate) fn open(&mut self, reach: Reach, held: &Held, view: &View) -> Option<[Candidate; 2]> {
+    pub(crate) fn open(
+        &mut self,
+        reach: CandidateScope,
+        held: &PendingRequest,
+        view: &SelectionContext,
+    ) -> Option<[Candidate; 2]> {
         // It is asked while servers are looked at, which takes hold of all the rest.
         let Some(plan) = self.cross.take() else { return self.anywhere(reach, held, view, |_| true) };
         let pair = self.under_plan(&*plan, reach, held, view);
@@ -124,15 +135,15 @@
     fn under_plan(
         &mut self,
         plan: &dyn CrossZone,
-        reach: Reach,
-        held: &Held,
-        view: &View,
+        reach: CandidateScope,
+        held: &PendingRequest,
+        view: &SelectionContext,
     ) -> Option<[Candidate; 2]> {
         let (now, class, left) = (self.now, held.class, self.aim_left(held));
         let bend_at = plan.terms(now, class).bend_at;
         let home = match reach {
-            Reach::All => Reach::Zone(self.settings.zone),
-            Reach::Members => Reach::MembersIn(self.settings.zone),
+            CandidateScope::All => CandidateScope::Zone(self.settings.zone),
+            CandidateScope::Members => CandidateScope::MembersIn(self.settings.zone),
             _ => reach,
         };
         if plan.pays(now, class, None) {
@@ -152,11 +163,13 @@
         let least = |[a, b]: &[Candidate; 2]| loss(a, left).min(loss(b, left));
         let why = match &stay {
             Some(pair) if least(pair) <= bend_at => return stay,
-            Some([a, b]) if a.failing.min(b.failing) > bend_at => Bend::Failing,
-            Some(_) => Bend::Late,
-            None if !matches!(reach, Reach::All | Reach::Members) && !near => Bend::Bound,
-            None if healthy => Bend::Full,
-            None => Bend::Down,
+            Some([a, b]) if a.failing.min(b.failing) > bend_at => BudgetExemption::Failing,
+            Some(_) => BudgetExemption::Late,
+            None if !matches!(reach, CandidateScope::All | CandidateScope::Members) && !near => {
+                BudgetExemption::Bound
+            }
+            None if healthy => BudgetExemption::Full,
+            None => BudgetExemption::Down,
         };
         if !plan.bends(why) {
             // Rather one that looks bad than no one.
@@ -176,36 +189,39 @@
 
     /// The better of two warm servers with room, where a pair was cold and neither may be sent more: others may well
     /// have room, near or, where a budget pays or bends, across.
-    pub(crate) fn warm_one(&mut self, held: &Held) -> Option<Candidate> {
+    pub(crate) fn warm_one(&mut self, held: &PendingRequest) -> Option<Candidate> {
         let (reach, view) = (self.reach(held)?.inside(), self.view(held));
         let (now, class, plan) = (self.now, held.class, self.cross.take());
-        let across = |to| plan.as_ref().is_none_or(|p| p.pays(now, class, Some(to)) || p.bends(Bend::Full));
+        let across =
+            |to| plan.as_ref().is_none_or(|p| p.pays(now, class, Some(to)) || p.bends(BudgetExemption::Full));
         let may = |c: &Candidate| c.warmth >= 1.0 && (c.near || across(c.zone));
         let pair = self.anywhere(reach, held, &view, may);
         self.cross = plan;
         let [a, b] = pair?;
         let best = if b.projected < a.projected { b } else { a };
-        Some(Candidate { bend: Some(Bend::Full).filter(|_| !best.near), ..best })
+        Some(Candidate { bend: Some(BudgetExemption::Full).filter(|_| !best.near), ..best })
     }
 
     /// Whether a request may go to a server where all near ones are full.
     pub(crate) fn may_cross(&self, class: ClassId, to: &Candidate) -> bool {
-        let pays = |plan: &dyn CrossZone| plan.pays(self.now, class, Some(to.zone)) || plan.bends(Bend::Full);
+        let pays = |plan: &dyn CrossZone| {
+            plan.pays(self.now, class, Some(to.zone)) || plan.bends(BudgetExemption::Full)
+        };
         to.near || self.cross.as_deref().is_none_or(pays)
     }
 
     /// Whether a server that was drawn before may still be sent this request.
-    pub(crate) fn still_pays(&self, held: &Held, to: &Candidate) -> bool {
+    pub(crate) fn still_pays(&self, held: &PendingRequest, to: &Candidate) -> bool {
         let Some(plan) = self.cross.as_ref().filter(|_| !to.near) else { return true };
         held.bend.is_some() || plan.pays(self.now, held.class, Some(to.zone))
     }
 
     /// Tells the plan of an attempt. Its bend counts only where no budget pays.
-    pub(crate) fn tell_sent(&mut self, attempt: Attempt) {
+    pub(crate) fn tell_sent(&mut self, attempt: CrossZoneAttempt) {
         let (now, home) = (self.now, self.settings.zone);
         let Some(plan) = &mut self.cross else { return };
         let pays = attempt.to == home || plan.pays(now, attempt.class, Some(attempt.to));
-        plan.sent(now, Attempt { bend: attempt.bend.filter(|_| !pays), ..attempt });
+        plan.sent(now, CrossZoneAttempt { bend: attempt.bend.filter(|_| !pays), ..attempt });
     }
 
     /// Tells it of a probe.
--- a/crates/decide/src/estimates.rs
+++ b/crates/decide/src/estimates.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use crate::api::*;
-use crate::attempt_timeout::{Law, Silence};
-use crate::observed_capacity::Carried;
+use crate::attempt_timeout::{LatencyHistogram, UnresponsiveRate};
+use crate::observed_capacity::ObservedCapacity;
 use crate::state::Upstream;
 use crate::throttle::Throttle;
 
@@ -22,7 +22,7 @@
 
 /// What is known of one class, times from answers that met no queue.
 #[derive(Debug, Clone)]
-pub(crate) struct Service {
+pub(crate) struct ClassEstimates {
     /// Running median.
     pub time: Millis,
     pub samples: f64,
@@ -30,12 +30,12 @@
     pub refused: f64,
     /// How long answers are expected to take where its requests go, queues and all, and how long they do take.
     pub wait: Millis,
-    pub law: Law,
+    pub law: LatencyHistogram,
 }
 
-impl Service {
-    pub fn new(time: Millis) -> Service {
-        Service { time, samples: 0.0, refused: 0.0, wait: time, law: Law::default() }
+impl ClassEstimates {
+    pub fn new(time: Millis) -> ClassEstimates {
+        ClassEstimates { time, samples: 0.0, refused: 0.0, wait: time, law: LatencyHistogram::default() }
     }
 
     /// Steps the median towards a sample, at first in larger steps.
@@ -61,7 +61,7 @@
 
 /// What is known of one kind of machine, or of all of them.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Kind {
+pub(crate) struct KindEstimates {
     /// Running means of what its servers report, that of in flight a geometric one; their ratio is κ.
     pub in_flight: f64,
     pub utilisation: f64,
@@ -73,9 +73,9 @@
     pub answers: f64,
 }
 
-impl Default for Kind {
-    fn default() -> Kind {
-        Kind {
+impl Default for KindEstimates {
+    fn default() -> KindEstimates {
+        KindEstimates {
             in_flight: 0.0,
             utilisation: 0.0,
             reports: 0.0,
@@ -86,7 +86,7 @@
     }
 }
 
-impl Kind {
+impl KindEstimates {
     /// Averages in a server's report, the first ones evenly.
     pub fn reported(&mut self, in_flight: f64, utilisation: f64, step: f64) {
         self.reports += 1.0;
@@ -118,19 +118,19 @@
 
 /// What one sidecar has learnt of its surroundings as a whole.
 #[derive(Debug)]
-pub(crate) struct Learnt {
+pub(crate) struct Estimates {
     /// By class.
-    pub service: Vec<Service>,
+    pub service: Vec<ClassEstimates>,
     /// By kind of machine, and of all together.
-    pub kinds: BTreeMap<KindId, Kind>,
-    pub fleet: Kind,
+    pub kinds: BTreeMap<KindId, KindEstimates>,
+    pub fleet: KindEstimates,
     /// Share of the arrivals that no server had room for.
     pub refused: f64,
     pub retry_tokens: f64,
     /// How often servers were silent of late.
-    pub silence: Silence,
+    pub silence: UnresponsiveRate,
     /// What warm servers carry.
-    pub carried: Carried,
+    pub carried: ObservedCapacity,
     /// Room shrinks to this share of the usual while answers are late.
     pub room_scale: f64,
     /// Worth per service time of the mean arrival.
@@ -148,16 +148,16 @@
     pub throttle: Throttle,
 }
 
-impl Learnt {
-    pub fn new(service: Vec<Service>, tenants: usize, retry_tokens: f64) -> Learnt {
-        Learnt {
+impl Estimates {
+    pub fn new(service: Vec<ClassEstimates>, tenants: usize, retry_tokens: f64) -> Estimates {
+        Estimates {
             service,
             kinds: BTreeMap::new(),
-            fleet: Kind::default(),
+            fleet: KindEstimates::default(),
             refused: 0.0,
             retry_tokens,
-            silence: Silence::default(),
-            carried: Carried::default(),
+            silence: UnresponsiveRate::default(),
+            carried: ObservedCapacity::default(),
             room_scale: 1.0,
             usual_density: None,
             tenant_shares: vec![0.0; tenants],
@@ -180,7 +180,7 @@
     pub fn kappa(&self, upstream: &Upstream, known: f64, now: Millis, scale: f64) -> f64 {
         let listed = upstream.weight * self.fleet.kappa().unwrap_or(1.0);
         let of_kind = self.kinds.get(&upstream.kind);
-        let kind = of_kind.and_then(Kind::kappa).unwrap_or(listed);
+        let kind = of_kind.and_then(KindEstimates::kappa).unwrap_or(listed);
         let reports = of_kind.map_or(0.0, |kind| kind.reports);
         let rounds = (reports - upstream.reported_after) / known;
         let trust = upstream.readings / (upstream.readings + KIND_READINGS);
@@ -206,7 +206,7 @@
     /// grown, and whose utilisation, a mean of its own, has yet to follow.
     #[test]
     fn queues_are_not_taken_for_cores() {
-        let mut kind = Kind::default();
+        let mut kind = KindEstimates::default();
         for number in 0..200 {
             let (in_flight, utilisation) = if number % 5 == 0 { (60.0, 0.85) } else { (2.0, 0.7) };
             kind.reported(in_flight, utilisation, 0.02);
@@ -214,7 +214,7 @@
         let kappa = kind.kappa().expect("it was heard of");
         assert!((2.0..8.0).contains(&kappa), "{kappa}: by plain means 19");
         // One that works on many at once is as large as it says.
-        let mut large = Kind::default();
+        let mut large = KindEstimates::default();
         (0..200).for_each(|number| large.reported(30.0 + f64::from(number % 9), 0.5, 0.02));
         assert!((60.0..76.0).contains(&large.kappa().expect("it was heard of")));
     }
--- a/crates/decide/src/fleet.rs
+++ b/crates/decide/src/fleet.rs
@@ -9,15 +9,15 @@
 
 use crate::api::*;
 use crate::observed_capacity::WarmServers;
-use crate::state::{Health, Means, Upstream};
-use crate::subset::Order;
+use crate::state::{FleetMeans, Health, Upstream};
+use crate::subset::ServerRanking;
 
 /// A server's place in memory while it is known.
 pub(crate) type Slot = usize;
 
 /// Whom a request may go to, by what may have run already.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub(crate) enum Reach {
+pub(crate) enum CandidateScope {
     All,
     Zone(ZoneId),
     Cell(CellId),
@@ -26,20 +26,26 @@
     MembersIn(ZoneId),
 }
 
-impl Reach {
+impl CandidateScope {
     /// What of it is in the subset. A cell is few servers, that hold what others do not.
-    pub fn inside(self) -> Reach {
+    pub fn inside(self) -> CandidateScope {
         match self {
-            Reach::All => Reach::Members,
-            Reach::Zone(zone) => Reach::MembersIn(zone),
-            Reach::Cell(_) | Reach::Members | Reach::MembersIn(_) => self,
+            CandidateScope::All => CandidateScope::Members,
+            CandidateScope::Zone(zone) => CandidateScope::MembersIn(zone),
+            CandidateScope::Cell(_) | CandidateScope::Members | CandidateScope::MembersIn(_) => self,
         }
     }
 }
 
 /// The groups that a server can stand in.
-fn groups(zone: ZoneId, cell: CellId) -> [Reach; 5] {
-    [Reach::All, Reach::Zone(zone), Reach::Cell(cell), Reach::Members, Reach::MembersIn(zone)]
+fn groups(zone: ZoneId, cell: CellId) -> [CandidateScope; 5] {
+    [
+        CandidateScope::All,
+        CandidateScope::Zone(zone),
+        CandidateScope::Cell(cell),
+        CandidateScope::Members,
+        CandidateScope::MembersIn(zone),
+    ]
 }
 
 /// So many of them hold servers that are no members, too.
@@ -53,7 +59,7 @@
 
 /// Who is a member while it warms up: how a server stands for this sidecar.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Standing {
+pub(crate) enum WarmUpStatus {
     /// It takes what it is sent.
     Warm,
     /// Its zone is out.
@@ -136,7 +142,7 @@
 /// All known servers.
 #[derive(Debug)]
 pub(crate) struct Fleet {
-    order: Order,
+    order: ServerRanking,
     /// The zone that is cheap to reach, where it matters.
     home: Option<ZoneId>,
     /// Those that serve, in the order in which they are taken in: at home, and elsewhere.
@@ -149,7 +155,7 @@
     free: Vec<Slot>,
     /// Never walked, so that the order of a hash decides nothing. Ids are the caller's own numbers, not outsiders'.
     by_id: FxHashMap<UpstreamId, Slot>,
-    groups: FxHashMap<Reach, Group>,
+    groups: FxHashMap<CandidateScope, Group>,
     heard_until: BTreeSet<(Due, Slot)>,
     trials: BTreeSet<(Due, Slot)>,
     serving: usize,
@@ -166,7 +172,7 @@
 
 impl Fleet {
     /// No server is known yet. Where crossing has a fee, most members are of the zone that is home.
-    pub fn new(order: Order, home: Option<ZoneId>) -> Fleet {
+    pub fn new(order: ServerRanking, home: Option<ZoneId>) -> Fleet {
         Fleet {
             order,
             home,
@@ -203,7 +209,7 @@
         &mut self,
         wanted: usize,
         now: Millis,
-        standing: impl Fn(UpstreamId, &Upstream) -> Standing,
+        standing: impl Fn(UpstreamId, &Upstream) -> WarmUpStatus,
     ) {
         (self.changed, self.told_for, self.review_at) = (false, wanted, f64::INFINITY);
         // What there is too little of at home is made up for elsewhere.
@@ -216,13 +222,13 @@
             for &(_, slot) in &order {
                 let Some(entry) = self.entries.get_mut(slot).and_then(Option::as_mut) else { continue };
                 let member = match standing(entry.id, &entry.server) {
-                    Standing::Cold { ours } => {
+                    WarmUpStatus::Cold { ours } => {
                         self.review_at = now + REVIEW;
                         cold.push(slot);
                         ours
                     }
-                    Standing::Out => left > 0,
-                    Standing::Warm => {
+                    WarmUpStatus::Out => left > 0,
+                    WarmUpStatus::Warm => {
                         let before = left > 0;
                         left -= usize::from(before && entry.server.health == Health::Ready);
                         before
@@ -297,15 +303,15 @@
     }
 
     /// Means over those that were heard of late: geometric, so that they tell what a server is likely to hold.
-    pub fn means(&self) -> Means {
+    pub fn means(&self) -> FleetMeans {
         let mean = if self.heard > 0 { self.others / self.heard as f64 } else { 0.0 };
-        Means { in_flight: mean.max(0.0).exp_m1() }
+        FleetMeans { in_flight: mean.max(0.0).exp_m1() }
     }
 
     /// How many servers of a kind this sidecar hears from, as far as members are spread as all are.
     pub fn known_of(&self, kind: KindId) -> f64 {
         let of_kind = self.kinds.get(&kind).copied().unwrap_or(0) as f64;
-        let members = self.size(Reach::Members).1 as f64;
+        let members = self.size(CandidateScope::Members).1 as f64;
         (of_kind * members / self.serving.max(1) as f64).max(1.0)
     }
 
@@ -314,7 +320,7 @@
     }
 
     /// All servers that take part and have warmed up, members or not.
-    pub fn warm_servers(&self, now: Millis, safety: &Safety) -> WarmServers {
+    pub fn warm_servers(&self, now: Millis, safety: &SlowStartLimits) -> WarmServers {
         let serving = self.entries.iter().flatten().filter(|entry| entry.server.serving);
         let ready = serving.filter(|entry| entry.server.health == Health::Ready);
         let warm = ready.filter(|entry| entry.server.warmth(now, safety) >= 1.0);
@@ -330,7 +336,7 @@
     }
 
     /// How many can be drawn from within a reach: that take part, and in all.
-    pub fn size(&self, reach: Reach) -> (usize, usize) {
+    pub fn size(&self, reach: CandidateScope) -> (usize, usize) {
         let group = self.groups.get(&reach);
         group.map_or((0, 0), |group| (group.ready.len(), group.ready.len() + group.out.len()))
     }
@@ -552,8 +558,8 @@
 }
 
 /// Looks at the members of a group in random order, each at most once.
-pub(crate) struct Looks {
-    reach: Reach,
+pub(crate) struct CandidateSampler {
+    reach: CandidateScope,
     /// Whether at the ejected as well.
     all: bool,
     next: usize,
@@ -562,11 +568,11 @@
     moved: Vec<(usize, usize)>,
 }
 
-impl Looks {
+impl CandidateSampler {
     /// At so many at most.
-    pub fn new(fleet: &Fleet, reach: Reach, all: bool) -> Looks {
+    pub fn new(fleet: &Fleet, reach: CandidateScope, all: bool) -> CandidateSampler {
         let (ready, both) = fleet.size(reach);
-        Looks { reach, all, next: 0, size: if all { both } else { ready }, moved: Vec::new() }
+        CandidateSampler { reach, all, next: 0, size: if all { both } else { ready }, moved: Vec::new() }
     }
 
     /// The next member.
@@ -593,10 +599,10 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::state::Outstanding;
+    use crate::state::OutstandingSend;
 
     fn listing(id: u64, rng: &mut Rand64) -> Listing {
-        let lifecycle = if rng.rand_range(0..4) == 0 { Lifecycle::Leaving } else { Lifecycle::Serving };
+        let lifecycle = if rng.rand_range(0..4) == 0 { Lifecycle::Draining } else { Lifecycle::Serving };
         Listing {
             upstream: UpstreamId(id),
             zone: ZoneId(rng.rand_range(0..3)),
@@ -622,16 +628,20 @@
         assert!((fleet.others - heard().map(|entry| others(&entry.server)).sum::<f64>()).abs() < 1e-6);
         assert!((fleet.failure_rates - serving().map(|e| e.server.failure_rate).sum::<f64>()).abs() < 1e-6);
         assert_eq!(fleet.kinds.values().sum::<usize>(), all().count());
-        assert_eq!(fleet.size(Reach::All).1, serving().count());
-        let zones: usize = (0..3).map(|zone| fleet.size(Reach::Zone(ZoneId(zone))).1).sum();
-        let cells: usize = (0..9).map(|cell| fleet.size(Reach::Cell(CellId(cell))).1).sum();
+        assert_eq!(fleet.size(CandidateScope::All).1, serving().count());
+        let zones: usize = (0..3).map(|zone| fleet.size(CandidateScope::Zone(ZoneId(zone))).1).sum();
+        let cells: usize = (0..9).map(|cell| fleet.size(CandidateScope::Cell(CellId(cell))).1).sum();
         assert_eq!((zones, cells), (serving().count(), serving().count()));
         for (slot, entry) in fleet.entries.iter().enumerate() {
             let Some(entry) = entry.as_ref().filter(|entry| entry.server.serving) else { continue };
             let side =
                 |group: &Group, ready: bool| if ready { group.ready.clone() } else { group.out.clone() };
             let ready = entry.server.health == Health::Ready || entry.server.on_trial;
-            for reach in [Reach::All, Reach::Zone(entry.server.zone), Reach::Cell(entry.server.cell)] {
+            for reach in [
+                CandidateScope::All,
+                CandidateScope::Zone(entry.server.zone),
+                CandidateScope::Cell(entry.server.cell),
+            ] {
                 let group = &fleet.groups[&reach];
                 assert!(side(group, ready).contains(&slot) && !side(group, !ready).contains(&slot));
             }
@@ -643,7 +653,7 @@
     fn check_members(fleet: &Fleet, wanted: usize, now: Millis) {
         let serving = || fleet.entries.iter().flatten().filter(|entry| entry.server.serving);
         let members: Vec<&Entry> = serving().filter(|entry| entry.member).collect();
-        assert_eq!(fleet.size(Reach::Members).1, members.len());
+        assert_eq!(fleet.size(CandidateScope::Members).1, members.len());
         assert!(members.is_empty() == (serving().count() == 0), "empty while anything is there");
         let ready = |entry: &&&Entry| entry.server.health == Health::Ready && entry.server.started.is_none();
         let (ready, all_ready) =
@@ -659,8 +669,8 @@
     #[test]
     fn what_is_kept_is_what_a_walk_would_tell() {
         for (identity, home) in [
-            (Identity::Nobody, None),
-            (Identity::Ranked { rank: 4, of: 9 }, None),
+            (Identity::Anonymous, None),
+            (Identity::Ranked { rank: 4, count: 9 }, None),
             (Identity::Named(77), Some(ZoneId(1))),
         ] {
             walk(identity, home);
@@ -669,7 +679,7 @@
 
     fn walk(identity: Identity, home: Option<ZoneId>) {
         let mut rng = Rand64::new(3);
-        let order = Order::new(identity);
+        let order = ServerRanking::new(identity);
         let (mut fleet, mut now, mut number) = (Fleet::new(order, home), 0.0, 0);
         for round in 0..20_000 {
             now += rng.rand_float() * 40.0;
@@ -684,7 +694,7 @@
                 }
                 3 | 4 => {
                     number += 1;
-                    let sent = Outstanding { class: ClassId(0), sent: now, depth: 1.0, wait: 1.0 };
+                    let sent = OutstandingSend { class: ClassId(0), sent: now, depth: 1.0, wait: 1.0 };
                     let serving = fleet.get(id).is_some_and(|server| server.serving);
                     if serving {
                         fleet.change(id, |server| server.enter(number, sent));
@@ -721,8 +731,8 @@
             if round % 5 == 0 && !order.is_whole() {
                 let wanted = rng.rand_range(1..30) as usize;
                 let standing = |_, server: &Upstream| match server.started {
-                    Some(_) => Standing::Cold { ours: order.is_among(3, 9, server.key) },
-                    None => Standing::Warm,
+                    Some(_) => WarmUpStatus::Cold { ours: order.is_among(3, 9, server.key) },
+                    None => WarmUpStatus::Warm,
                 };
                 fleet.settle(wanted, now, standing);
                 assert!(fleet.is_settled(wanted, now));
@@ -736,14 +746,14 @@
     #[test]
     fn looks_meet_each_member_once_and_all_orders_alike() {
         let mut rng = Rand64::new(5);
-        let mut fleet = Fleet::new(Order::new(Identity::Nobody), None);
+        let mut fleet = Fleet::new(ServerRanking::new(Identity::Anonymous), None);
         for id in 0..4 {
             fleet.list(&Listing { lifecycle: Lifecycle::Serving, started: None, ..listing(id, &mut rng) });
         }
         fleet.change(UpstreamId(3), |server| server.health = Health::Ejected { until: 1e9, wait: 1.0 });
         let mut first = [0; 4];
         for _ in 0..9_000 {
-            let mut looks = Looks::new(&fleet, Reach::All, false);
+            let mut looks = CandidateSampler::new(&fleet, CandidateScope::All, false);
             let mut met = Vec::new();
             while let Some(slot) = looks.next(&mut fleet, &mut rng) {
                 met.push(slot);
@@ -753,7 +763,7 @@
             assert_eq!(met, [0, 1, 2], "the ejected one is not met");
         }
         assert!(first[..3].iter().all(|count| (2_800..3_200).contains(count)), "{first:?}");
-        let mut looks = Looks::new(&fleet, Reach::All, true);
+        let mut looks = CandidateSampler::new(&fleet, CandidateScope::All, true);
         assert_eq!(std::iter::from_fn(|| looks.next(&mut fleet, &mut rng)).count(), 4);
     }
 }
--- a/crates/decide/src/latency_outlier.rs
+++ b/crates/decide/src/latency_outlier.rs
@@ -2,8 +2,8 @@
 
 use crate::Balancer;
 use crate::api::*;
-use crate::attempt_timeout::Evidence;
-use crate::state::{Candidate, Held, Outstanding, Upstream};
+use crate::attempt_timeout::AttemptEvidence;
+use crate::state::{Candidate, OutstandingSend, PendingRequest, Upstream};
 
 /// Time left to the aim when another attempt is tried, where that is set beforehand, in service times.
 const RETRY_ROOM: f64 = 1.5;
@@ -21,33 +21,46 @@
 
 impl Balancer {
     /// Long enough for this attempt, short enough for another to make the aim.
-    pub(crate) fn timeout(&self, held: &Held, to: Candidate) -> Millis {
+    pub(crate) fn timeout(&self, held: &PendingRequest, to: Candidate) -> Millis {
         let spare = self.aim_left(held) - RETRY_ROOM * self.seen.service[held.class.0].time;
         spare.max(MUTE * self.seen.silence.crowd() * to.wait)
     }
 
-    pub(crate) fn no_evidence(&self) -> Evidence {
+    pub(crate) fn no_evidence(&self) -> AttemptEvidence {
         let (silence, crowd) = (self.seen.silence.share(), self.seen.silence.crowd());
-        Evidence { wait: 1.0, others: 1.0, silence, failing: 0.0, crowd, answers: false, no_probe: false }
+        AttemptEvidence {
+            wait: 1.0,
+            others: 1.0,
+            silence,
+            failing: 0.0,
+            crowd,
+            answers: false,
+            no_probe: false,
+        }
     }
 
     /// Whether there may be another attempt after so many, somewhere else.
-    pub(crate) fn may_go_on(&self, held: &Held, attempts: usize) -> bool {
+    pub(crate) fn may_go_on(&self, held: &PendingRequest, attempts: usize) -> bool {
         let class = &self.settings.classes[held.class.0];
         (attempts as u32) < self.settings.limits.max_attempts
-            && class.effect != Effect::Once
+            && class.effect != Effect::NonIdempotent
             && self.seen.retry_tokens >= 1.0
             && self.reach(held).is_some_and(|reach| self.upstreams.size(reach).1 > 1)
     }
 
     /// What giving up an attempt of a request has to win.
-    fn cost(&self, held: &Held) -> f64 {
-        let keyed = matches!(self.settings.classes[held.class.0].effect, Effect::ByKey { .. });
-        self.settings.attempt_fee + if keyed { KEYED_COST } else { 0.0 }
+    fn cost(&self, held: &PendingRequest) -> f64 {
+        let keyed = matches!(self.settings.classes[held.class.0].effect, Effect::IdempotentByKey { .. });
+        self.settings.attempt_cost + if keyed { KEYED_COST } else { 0.0 }
     }
 
     /// When to look at an attempt that has been out for so long, counted from its start.
-    pub(crate) fn next_look(&self, held: &Held, known: &Evidence, out: Millis) -> Option<Millis> {
+    pub(crate) fn next_look(
+        &self,
+        held: &PendingRequest,
+        known: &AttemptEvidence,
+        out: Millis,
+    ) -> Option<Millis> {
         let class = &self.seen.service[held.class.0];
         let until = out + self.aim_left(held);
         let gains = known.look_at(&class.law, out, until, class.wait, self.cost(held));
@@ -86,15 +99,20 @@
     }
 
     /// What is known of an attempt that is out, and for how long it has been.
-    fn evidence(&self, request: RequestId, attempt: AttemptNo) -> Option<(Evidence, Millis)> {
+    fn evidence(&self, request: RequestId, attempt: AttemptNo) -> Option<(AttemptEvidence, Millis)> {
         let &(number, id) = self.sends.get(&(request, attempt))?;
         let upstream = self.upstreams.get(id)?;
         let this = upstream.outstanding.get(number)?;
         Some((self.evidence_of(upstream, number, &this), self.now - this.sent))
     }
 
-    pub(crate) fn evidence_of(&self, upstream: &Upstream, number: u64, this: &Outstanding) -> Evidence {
-        let longer = |sent: &Outstanding| {
+    pub(crate) fn evidence_of(
+        &self,
+        upstream: &Upstream,
+        number: u64,
+        this: &OutstandingSend,
+    ) -> AttemptEvidence {
+        let longer = |sent: &OutstandingSend| {
             self.seen.service[sent.class.0].law.longer((self.now - sent.sent) / sent.wait)
         };
         // A server answers as many at once as it has cores: of those that wait, so many tell for themselves.
@@ -107,7 +125,7 @@
         others.sort_by(f64::total_cmp);
         let others = others.iter().take((kappa as usize).saturating_sub(1)).product();
         // A queue that it has told of since explains what was not foreseen.
-        let warmth = upstream.warmth(self.now, &self.settings.safety);
+        let warmth = upstream.warmth(self.now, &self.settings.slow_start);
         let queue = (upstream.reported + 1.0) / kappa;
         let told = (upstream.reported_at > this.sent && self.seen.believes()).then_some(queue.max(1.0));
         let now = told.map_or(0.0, |depth| {
@@ -115,7 +133,7 @@
         });
         let late =
             |sent: Millis| self.seen.probe_time.is_some_and(|time| self.now - sent > UNANSWERED * time);
-        Evidence {
+        AttemptEvidence {
             wait: this.wait.max(now),
             others,
             failing: upstream.failure_rate,
--- a/crates/decide/src/observed_capacity.rs
+++ b/crates/decide/src/observed_capacity.rs
@@ -29,7 +29,7 @@
 
 /// The work that warm servers have done for this sidecar of late.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Carried {
+pub(crate) struct ObservedCapacity {
     /// Milliseconds of work that was answered, and how many attempts ended, faded as of then.
     answered: Millis,
     ended: f64,
@@ -38,14 +38,14 @@
     reviewed_at: Millis,
 }
 
-impl Default for Carried {
-    fn default() -> Carried {
+impl Default for ObservedCapacity {
+    fn default() -> ObservedCapacity {
         let warm = WarmServers { weight: 0.0, utilisation: 1.0 };
-        Carried { answered: 0.0, ended: 0.0, at: 0.0, warm, reviewed_at: f64::NEG_INFINITY }
+        ObservedCapacity { answered: 0.0, ended: 0.0, at: 0.0, warm, reviewed_at: f64::NEG_INFINITY }
     }
 }
 
-impl Carried {
+impl ObservedCapacity {
     /// An attempt at a warm server has ended, with so much work answered.
     pub fn ended(&mut self, now: Millis, work: Millis) {
         let kept = self.kept(now);
--- a/crates/decide/src/probe_budget.rs
+++ b/crates/decide/src/probe_budget.rs
@@ -8,19 +8,19 @@
 
 /// What has been paid in and not spent, in probes.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Purse {
+pub(crate) struct ProbeBudget {
     earned: f64,
     most: f64,
     saved: f64,
 }
 
-impl Purse {
+impl ProbeBudget {
     /// One for probes that cost such a share of a mean request's worth. It starts half full: who knows nothing yet gains
     /// most by asking.
-    pub fn new(fee: f64) -> Purse {
+    pub fn new(fee: f64) -> ProbeBudget {
         let earned = if fee > 0.0 { SPEND / fee } else { f64::INFINITY };
         let most = SAVED * earned.max(1.0);
-        Purse { earned, most, saved: most / 2.0 }
+        ProbeBudget { earned, most, saved: most / 2.0 }
     }
 
     /// A request has come.
@@ -45,7 +45,7 @@
 
     /// Probes for so many requests that want two each.
     fn probes(fee: f64, requests: usize) -> usize {
-        let mut purse = Purse::new(fee);
+        let mut purse = ProbeBudget::new(fee);
         let mut sent = 0;
         for _ in 0..requests {
             purse.arrived();
--- a/crates/decide/src/query.rs
+++ b/crates/decide/src/query.rs
@@ -2,12 +2,12 @@
 
 use crate::Balancer;
 use crate::api::UpstreamId;
-use crate::fleet::Reach;
+use crate::fleet::CandidateScope;
 
 impl Balancer {
     /// How many serving servers take no part in the draw now, for their failures.
     pub fn avoided(&self) -> usize {
-        let (ready, all) = self.upstreams.size(Reach::All);
+        let (ready, all) = self.upstreams.size(CandidateScope::All);
         all - ready
     }
 
--- a/crates/decide/src/reports.rs
+++ b/crates/decide/src/reports.rs
@@ -1,7 +1,7 @@
 //! What a server's own report of its load tells: its capacity κ from in flight and utilisation, and that of its kind.
 
 use crate::api::*;
-use crate::estimates::Learnt;
+use crate::estimates::Estimates;
 use crate::state::Upstream;
 
 /// In-flight is averaged over about this time, as servers average their utilisation.
@@ -71,7 +71,7 @@
 }
 
 /// Learns what servers of its kind, and all of them, are like.
-pub(crate) fn learn_kind(seen: &mut Learnt, kind: KindId, in_flight: f64, utilisation: f64) {
+pub(crate) fn learn_kind(seen: &mut Estimates, kind: KindId, in_flight: f64, utilisation: f64) {
     if (UTILISATION_FLOOR..SATURATED).contains(&utilisation) {
         seen.kinds.entry(kind).or_default().reported(in_flight, utilisation, SMOOTH_ALL);
         seen.fleet.reported(in_flight, utilisation, SMOOTH_ALL);
--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -164,25 +164,25 @@
             sidecars: self.peers_total,
             identity: match (self.rank, self.named) {
                 (_, Some(name)) => Identity::Named(name),
-                (Some(rank), None) => Identity::Ranked { rank, of: self.peers_total },
-                (None, None) => Identity::Nobody,
+                (Some(rank), None) => Identity::Ranked { rank, count: self.peers_total },
+                (None, None) => Identity::Anonymous,
             },
-            crossing_fee: self.fees.get("cross_zone").copied().unwrap_or(0.0),
-            probe_fee: self.fees.get("probe").copied().unwrap_or(0.0),
-            attempt_fee: ["waste", "handshake"].iter().filter_map(|fee| self.fees.get(*fee)).sum(),
+            cross_zone_cost: self.fees.get("cross_zone").copied().unwrap_or(0.0),
+            probe_cost: self.fees.get("probe").copied().unwrap_or(0.0),
+            attempt_cost: ["waste", "handshake"].iter().filter_map(|fee| self.fees.get(*fee)).sum(),
             limits: Limits {
                 max_attempts: self.allowed.max_attempts,
-                duplicates: self.allowed.may_duplicate,
+                allow_parallel_attempts: self.allowed.may_duplicate,
                 probes: self.allowed.probes,
                 cancel: self.allowed.cancel,
                 max_retry_after: if self.allowed.retry_after { self.allowed.max_retry_after } else { 0.0 },
                 tick: self.period,
             },
-            safety: Safety {
-                cold_share: self.invariants.cold_share,
+            slow_start: SlowStartLimits {
+                initial_capacity_share: self.invariants.cold_share,
                 warm_up: self.invariants.warm_up,
-                fall_multiple: self.invariants.fall_multiple,
-                fall: self.invariants.fall,
+                overload_multiple: self.invariants.fall_multiple,
+                overload_window: self.invariants.fall,
             },
             discovery: match self.membership_mode {
                 Membership::Automatic => Discovery::Pushed,
@@ -325,18 +325,18 @@
 impl WireClass {
     fn class(&self) -> Class {
         let scope = match self.dedup_scope {
-            WireScope::All => Scope::All,
-            WireScope::Zone => Scope::Zone,
-            WireScope::Cell => Scope::Cell,
+            WireScope::All => KeyScope::All,
+            WireScope::Zone => KeyScope::Zone,
+            WireScope::Cell => KeyScope::Cell,
         };
         Class {
             aim: self.aim,
             worth: self.importance,
             late_worth: self.late_worth,
             effect: match self.effect {
-                WireEffect::Repeatable => Effect::Repeatable,
-                WireEffect::ByKey => Effect::ByKey { scope, window: self.window },
-                WireEffect::Once => Effect::Once,
+                WireEffect::Repeatable => Effect::Idempotent,
+                WireEffect::ByKey => Effect::IdempotentByKey { scope, window: self.window },
+                WireEffect::Once => Effect::NonIdempotent,
             },
         }
     }
--- a/crates/decide/src/slow_start.rs
+++ b/crates/decide/src/slow_start.rs
@@ -4,9 +4,9 @@
 
 use crate::Balancer;
 use crate::api::*;
-use crate::cross_zone::Bend;
-use crate::fleet::{Looks, Reach, Standing};
-use crate::state::{Candidate, Held, Upstream};
+use crate::cross_zone::BudgetExemption;
+use crate::fleet::{CandidateSampler, CandidateScope, WarmUpStatus};
+use crate::state::{Candidate, PendingRequest, Upstream};
 
 /// All sidecars together send it work at this share of its allowance, however many requests come,
 const COLD_RATE: f64 = 0.4;
@@ -35,8 +35,8 @@
 impl Balancer {
     /// What all sidecars together may send a server while it is cold, in cores.
     fn allowance(&self, upstream: &Upstream) -> f64 {
-        let safety = &self.settings.safety;
-        safety.fall_multiple * upstream.warmth(self.now, safety) * self.cold_capacity(upstream)
+        let safety = &self.settings.slow_start;
+        safety.overload_multiple * upstream.warmth(self.now, safety) * self.cold_capacity(upstream)
     }
 
     /// The capacity that a cold server will have, in cores: what its reports and those of its kind say, but no more than lets
@@ -49,22 +49,22 @@
     }
 
     /// How a server stands for this sidecar.
-    pub(crate) fn standing(&self, server: &Upstream) -> Standing {
+    pub(crate) fn standing(&self, server: &Upstream) -> WarmUpStatus {
         if self.outages.is_out(server.zone) {
-            return Standing::Out;
+            return WarmUpStatus::Out;
         }
-        if server.warmth(self.now, &self.settings.safety) >= 1.0 {
-            return Standing::Warm;
+        if server.warmth(self.now, &self.settings.slow_start) >= 1.0 {
+            return WarmUpStatus::Warm;
         }
         let owners = self.owners(server);
-        Standing::Cold { ours: self.order.is_among(owners, self.settings.sidecars, server.key) }
+        WarmUpStatus::Cold { ours: self.order.is_among(owners, self.settings.sidecars, server.key) }
     }
 
     /// How many sidecars share a cold server's allowance: so few that a part of it comes to whole requests.
     fn owners(&self, upstream: &Upstream) -> u32 {
         let classes = &self.seen.service;
         let mean = classes.iter().map(|class| class.time).sum::<f64>() / classes.len().max(1) as f64;
-        let saved = COLD_SAVED * self.allowance(upstream) * self.settings.safety.fall;
+        let saved = COLD_SAVED * self.allowance(upstream) * self.settings.slow_start.overload_window;
         let whole = (saved / mean.max(1.0)).max(f64::from(OWNERS)).min(f64::from(u32::MAX >> 1));
         // In steps that all take alike, however differently they estimate.
         (1 << (whole as u32).ilog2()).min(self.settings.sidecars.max(1))
@@ -78,20 +78,21 @@
             return None;
         }
         let sharers = match self.settings.identity {
-            Identity::Nobody => sidecars,
+            Identity::Anonymous => sidecars,
             // One that others own is known only where hardly anything is warm, and then perhaps to all.
             _ if !self.order.is_among(self.owners(upstream), self.settings.sidecars, upstream.key) => {
                 2.0 * sidecars
             }
             // In an upgrade there are two of each.
-            Identity::Ranked { of, .. } => {
-                self.order.at_most(self.owners(upstream)).min(sidecars) * (sidecars / f64::from(of)).max(1.0)
+            Identity::Ranked { count, .. } => {
+                self.order.at_most(self.owners(upstream)).min(sidecars)
+                    * (sidecars / f64::from(count)).max(1.0)
             }
             Identity::Named(_) => self.order.at_most(self.owners(upstream)).min(sidecars),
         };
         let (allowance, cost) =
             (self.allowance(upstream) / sharers, self.seen.service[class.0].time.max(1.0));
-        let saved = COLD_SAVED * allowance * self.settings.safety.fall;
+        let saved = COLD_SAVED * allowance * self.settings.slow_start.overload_window;
         Some(Part { rate: COLD_RATE * allowance, saved, cost })
     }
 
@@ -115,12 +116,12 @@
     /// A cold server with room that may be sent one more, where neither of a pair may and no warm one has room: near
     /// ones first where crossing has a fee, in random order. Only where parts come to whole requests: what is counted
     /// keeps to the allowance however many come, what is left to chance does not.
-    pub(crate) fn cold_one(&mut self, held: &Held) -> Option<Candidate> {
+    pub(crate) fn cold_one(&mut self, held: &PendingRequest) -> Option<Candidate> {
         let (reach, view) = (self.reach(held)?.inside(), self.view(held));
-        let home = Reach::MembersIn(self.settings.zone);
-        let near = (reach == Reach::Members && view.near_limit != 0.0).then_some(home);
+        let home = CandidateScope::MembersIn(self.settings.zone);
+        let near = (reach == CandidateScope::Members && view.near_limit != 0.0).then_some(home);
         for reach in near.into_iter().chain([reach]) {
-            let mut looks = Looks::new(&self.upstreams, reach, false);
+            let mut looks = CandidateSampler::new(&self.upstreams, reach, false);
             for _ in 0..ASKED {
                 let Some(slot) = looks.next(&mut self.upstreams, &mut self.rng) else { break };
                 let found = self.look(slot, held, &view);
@@ -129,7 +130,10 @@
                 };
                 let counted = self.part(&cold, held.class).is_some_and(|part| part.is_whole());
                 if counted && self.may_cross(held.class, &cold) && self.affords(&cold, held.class, 1.0) {
-                    return Some(Candidate { bend: Some(Bend::Full).filter(|_| !cold.near), ..cold });
+                    return Some(Candidate {
+                        bend: Some(BudgetExemption::Full).filter(|_| !cold.near),
+                        ..cold
+                    });
                 }
             }
         }
--- a/crates/decide/src/snapshot.rs
+++ b/crates/decide/src/snapshot.rs
@@ -10,7 +10,7 @@
 
 use crate::Balancer;
 use crate::api::*;
-use crate::estimates::{Kind, Service};
+use crate::estimates::{ClassEstimates, KindEstimates};
 use crate::state::{Health, Upstream};
 
 /// More servers than any site has.
@@ -22,16 +22,16 @@
 
 /// What was learnt.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Memory {
+pub struct Snapshot {
     /// Of each server.
-    pub servers: Vec<(u64, ServerMemory)>,
+    pub servers: Vec<(u64, ServerSnapshot)>,
     /// Of all.
-    pub all: Common,
+    pub all: SharedSnapshot,
 }
 
 /// What was learnt of one server.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct ServerMemory {
+pub struct ServerSnapshot {
     kappa: Option<f64>,
     mean_in_flight: f64,
     utilisation: Option<f64>,
@@ -50,12 +50,12 @@
 
 /// What was learnt of all servers and all arrivals.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Common {
+pub struct SharedSnapshot {
     /// By class: service time, samples, share refused.
     classes: Vec<(Millis, f64, f64)>,
     /// By kind of machine.
-    kinds: Vec<(u64, KindMemory)>,
-    fleet: KindMemory,
+    kinds: Vec<(u64, KindSnapshot)>,
+    fleet: KindSnapshot,
     refused: f64,
     retry_tokens: f64,
     room_scale: f64,
@@ -69,7 +69,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-struct KindMemory {
+struct KindSnapshot {
     in_flight: f64,
     utilisation: f64,
     reports: f64,
@@ -79,7 +79,7 @@
 
 /// Why a memory is not believed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Fault {
+pub enum SnapshotError {
     /// It is of other classes or tenants.
     Other,
     /// It has more entries than there may be.
@@ -88,17 +88,17 @@
     Absurd(&'static str),
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for SnapshotError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Fault::Other => write!(f, "it is of other classes or tenants"),
-            Fault::Long => write!(f, "it has more entries than there may be"),
-            Fault::Absurd(what) => write!(f, "its {what} is absurd"),
+            SnapshotError::Other => write!(f, "it is of other classes or tenants"),
+            SnapshotError::Long => write!(f, "it has more entries than there may be"),
+            SnapshotError::Absurd(what) => write!(f, "its {what} is absurd"),
         }
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for SnapshotError {}
 
 fn share(value: f64) -> bool {
     (0.0..=1.0).contains(&value)
@@ -116,16 +116,16 @@
     value.is_none_or(sound)
 }
 
-fn check(sound: bool, what: &'static str) -> Result<(), Fault> {
-    if sound { Ok(()) } else { Err(Fault::Absurd(what)) }
+fn check(sound: bool, what: &'static str) -> Result<(), SnapshotError> {
+    if sound { Ok(()) } else { Err(SnapshotError::Absurd(what)) }
 }
 
-impl ServerMemory {
-    fn of(upstream: &Upstream, now: Millis) -> ServerMemory {
+impl ServerSnapshot {
+    fn of(upstream: &Upstream, now: Millis) -> ServerSnapshot {
         let age = |at: Millis| at.is_finite().then(|| (now - at).clamp(0.0, MOST));
         let (since, own) = (upstream.since_counted as f64, upstream.outstanding.len() as f64);
         let bound = |value: f64| value.clamp(0.0, MOST);
-        ServerMemory {
+        ServerSnapshot {
             kappa: upstream.kappa,
             mean_in_flight: bound(upstream.mean_in_flight),
             utilisation: upstream.utilisation.map(bound),
@@ -143,7 +143,7 @@
         }
     }
 
-    fn check(&self) -> Result<(), Fault> {
+    fn check(&self) -> Result<(), SnapshotError> {
         check(optional(self.kappa, positive), "capacity")?;
         check(amount(self.mean_in_flight) && amount(self.in_flight), "load")?;
         check(optional(self.utilisation, amount), "utilisation")?;
@@ -175,34 +175,34 @@
     }
 }
 
-impl KindMemory {
-    fn of(kind: &Kind) -> KindMemory {
-        let Kind { in_flight, utilisation, reports, pace, answers, .. } = *kind;
-        KindMemory { in_flight, utilisation, reports: reports.min(MOST), pace, answers: answers.min(MOST) }
+impl KindSnapshot {
+    fn of(kind: &KindEstimates) -> KindSnapshot {
+        let KindEstimates { in_flight, utilisation, reports, pace, answers, .. } = *kind;
+        KindSnapshot { in_flight, utilisation, reports: reports.min(MOST), pace, answers: answers.min(MOST) }
     }
 
-    fn check(&self) -> Result<(), Fault> {
+    fn check(&self) -> Result<(), SnapshotError> {
         let counted = amount(self.reports) && amount(self.answers);
         let ratio = self.reports == 0.0 || self.utilisation > 0.0;
         check(counted && ratio && amount(self.in_flight) && amount(self.utilisation), "kind of machine")?;
         check(positive(self.pace), "pace of a kind of machine")
     }
 
-    fn kind(&self) -> Kind {
-        let KindMemory { in_flight, utilisation, reports, pace, answers } = *self;
-        Kind { in_flight, utilisation, reports, pace, answers, ..Kind::default() }
+    fn kind(&self) -> KindEstimates {
+        let KindSnapshot { in_flight, utilisation, reports, pace, answers } = *self;
+        KindEstimates { in_flight, utilisation, reports, pace, answers, ..KindEstimates::default() }
     }
 }
 
-impl Memory {
+impl Snapshot {
     /// Tells what is wrong with it, for so many classes and tenants.
-    fn check(&self, classes: usize, tenants: usize) -> Result<(), Fault> {
+    fn check(&self, classes: usize, tenants: usize) -> Result<(), SnapshotError> {
         let all = &self.all;
         if all.classes.len() != classes || all.tenant_shares.len() != tenants {
-            return Err(Fault::Other);
+            return Err(SnapshotError::Other);
         }
         if self.servers.len() > MOST_SERVERS || all.kinds.len() > MOST_KINDS {
-            return Err(Fault::Long);
+            return Err(SnapshotError::Long);
         }
         self.servers.iter().try_for_each(|(_, server)| server.check())?;
         for (time, samples, refused) in &all.classes {
@@ -222,15 +222,15 @@
 
 impl Balancer {
     /// What has been learnt up to now.
-    pub fn memory(&self, now: Millis) -> Memory {
+    pub fn memory(&self, now: Millis) -> Snapshot {
         let (seen, now) = (&self.seen, now.max(self.now));
         let age = |at: Millis| (now - at).clamp(0.0, MOST);
-        Memory {
-            servers: self.upstreams.all().map(|(id, u)| (id.0, ServerMemory::of(u, now))).collect(),
-            all: Common {
+        Snapshot {
+            servers: self.upstreams.all().map(|(id, u)| (id.0, ServerSnapshot::of(u, now))).collect(),
+            all: SharedSnapshot {
                 classes: seen.service.iter().map(|s| (s.time, s.samples.min(MOST), s.refused)).collect(),
-                kinds: seen.kinds.iter().map(|(id, kind)| (id.0, KindMemory::of(kind))).collect(),
-                fleet: KindMemory::of(&seen.fleet),
+                kinds: seen.kinds.iter().map(|(id, kind)| (id.0, KindSnapshot::of(kind))).collect(),
+                fleet: KindSnapshot::of(&seen.fleet),
                 refused: seen.refused,
                 // Two may retry now, as often as one.
                 retry_tokens: (seen.retry_tokens / 2.0).max(0.0),
@@ -249,7 +249,7 @@
     ///
     /// # Errors
     /// It is of other classes or tenants, or a figure in it is absurd: then nothing of it is taken.
-    pub fn remember(&mut self, now: Millis, memory: &Memory) -> Result<(), Fault> {
+    pub fn remember(&mut self, now: Millis, memory: &Snapshot) -> Result<(), SnapshotError> {
         memory.check(self.seen.service.len(), self.seen.tenant_shares.len())?;
         self.now = self.now.max(now);
         let now = self.now;
@@ -257,11 +257,11 @@
             self.upstreams.change(UpstreamId(*id), |upstream| server.restore(upstream, now));
         }
         let (all, seen) = (&memory.all, &mut self.seen);
-        let service = |(time, samples, refused): &(f64, f64, f64)| Service {
+        let service = |(time, samples, refused): &(f64, f64, f64)| ClassEstimates {
             time: *time,
             samples: *samples,
             refused: *refused,
-            ..Service::new(*time)
+            ..ClassEstimates::new(*time)
         };
         seen.service = all.classes.iter().map(service).collect();
         seen.kinds = all.kinds.iter().map(|(id, kind)| (KindId(*id), kind.kind())).collect();
--- a/crates/decide/src/state.rs
+++ b/crates/decide/src/state.rs
@@ -1,12 +1,12 @@
 //! The records that the decision module keeps. Nothing is decided here.
 
 use crate::api::*;
-use crate::cross_zone::Bend;
-use crate::outstanding_sends::Sends;
+use crate::cross_zone::BudgetExemption;
+use crate::outstanding_sends::OutstandingSends;
 
 /// One send of a request.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Try {
+pub(crate) struct Attempt {
     pub upstream: UpstreamId,
     pub zone: ZoneId,
     pub cell: CellId,
@@ -17,10 +17,10 @@
     pub given_up: bool,
 }
 
-impl Try {
+impl Attempt {
     /// A send that has just gone out to this server.
-    pub fn new(id: UpstreamId, to: &Upstream, sent: Millis) -> Try {
-        Try {
+    pub fn new(id: UpstreamId, to: &Upstream, sent: Millis) -> Attempt {
+        Attempt {
             upstream: id,
             zone: to.zone,
             cell: to.cell,
@@ -34,34 +34,45 @@
 
 /// A request that is owed an answer.
 #[derive(Debug, Clone)]
-pub(crate) struct Held {
+pub(crate) struct PendingRequest {
     pub class: ClassId,
     pub tenant: TenantId,
     pub arrived: Millis,
     pub deadline: Millis,
-    pub tries: Vec<Try>,
+    pub tries: Vec<Attempt>,
     /// The pair drawn for it while its probes are out, and how often it was held for one.
     pub pair: Option<[UpstreamId; 2]>,
     /// The share of all candidates that it was drawn from.
     pub odds: f64,
     pub holds: u32,
     /// Why the pair was drawn across without a budget, if it was.
-    pub bend: Option<Bend>,
+    pub bend: Option<BudgetExemption>,
     /// When what is out for it is looked at.
     pub look_at: Option<Millis>,
 }
 
-impl Held {
-    pub fn new(class: ClassId, tenant: TenantId, arrived: Millis, time_left: Millis) -> Held {
+impl PendingRequest {
+    pub fn new(class: ClassId, tenant: TenantId, arrived: Millis, time_left: Millis) -> PendingRequest {
         let deadline = arrived + time_left;
         let (tries, pair, bend) = (Vec::new(), None, None);
-        Held { class, tenant, arrived, deadline, tries, pair, odds: 1.0, holds: 0, bend, look_at: None }
+        PendingRequest {
+            class,
+            tenant,
+            arrived,
+            deadline,
+            tries,
+            pair,
+            odds: 1.0,
+            holds: 0,
+            bend,
+            look_at: None,
+        }
     }
 }
 
 /// One of our sends that a server has not answered.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Outstanding {
+pub(crate) struct OutstandingSend {
     pub class: ClassId,
     pub sent: Millis,
     /// How the server looked then: [`Candidate::depth`] and [`Candidate::wait`].
@@ -102,7 +113,7 @@
     pub probe_sent: Option<Millis>,
     /// By the number of the send. Those from `counted_from` on are not in the last report, those from
     /// `asked_from` on will not be in the next; how many are out of each.
-    pub outstanding: Sends,
+    pub outstanding: OutstandingSends,
     pub counted_from: u64,
     pub asked_from: u64,
     pub since_counted: usize,
@@ -130,7 +141,7 @@
     pub zone: ZoneId,
     pub near: bool,
     /// Why it is drawn across without a budget, if it is.
-    pub bend: Option<Bend>,
+    pub bend: Option<BudgetExemption>,
     /// Its load is not known of late, and may yet be asked for before the request is placed.
     pub unsure: bool,
     /// It has told of its load so lately that this still says something.
@@ -146,9 +157,9 @@
 }
 
 /// What one request sees all servers with.
-pub(crate) struct View {
+pub(crate) struct SelectionContext {
     pub service: Millis,
-    pub means: Means,
+    pub means: FleetMeans,
     pub may_hold: bool,
     /// Servers outside the subset are looked at: of these only what they told themselves counts.
     pub outside: bool,
@@ -161,7 +172,7 @@
     pub failing: f64,
 }
 
-impl View {
+impl SelectionContext {
     pub fn has_room(&self, c: &Candidate) -> bool {
         if self.outside && !c.heard {
             return false;
@@ -177,7 +188,7 @@
 }
 
 /// Means over the known servers, which stand in for what is not known of others.
-pub(crate) struct Means {
+pub(crate) struct FleetMeans {
     /// Of others.
     pub in_flight: f64,
 }
@@ -201,7 +212,7 @@
             is_heard: false,
             heard_until: f64::NEG_INFINITY,
             probe_sent: None,
-            outstanding: Sends::default(),
+            outstanding: OutstandingSends::default(),
             counted_from: 0,
             asked_from: 0,
             since_counted: 0,
@@ -234,25 +245,26 @@
     }
 
     /// The share of its capacity that a server surely has: a line from the cold share to all of it.
-    pub fn warmth(&self, now: Millis, safety: &Safety) -> f64 {
+    pub fn warmth(&self, now: Millis, safety: &SlowStartLimits) -> f64 {
         match self.started {
             Some(started) if now < started + safety.warm_up => {
                 let age = (now - started).max(0.0);
-                (safety.cold_share + (1.0 - safety.cold_share) * age / safety.warm_up).max(0.01)
+                (safety.initial_capacity_share + (1.0 - safety.initial_capacity_share) * age / safety.warm_up)
+                    .max(0.01)
             }
             _ => 1.0,
         }
     }
 
     /// Enters a send in the books, under a number that is higher than all before.
-    pub fn enter(&mut self, number: u64, sent: Outstanding) {
+    pub fn enter(&mut self, number: u64, sent: OutstandingSend) {
         self.outstanding.push(number, sent);
         self.since_counted += 1;
         self.since_asked += 1;
     }
 
     /// Strikes a send off the books.
-    pub fn take(&mut self, number: u64) -> Option<Outstanding> {
+    pub fn take(&mut self, number: u64) -> Option<OutstandingSend> {
         let sent = self.outstanding.remove(number)?;
         match number >= self.counted_from {
             true => self.since_counted -= 1,
--- a/crates/decide/src/subset.rs
+++ b/crates/decide/src/subset.rs
@@ -32,26 +32,26 @@
 
 /// How one sidecar takes servers in.
 #[derive(Debug, Clone, Copy)]
-pub struct Order {
+pub struct ServerRanking {
     identity: Identity,
     /// The least prime that is not below the number of sidecars, where they are numbered.
     prime: u64,
 }
 
-impl Order {
+impl ServerRanking {
     /// That of this sidecar.
-    pub fn new(identity: Identity) -> Order {
-        let Identity::Ranked { rank, of } = identity else { return Order { identity, prime: 2 } };
-        let sidecars = u64::from(of).clamp(1, MOST_SIDECARS);
+    pub fn new(identity: Identity) -> ServerRanking {
+        let Identity::Ranked { rank, count } = identity else { return ServerRanking { identity, prime: 2 } };
+        let sidecars = u64::from(count).clamp(1, MOST_SIDECARS);
         let is_prime = |n: &u64| *n >= 2 && (2..).take_while(|d| d * d <= *n).all(|d| !n.is_multiple_of(d));
         let prime = (sidecars.max(2)..).find(is_prime).unwrap_or(2);
-        let (rank, of) = (rank % sidecars as u32, sidecars as u32);
-        Order { identity: Identity::Ranked { rank, of }, prime }
+        let (rank, count) = (rank % sidecars as u32, sidecars as u32);
+        ServerRanking { identity: Identity::Ranked { rank, count }, prime }
     }
 
     /// Whether it knows all servers, whatever comes.
     pub fn is_whole(&self) -> bool {
-        self.identity == Identity::Nobody
+        self.identity == Identity::Anonymous
     }
 
     /// Where it stands among all sidecars in the order of one server, as a share of them. Numbered ones all stand in places
@@ -60,7 +60,7 @@
     fn place(&self, key: u64) -> f64 {
         let unit = |bits: u64| (bits >> 11) as f64 / (1u64 << 53) as f64;
         match self.identity {
-            Identity::Nobody => 0.0,
+            Identity::Anonymous => 0.0,
             Identity::Named(who) => unit(mix(who ^ mix(key))),
             Identity::Ranked { rank, .. } => {
                 let step = 1 + mix(key ^ 1) % (self.prime - 1);
@@ -82,7 +82,7 @@
     /// Whether it is one of so many that stand first for a server, of so many in all.
     pub fn is_among(&self, first: u32, sidecars: u32, key: u64) -> bool {
         match self.identity {
-            Identity::Nobody => true,
+            Identity::Anonymous => true,
             Identity::Named(_) => self.place(key) * f64::from(sidecars.max(1)) < f64::from(first),
             Identity::Ranked { .. } => (self.place(key) * self.prime as f64) < f64::from(first),
         }
@@ -113,7 +113,7 @@
 
 /// How many servers one sidecar knows.
 #[derive(Debug, Clone)]
-pub struct Size {
+pub struct SubsetSize {
     /// Arrivals a millisecond, over a short and a long time, as of then.
     rates: [f64; 2],
     at: Millis,
@@ -124,13 +124,13 @@
     reviewed_at: Millis,
 }
 
-impl Default for Size {
-    fn default() -> Size {
-        Size { rates: [0.0; 2], at: 0.0, base: 0.0, more: 0.0, needed: false, reviewed_at: 0.0 }
+impl Default for SubsetSize {
+    fn default() -> SubsetSize {
+        SubsetSize { rates: [0.0; 2], at: 0.0, base: 0.0, more: 0.0, needed: false, reviewed_at: 0.0 }
     }
 }
 
-impl Size {
+impl SubsetSize {
     /// A request has come.
     pub fn arrived(&mut self, now: Millis) {
         let since = (now - self.at).max(0.0);
@@ -185,16 +185,16 @@
 
     use super::*;
 
-    fn orders(sidecars: u32, ranked: bool) -> Vec<Order> {
+    fn orders(sidecars: u32, ranked: bool) -> Vec<ServerRanking> {
         let identity = |rank| match ranked {
-            true => Identity::Ranked { rank, of: sidecars },
+            true => Identity::Ranked { rank, count: sidecars },
             false => Identity::Named(key(&format!("sidecar-{rank}"))),
         };
-        (0..sidecars).map(|rank| Order::new(identity(rank))).collect()
+        (0..sidecars).map(|rank| ServerRanking::new(identity(rank))).collect()
     }
 
     /// What a sidecar knows of servers with these keys, where it has little traffic.
-    fn members(order: &Order, keys: &[u64], size: usize) -> Vec<usize> {
+    fn members(order: &ServerRanking, keys: &[u64], size: usize) -> Vec<usize> {
         let mut by_depth: Vec<(u64, usize)> =
             keys.iter().enumerate().map(|(at, key)| (order.depth(*key, 1.0), at)).collect();
         if size < by_depth.len() {
@@ -224,7 +224,7 @@
             let keys: Vec<u64> = (0..servers as u64).map(mix).collect();
             let whole = unevenness(&[(0..servers).collect()], servers);
             for ranked in [true, false] {
-                let size = Size::default().wanted(0.0, servers, sidecars);
+                let size = SubsetSize::default().wanted(0.0, servers, sidecars);
                 let known: Vec<Vec<usize>> =
                     orders(sidecars, ranked).iter().map(|order| members(order, &keys, size)).collect();
                 let uneven = unevenness(&known, servers);
@@ -245,7 +245,7 @@
             [(300, 200, true), (300, 200, false), (50, 1_000, true), (1_000, 30, true)]
         {
             let keys: Vec<u64> = (0..servers as u64 + 1).map(mix).collect();
-            let size = Size::default().wanted(0.0, servers, sidecars);
+            let size = SubsetSize::default().wanted(0.0, servers, sidecars);
             let (mut pairs, mut moved) = (0, 0);
             for order in orders(sidecars, ranked) {
                 let [mut with, mut without] =
@@ -265,7 +265,7 @@
     fn so_many_own_a_server_and_no_more() {
         for sidecars in [1, 2, 7, 48, 300, 307] {
             let (ranked, named) = (orders(sidecars, true), orders(sidecars, false));
-            let owners = |orders: &[Order], key: u64| {
+            let owners = |orders: &[ServerRanking], key: u64| {
                 orders.iter().filter(|order| order.is_among(4, sidecars, key)).count() as f64
             };
             let mut all = 0.0;
@@ -274,7 +274,10 @@
                 assert!(count <= 4.0, "{count} of {sidecars}");
                 all += count;
                 let named = owners(&named, mix(server));
-                assert!(named <= Order::new(Identity::Named(1)).at_most(4) + 3.0, "{named} of {sidecars}");
+                assert!(
+                    named <= ServerRanking::new(Identity::Named(1)).at_most(4) + 3.0,
+                    "{named} of {sidecars}"
+                );
             }
             let mean = all / 500.0;
             assert!(
@@ -304,7 +307,7 @@
 
     #[test]
     fn size_follows_traffic_at_once_upwards_and_slowly_down() {
-        let mut size = Size::default();
+        let mut size = SubsetSize::default();
         let quiet = size.wanted(0.0, 200, 300);
         assert_eq!(quiet, LEAST as usize, "one that has seen nothing yet");
         let mut now = 0.0;
@@ -322,7 +325,7 @@
 
     #[test]
     fn it_widens_at_once_and_narrows_slowly() {
-        let mut size = Size::default();
+        let mut size = SubsetSize::default();
         let least = size.wanted(0.0, 200, 300);
         (0..20).for_each(|_| size.widen());
         let wide = size.wanted(0.0, 200, 300);
@@ -338,7 +341,7 @@
     fn keys_are_what_they_were() {
         assert_eq!(key(""), mix(0xCBF2_9CE4_8422_2325));
         assert_ne!(key("s-1"), key("s-2"));
-        let [a, b] = [(); 2].map(|()| Order::new(Identity::Named(key("n3"))).depth(key("s-1"), 1.0));
+        let [a, b] = [(); 2].map(|()| ServerRanking::new(Identity::Named(key("n3"))).depth(key("s-1"), 1.0));
         assert_eq!(a, b, "the same after a restart, and in both processes of an upgrade");
     }
 }
--- a/crates/decide/src/upload.rs
+++ b/crates/decide/src/upload.rs
@@ -5,18 +5,18 @@
 
 use crate::Balancer;
 use crate::api::*;
-use crate::state::Outstanding;
+use crate::state::OutstandingSend;
 
 /// By request and attempt: as it stood in the books of its server, and since when it is not in them.
-pub(crate) type Uploads = FxHashMap<(RequestId, AttemptNo), (Outstanding, Millis)>;
+pub(crate) type Uploads = FxHashMap<(RequestId, AttemptNo), (OutstandingSend, Millis)>;
 
 impl Balancer {
     /// Takes an attempt out of the books of its server while its body comes, or puts it back once the last byte is out.
-    pub(crate) fn upload(&mut self, request: RequestId, attempt: AttemptNo, coming: bool) {
+    pub(crate) fn upload(&mut self, request: RequestId, attempt: AttemptNo, in_progress: bool) {
         let key = (request, attempt);
         let Some(&(number, id)) = self.sends.get(&key) else { return };
         let now = self.now;
-        if coming {
+        if in_progress {
             // What has passed cannot be sent again, so that nothing is won by giving it up.
             self.watch_no_more(request);
             let sent = self.upstreams.change(id, |upstream| upstream.take(number)).flatten();
@@ -27,8 +27,9 @@
         let Some((sent, since)) = self.uploads.remove(&key) else { return };
         let number = self.next_send;
         self.next_send += 1;
-        let entered =
-            self.upstreams.change(id, |upstream| upstream.enter(number, Outstanding { sent: now, ..sent }));
+        let entered = self
+            .upstreams
+            .change(id, |upstream| upstream.enter(number, OutstandingSend { sent: now, ..sent }));
         match entered {
             Some(()) => drop(self.sends.insert(key, (number, id))),
             // It was forgotten meanwhile, as gone.
--- a/crates/decide/src/zone_outage.rs
+++ b/crates/decide/src/zone_outage.rs
@@ -8,7 +8,7 @@
 
 use crate::Balancer;
 use crate::api::*;
-use crate::fleet::{Looks, Reach};
+use crate::fleet::{CandidateSampler, CandidateScope};
 
 /// So many servers of a zone have to be out of reach, one after the other: two may share a rack, or a release.
 const WITNESSES: usize = 3;
@@ -33,11 +33,11 @@
 
 /// Which zones are out, as far as one sidecar can tell. At most one entry for each zone that it has servers in.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Outages {
+pub(crate) struct ZoneOutages {
     zones: BTreeMap<ZoneId, Zone>,
 }
 
-impl Outages {
+impl ZoneOutages {
     /// A server of a zone could not be reached.
     pub fn lost(&mut self, zone: ZoneId, id: UpstreamId, now: Millis) {
         let nothing = Zone { lost: Vec::new(), ask_at: now, wait: ASK_AFTER[0] };
@@ -84,7 +84,7 @@
         }
         let luck = 0.5 + 0.5 * self.rng.rand_float();
         for zone in self.outages.due(self.now, luck) {
-            let mut looks = Looks::new(&self.upstreams, Reach::Zone(zone), true);
+            let mut looks = CandidateSampler::new(&self.upstreams, CandidateScope::Zone(zone), true);
             let slot = looks.next(&mut self.upstreams, &mut self.rng);
             match slot.and_then(|slot| self.upstreams.at(slot)) {
                 Some((id, _)) if self.settings.limits.probes => self.probe(id, out),
@@ -139,7 +139,7 @@
 
     #[test]
     fn three_in_a_row_and_no_sign_of_life_are_an_outage() {
-        let mut outages = Outages::default();
+        let mut outages = ZoneOutages::default();
         [1, 2].iter().for_each(|id| outages.lost(A, UpstreamId(*id), 0.0));
         assert!(!outages.is_out(A));
         assert!(!outages.lives(A));
@@ -153,7 +153,7 @@
 
     #[test]
     fn it_is_asked_at_once_and_then_ever_more_seldom() {
-        let mut outages = Outages::default();
+        let mut outages = ZoneOutages::default();
         [1, 2, 3].iter().for_each(|id| outages.lost(B, UpstreamId(*id), 10.0));
         let mut asked = Vec::new();
         for ms in 10..20_000 {
--- a/crates/decide/tests/any_order.rs
+++ b/crates/decide/tests/any_order.rs
@@ -54,14 +54,14 @@
                     let first = seen.tries.iter().find(|t| t.outcome.is_none_or(Outcome::may_have_run));
                     if let Some(first) = first {
                         match self.settings.classes[seen.class].effect {
-                            Effect::Repeatable => {}
-                            Effect::Once => panic!("may run twice"),
-                            Effect::ByKey { scope, window } => {
+                            Effect::Idempotent => {}
+                            Effect::NonIdempotent => panic!("may run twice"),
+                            Effect::IdempotentByKey { scope, window } => {
                                 assert!(self.now <= first.sent + window, "outside the window");
                                 match scope {
-                                    Scope::All => {}
-                                    Scope::Zone => assert_eq!(upstream.0 / 20, first.upstream.0 / 20),
-                                    Scope::Cell => assert_eq!(upstream.0 / 10, first.upstream.0 / 10),
+                                    KeyScope::All => {}
+                                    KeyScope::Zone => assert_eq!(upstream.0 / 20, first.upstream.0 / 20),
+                                    KeyScope::Cell => assert_eq!(upstream.0 / 10, first.upstream.0 / 10),
                                 }
                             }
                         }
@@ -76,7 +76,7 @@
                     assert!(!std::mem::replace(&mut seen.ended, true), "answered twice");
                     let ran = seen.tries.iter().any(|t| t.outcome.is_none_or(Outcome::may_have_run));
                     match self.settings.classes[seen.class].effect {
-                        Effect::Repeatable | Effect::ByKey { scope: Scope::All, .. } => {}
+                        Effect::Idempotent | Effect::IdempotentByKey { scope: KeyScope::All, .. } => {}
                         _ => assert!(!ran, "a refusal promises that it never ran"),
                     }
                 }
@@ -88,7 +88,7 @@
                 Action::Cancel { request, attempt } => {
                     assert!(self.requests[request].tries.len() > attempt.0 as usize);
                 }
-                Action::WakeAt { at, token } => {
+                Action::SetTimer { at, token } => {
                     assert!(at.is_finite());
                     self.wakes.push((*at, *token));
                 }
@@ -99,7 +99,7 @@
 
     fn listing(&mut self) -> Listing {
         let id = 1 + self.pick(39) as u64;
-        let lifecycle = if self.pick(4) == 0 { Lifecycle::Leaving } else { Lifecycle::Serving };
+        let lifecycle = if self.pick(4) == 0 { Lifecycle::Draining } else { Lifecycle::Serving };
         let started = (self.pick(6) == 0).then_some(self.now);
         let weight = [1.0, 2.0, 0.0, f64::NAN, -1.0, 0.5][self.pick(6)];
         Listing { zone: ZoneId(id / 20), lifecycle, started, weight, ..listing(id) }
@@ -124,7 +124,7 @@
             return self.end(request, at, Outcome::TimedOut);
         }
         if let Some(at) = self.wakes.iter().position(|(at, _)| *at <= now) {
-            return Event::Woke(self.wakes.remove(at).1);
+            return Event::TimerFired(self.wakes.remove(at).1);
         }
         let out: Vec<(RequestId, usize)> = self
             .requests
@@ -138,7 +138,7 @@
                 let (request, at) = out[self.pick(out.len())];
                 let seen = self.requests.get_mut(&request).expect("a known request");
                 let this = &mut seen.tries[at];
-                let coming = this.coming.is_none();
+                let in_progress = this.coming.is_none();
                 match this.coming.take() {
                     None => this.coming = Some(now),
                     Some(since) => {
@@ -146,7 +146,7 @@
                         seen.deadline += now - since;
                     }
                 }
-                Event::Upload { request, attempt: AttemptNo(at as u32), coming }
+                Event::UploadProgress { request, attempt: AttemptNo(at as u32), in_progress }
             }
             0..=3 => {
                 let class = self.pick(5);
@@ -154,7 +154,12 @@
                 let request = RequestId(number);
                 let seen = Seen { class, deadline: now + time_left, tries: Vec::new(), ended: false };
                 self.requests.insert(request, seen);
-                Event::Arrived { request, class: ClassId(class), tenant: TenantId(self.pick(3)), time_left }
+                Event::RequestArrived {
+                    request,
+                    class: ClassId(class),
+                    tenant: TenantId(self.pick(3)),
+                    time_left,
+                }
             }
             4..=6 if !out.is_empty() => {
                 let (request, at) = out[self.pick(out.len())];
@@ -183,11 +188,11 @@
                         self.serving.insert(entry.upstream, entry.lifecycle == Lifecycle::Serving);
                     }
                 }
-                Event::Listed(match kind {
-                    0 => ListNews::Complete(list),
-                    1 => ListNews::Restored(list),
-                    2 => ListNews::Changed(list),
-                    _ => ListNews::Unavailable,
+                Event::ListReceived(match kind {
+                    0 => ListUpdate::Complete(list),
+                    1 => ListUpdate::Restored(list),
+                    2 => ListUpdate::Changed(list),
+                    _ => ListUpdate::Unavailable,
                 })
             }
             8 if !self.requests.is_empty() => {
@@ -197,29 +202,33 @@
                 if let Some(seen) = self.requests.get_mut(&request) {
                     seen.ended = true;
                 }
-                Event::Abandoned(request)
+                Event::ClientDisconnected(request)
             }
             _ => match self.probes.pop() {
                 Some(upstream) => {
                     let answered = self.pick(4) > 0;
-                    Event::Probed { upstream, answered, report: self.report() }
+                    Event::ProbeFinished { upstream, answered, report: self.report() }
                 }
                 // Things nobody asked for.
                 None => match self.pick(5) {
                     4 => {
                         let (request, attempt) = (RequestId(number), AttemptNo(self.pick(3) as u32));
-                        Event::Upload { request, attempt, coming: self.pick(2) == 0 }
+                        Event::UploadProgress { request, attempt, in_progress: self.pick(2) == 0 }
                     }
-                    0 => Event::Woke(number),
-                    3 => Event::Sidecars(self.pick(400) as u32),
-                    1 => Event::Probed { upstream: UpstreamId(999), answered: true, report: self.report() },
-                    _ => Event::Finished(Finished {
+                    0 => Event::TimerFired(number),
+                    3 => Event::SidecarCountChanged(self.pick(400) as u32),
+                    1 => Event::ProbeFinished {
+                        upstream: UpstreamId(999),
+                        answered: true,
+                        report: self.report(),
+                    },
+                    _ => Event::AttemptFinished(FinishedAttempt {
                         request: RequestId(number),
                         attempt: AttemptNo(9),
                         upstream: UpstreamId(1),
                         outcome: Outcome::Ok,
                         latency: f64::NAN,
-                        closed: true,
+                        client_answered: true,
                         report: None,
                     }),
                 },
@@ -236,12 +245,20 @@
             seen.tries[at].sent = now;
             seen.deadline += now - since;
         }
-        let closed = seen.ended;
+        let client_answered = seen.ended;
         let this = &mut seen.tries[at];
         this.outcome = Some(outcome);
         let (upstream, latency) = (this.upstream, now - this.sent);
         let attempt = AttemptNo(at as u32);
-        Event::Finished(Finished { request, attempt, upstream, outcome, latency, closed, report })
+        Event::AttemptFinished(FinishedAttempt {
+            request,
+            attempt,
+            upstream,
+            outcome,
+            latency,
+            client_answered,
+            report,
+        })
     }
 }
 
@@ -250,7 +267,7 @@
     for seed in 0..60 {
         let mut settings = settings();
         settings.limits.probes = seed % 3 > 0;
-        settings.crossing_fee = [0.0, 0.02, 0.2][seed as usize % 3];
+        settings.cross_zone_cost = [0.0, 0.02, 0.2][seed as usize % 3];
         if seed % 2 == 0 {
             settings.discovery = Discovery::Subscribed { must_ask_in: 5_000.0 };
         }
--- a/crates/decide/tests/cold.rs
+++ b/crates/decide/tests/cold.rs
@@ -14,8 +14,8 @@
 
 /// The share of its capacity that a server has which started at 0.
 fn warmth(at: Millis) -> f64 {
-    let safety = settings().safety;
-    (safety.cold_share + (1.0 - safety.cold_share) * at / safety.warm_up).min(1.0)
+    let safety = settings().slow_start;
+    (safety.initial_capacity_share + (1.0 - safety.initial_capacity_share) * at / safety.warm_up).min(1.0)
 }
 
 struct Day {
@@ -36,7 +36,7 @@
     let mut modules: Vec<Balancer> = (0..u64::from(sidecars))
         .map(|number| {
             let mut module = Balancer::new(settings.clone(), seed * 1_000 + number);
-            module.handle(0.0, Event::Listed(ListNews::Complete(list.clone())), &mut Vec::new());
+            module.handle(0.0, Event::ListReceived(ListUpdate::Complete(list.clone())), &mut Vec::new());
             module
         })
         .collect();
@@ -51,14 +51,23 @@
         {
             busy.remove(0);
             let (attempt, outcome) = (AttemptNo(0), Outcome::Ok);
-            let end = Finished { request, attempt, upstream, outcome, latency, closed: true, report: None };
-            modules[who].handle(at, Event::Finished(end), &mut Vec::new());
+            let end = FinishedAttempt {
+                request,
+                attempt,
+                upstream,
+                outcome,
+                latency,
+                client_answered: true,
+                report: None,
+            };
+            modules[who].handle(at, Event::AttemptFinished(end), &mut Vec::new());
         }
         number += 2;
         day.asked += 1;
         let (who, request) = (rng.rand_range(0..u64::from(sidecars)) as usize, RequestId(number));
         let mut out = Vec::new();
-        let event = Event::Arrived { request, class: REPEATABLE, tenant: TenantId(0), time_left: 4_000.0 };
+        let event =
+            Event::RequestArrived { request, class: REPEATABLE, tenant: TenantId(0), time_left: 4_000.0 };
         modules[who].handle(now, event, &mut out);
         for action in out {
             match action {
@@ -88,15 +97,15 @@
 
 #[test]
 fn no_cold_server_is_pushed_over_however_many_requests_come() {
-    let safety = settings().safety;
+    let safety = settings().slow_start;
     let loads = [(48, 60.0), (48, 500.0), (48, 3_000.0), (1, 60.0), (1, 3_000.0), (3, 500.0), (6, 1_000.0)];
     for (seed, (sidecars, rate)) in loads.into_iter().enumerate() {
         let day = day(sidecars, rate, 2 + seed as u64);
         for sent in &day.sent {
             for (first, &(at, _)) in sent.iter().enumerate() {
-                let window = sent[first..].iter().take_while(|(t, _)| *t < at + safety.fall);
+                let window = sent[first..].iter().take_while(|(t, _)| *t < at + safety.overload_window);
                 let work: f64 = window.map(|(_, work)| work).sum();
-                let most = safety.fall_multiple * warmth(at) * CORES * safety.fall;
+                let most = safety.overload_multiple * warmth(at) * CORES * safety.overload_window;
                 assert!(
                     work <= most + 4.0 * WORK,
                     "{work} of {most} at {at}, {sidecars} sidecars, {rate} a second"
@@ -110,12 +119,12 @@
 /// half of all requests were refused beside empty servers whose allowance was not used.
 #[test]
 fn a_new_server_is_not_taken_for_as_crowded_as_the_old_ones() {
-    let settings = Settings { probe_fee: 1e9, ..settings() };
+    let settings = Settings { probe_cost: 1e9, ..settings() };
     let mut stage = Stage::new(settings, (1..=4).map(listing).collect());
     stage.settle(&[1, 2, 3, 4], 3.0, 0.75);
     [1, 2, 3, 4].iter().for_each(|id| stage.report(*id, 40.0, 1.0));
     let new = (5..=12).map(|id| Listing { started: Some(stage.now), ..listing(id) }).collect();
-    stage.event(Event::Listed(ListNews::Changed(new)));
+    stage.event(Event::ListReceived(ListUpdate::Changed(new)));
     let mut used = 0;
     for _ in 0..40 {
         stage.now += 5.0;
@@ -123,7 +132,7 @@
         if let Some(to) = sent_to(&actions) {
             assert!(to.0 > 4, "it has no room");
             used += 1;
-            stage.event(Event::Abandoned(request));
+            stage.event(Event::ClientDisconnected(request));
             stage.finish(request, 0, to, Outcome::Cancelled, 1.0);
         }
     }
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -14,36 +14,41 @@
     Class { aim: 200.0, worth: 1.0, late_worth: 0.0, effect }
 }
 
-pub fn keyed(scope: Scope) -> Class {
-    class(Effect::ByKey { scope, window: 300.0 })
+pub fn keyed(scope: KeyScope) -> Class {
+    class(Effect::IdempotentByKey { scope, window: 300.0 })
 }
 
 pub fn settings() -> Settings {
     Settings {
         classes: vec![
-            class(Effect::Repeatable),
-            keyed(Scope::Cell),
-            class(Effect::Once),
-            keyed(Scope::Zone),
-            keyed(Scope::All),
+            class(Effect::Idempotent),
+            keyed(KeyScope::Cell),
+            class(Effect::NonIdempotent),
+            keyed(KeyScope::Zone),
+            keyed(KeyScope::All),
         ],
         tenants: Vec::new(),
         over_quota_worth: 1.0,
         zone: ZoneId(0),
         sidecars: 2,
-        identity: Identity::Nobody,
-        crossing_fee: 0.0,
-        probe_fee: 0.0,
-        attempt_fee: 0.1,
+        identity: Identity::Anonymous,
+        cross_zone_cost: 0.0,
+        probe_cost: 0.0,
+        attempt_cost: 0.1,
         limits: Limits {
             max_attempts: 4,
-            duplicates: false,
+            allow_parallel_attempts: false,
             probes: true,
             cancel: true,
             max_retry_after: 400.0,
             tick: 4.0,
         },
-        safety: Safety { cold_share: 0.2, warm_up: 20_000.0, fall_multiple: 2.5, fall: 2_000.0 },
+        slow_start: SlowStartLimits {
+            initial_capacity_share: 0.2,
+            warm_up: 20_000.0,
+            overload_multiple: 2.5,
+            overload_window: 2_000.0,
+        },
         discovery: Discovery::Pushed,
     }
 }
@@ -75,7 +80,7 @@
 
     pub fn seeded(settings: Settings, servers: Vec<Listing>, seed: u64) -> Stage {
         let mut stage = Stage { balancer: Balancer::new(settings, seed), now: 1_000.0, next: 0 };
-        stage.event(Event::Listed(ListNews::Restored(servers)));
+        stage.event(Event::ListReceived(ListUpdate::Restored(servers)));
         stage
     }
 
@@ -97,12 +102,12 @@
     pub fn arrive(&mut self, class: ClassId) -> (RequestId, Vec<Action>) {
         self.next += 1;
         let request = RequestId(self.next);
-        let event = Event::Arrived { request, class, tenant: TenantId(0), time_left: 500.0 };
+        let event = Event::RequestArrived { request, class, tenant: TenantId(0), time_left: 500.0 };
         let mut actions = self.event(event);
         let mine =
-            |action: &Action| matches!(action, Action::WakeAt { token, .. } if *token == request.0 >> 1);
+            |action: &Action| matches!(action, Action::SetTimer { token, .. } if *token == request.0 >> 1);
         while actions.last().is_some_and(mine) {
-            actions.extend(self.event(Event::Woke(request.0 >> 1)));
+            actions.extend(self.event(Event::TimerFired(request.0 >> 1)));
         }
         (request, actions)
     }
@@ -115,13 +120,13 @@
         outcome: Outcome,
         latency: Millis,
     ) -> Vec<Action> {
-        self.event(Event::Finished(Finished {
+        self.event(Event::AttemptFinished(FinishedAttempt {
             request,
             attempt: AttemptNo(attempt),
             upstream,
             outcome,
             latency,
-            closed: outcome == Outcome::Ok,
+            client_answered: outcome == Outcome::Ok,
             report: None,
         }))
     }
@@ -134,7 +139,7 @@
     pub fn probed(&mut self, id: u64, in_flight: f64, utilisation: f64) -> Vec<Action> {
         let report =
             Report { in_flight: Some(in_flight), utilisation: Some(utilisation), ..Report::default() };
-        self.event(Event::Probed { upstream: UpstreamId(id), answered: true, report: Some(report) })
+        self.event(Event::ProbeFinished { upstream: UpstreamId(id), answered: true, report: Some(report) })
     }
 }
 
--- a/crates/decide/tests/crossing.rs
+++ b/crates/decide/tests/crossing.rs
@@ -6,20 +6,20 @@
 
 use common::*;
 use sagemast_decide::api::*;
-use sagemast_decide::cross_zone::{Attempt, Bend, CrossZone, Terms};
+use sagemast_decide::cross_zone::{BudgetExemption, CrossZone, CrossZoneAttempt, CrossZoneCost};
 
 #[derive(Debug)]
 struct Made {
-    terms: Terms,
+    terms: CrossZoneCost,
     pays: bool,
-    bends: Vec<Bend>,
-    sent: Vec<Attempt>,
+    bends: Vec<BudgetExemption>,
+    sent: Vec<CrossZoneAttempt>,
 }
 
 impl CrossZone for Made {
     fn sidecars(&mut self, _: Millis, _: u32) {}
 
-    fn terms(&self, _: Millis, _: ClassId) -> Terms {
+    fn terms(&self, _: Millis, _: ClassId) -> CrossZoneCost {
         self.terms
     }
 
@@ -27,11 +27,11 @@
         self.pays
     }
 
-    fn bends(&self, why: Bend) -> bool {
+    fn bends(&self, why: BudgetExemption) -> bool {
         self.bends.contains(&why)
     }
 
-    fn sent(&mut self, _: Millis, attempt: Attempt) {
+    fn sent(&mut self, _: Millis, attempt: CrossZoneAttempt) {
         self.sent.push(attempt);
     }
 
@@ -41,10 +41,10 @@
 }
 
 /// Servers 0 and 1 are near, 10 and 11 are not.
-fn stage(pays: bool, bends: &[Bend]) -> Stage {
+fn stage(pays: bool, bends: &[BudgetExemption]) -> Stage {
     let far = |id| Listing { zone: ZoneId(1), ..listing(id) };
     let mut stage = Stage::new(settings(), vec![listing(0), listing(1), far(10), far(11)]);
-    let terms = Terms { fee: 0.03, bend_at: 0.2 };
+    let terms = CrossZoneCost { fee: 0.03, bend_at: 0.2 };
     let made = Made { terms, pays, bends: bends.to_vec(), sent: Vec::new() };
     stage.balancer.set_cross_zone(Some(Box::new(made)));
     stage.settle(&[0, 1, 10, 11], 2.0, 0.2);
@@ -87,19 +87,24 @@
 #[test]
 fn near_ones_with_room_are_stayed_with() {
     for pays in [true, false] {
-        assert_eq!(place(&mut stage(pays, &Bend::ALL), REPEATABLE, 50), (50, 0, 0));
+        assert_eq!(place(&mut stage(pays, &BudgetExemption::ALL), REPEATABLE, 50), (50, 0, 0));
     }
 }
 
 #[test]
 fn full_near_servers_cross_for_a_budget_or_a_bend_and_else_are_refused() {
-    for (pays, bends, bent) in [(true, &[][..], None), (false, &[Bend::Full][..], Some(Bend::Full))] {
+    for (pays, bends, bent) in
+        [(true, &[][..], None), (false, &[BudgetExemption::Full][..], Some(BudgetExemption::Full))]
+    {
         let mut stage = stage(pays, bends);
         fill(&mut stage);
         assert_eq!(place(&mut stage, ONCE, 20), (0, 20, 0), "{bends:?}");
         assert!(plan(&mut stage).sent.iter().all(|attempt| attempt.bend == bent), "{bent:?}");
     }
-    let mut stage = stage(false, &[Bend::Down, Bend::Late, Bend::Failing, Bend::Bound]);
+    let mut stage = stage(
+        false,
+        &[BudgetExemption::Down, BudgetExemption::Late, BudgetExemption::Failing, BudgetExemption::Bound],
+    );
     fill(&mut stage);
     assert_eq!(place(&mut stage, ONCE, 20), (0, 0, 20));
     assert!(plan(&mut stage).sent.is_empty());
@@ -107,11 +112,11 @@
 
 #[test]
 fn a_zone_without_servers_is_told_as_down() {
-    let mut stage = stage(false, &[Bend::Down]);
-    let leaving = |id| Listing { lifecycle: Lifecycle::Leaving, ..listing(id) };
-    stage.event(Event::Listed(ListNews::Changed(vec![leaving(0), leaving(1)])));
+    let mut stage = stage(false, &[BudgetExemption::Down]);
+    let leaving = |id| Listing { lifecycle: Lifecycle::Draining, ..listing(id) };
+    stage.event(Event::ListReceived(ListUpdate::Changed(vec![leaving(0), leaving(1)])));
     assert_eq!(place(&mut stage, ONCE, 10), (0, 10, 0));
-    assert!(plan(&mut stage).sent.iter().all(|attempt| attempt.bend == Some(Bend::Down)));
+    assert!(plan(&mut stage).sent.iter().all(|attempt| attempt.bend == Some(BudgetExemption::Down)));
 }
 
 /// Has what goes to near servers reset: one of them is ejected, the other is not, since too many would be.
@@ -131,7 +136,8 @@
         let mut stage = stage(false, &[]);
         // While nothing may cross all goes near, and fails.
         fail(&mut stage);
-        (plan(&mut stage).pays, plan(&mut stage).bends) = (pays, vec![Bend::Failing, Bend::Down]);
+        (plan(&mut stage).pays, plan(&mut stage).bends) =
+            (pays, vec![BudgetExemption::Failing, BudgetExemption::Down]);
         plan(&mut stage).sent.clear();
         let (near, far, none) = place(&mut stage, ONCE, 20);
         assert!(far >= 15 && none == 0, "{near} {far} {none}");
@@ -142,7 +148,7 @@
 
 #[test]
 fn where_all_crawl_nothing_is_won_across() {
-    let mut stage = stage(false, &Bend::ALL);
+    let mut stage = stage(false, &BudgetExemption::ALL);
     // Answers of idle servers take 160 ms of an aim of 200: late in two of seven, which is more than is given up.
     for _ in 0..400 {
         stage.now += 5.0;
@@ -166,7 +172,7 @@
     stage.now += 900.0;
     [0, 1].into_iter().for_each(|id| stage.report(id, 200.0, 1.0));
     let (request, class, tenant) = (RequestId(77_777), REPEATABLE, TenantId(0));
-    let actions = stage.event(Event::Arrived { request, class, tenant, time_left: 500.0 });
+    let actions = stage.event(Event::RequestArrived { request, class, tenant, time_left: 500.0 });
     let probes: Vec<u64> =
         actions.iter().filter_map(|a| if let Action::Probe(id) = a { Some(id.0) } else { None }).collect();
     assert!(
@@ -184,7 +190,7 @@
     // Bound to the cell or zone that may have run it: not across, whatever is paid.
     for class in [BY_CELL, BY_ZONE, ONCE] {
         for pays in [true, false] {
-            let mut stage = stage(pays, &Bend::ALL);
+            let mut stage = stage(pays, &BudgetExemption::ALL);
             let (request, actions) = stage.arrive(class);
             let first = sent_to(&actions).expect("it is sent");
             stage.now += 10.0;
@@ -196,7 +202,9 @@
         }
     }
     // It ran across, so only those across remember its key: that bends, or ends it.
-    for (bends, sent) in [(&[Bend::Full, Bend::Bound][..], true), (&[Bend::Full][..], false)] {
+    for (bends, sent) in
+        [(&[BudgetExemption::Full, BudgetExemption::Bound][..], true), (&[BudgetExemption::Full][..], false)]
+    {
         let mut stage = stage(false, bends);
         fill(&mut stage);
         let (request, actions) = stage.arrive(BY_ZONE);
@@ -205,8 +213,11 @@
         let again = stage.finish(request, 0, first, Outcome::Reset, 10.0);
         assert_eq!(sent_to(&again).is_some_and(|to| to.0 >= 10 && to != first), sent, "{again:?}");
         let bent: Vec<_> = plan(&mut stage).sent.iter().map(|attempt| attempt.bend).collect();
-        let bound = sent.then_some(Some(Bend::Bound));
-        assert_eq!(bent, [Some(Some(Bend::Full)), bound].into_iter().flatten().collect::<Vec<_>>());
+        let bound = sent.then_some(Some(BudgetExemption::Bound));
+        assert_eq!(
+            bent,
+            [Some(Some(BudgetExemption::Full)), bound].into_iter().flatten().collect::<Vec<_>>()
+        );
         assert!(sent || failed(&again), "no promise: it may have run");
     }
 }
--- a/crates/decide/tests/deployments.rs
+++ b/crates/decide/tests/deployments.rs
@@ -15,13 +15,13 @@
         probes += actions.iter().filter(|action| matches!(action, Action::Probe(_))).count();
         let Some(upstream) = sent_to(&actions) else { continue };
         let report = Report { in_flight: Some(2.0), utilisation: Some(0.5), ..Report::default() };
-        stage.event(Event::Finished(Finished {
+        stage.event(Event::AttemptFinished(FinishedAttempt {
             request,
             attempt: AttemptNo(0),
             upstream,
             outcome: Outcome::Ok,
             latency: 25.0,
-            closed: true,
+            client_answered: true,
             report: piggyback.then_some(report),
         }));
         served += 1;
@@ -46,7 +46,7 @@
 #[test]
 fn one_server_in_another_zone() {
     let mut settings = settings();
-    settings.crossing_fee = 0.2;
+    settings.cross_zone_cost = 0.2;
     let far = Listing { zone: ZoneId(5), ..listing(1) };
     assert_eq!(serve(settings, vec![far], false).0, 300);
 }
@@ -70,6 +70,6 @@
 #[test]
 fn duplicates_allowed() {
     let mut settings = settings();
-    settings.limits.duplicates = true;
+    settings.limits.allow_parallel_attempts = true;
     assert_eq!(serve(settings, (1..=4).map(listing).collect(), false).0, 300);
 }
--- a/crates/decide/tests/health.rs
+++ b/crates/decide/tests/health.rs
@@ -154,12 +154,12 @@
         let (class, tenant) = ([REPEATABLE, BY_ALL][(number / 16 % 2) as usize], u64::from(number % 5 == 0));
         let request = RequestId(number);
         let tenant = TenantId(tenant as usize);
-        let actions = stage.event(Event::Arrived { request, class, tenant, time_left: 500.0 });
+        let actions = stage.event(Event::RequestArrived { request, class, tenant, time_left: 500.0 });
         let count: &mut (u32, u32) = refusals.entry((class, tenant)).or_default();
         count.1 += 1;
         count.0 += u32::from(refused(&actions));
         if let Some(to) = sent_to(&actions) {
-            stage.event(Event::Abandoned(request));
+            stage.event(Event::ClientDisconnected(request));
             stage.finish(request, 0, to, Outcome::Cancelled, 1.0);
         }
     }
@@ -246,7 +246,7 @@
 #[test]
 fn cold_servers_do_not_make_the_others_look_crowded() {
     let mut settings = settings();
-    settings.safety.warm_up = 100_000.0;
+    settings.slow_start.warm_up = 100_000.0;
     let mut stage = Stage::new(settings, vec![listing(1), listing(2)]);
     stage.settle(&[1, 2], 0.8, 0.1);
     let (mut cold, mut started) = (0, f64::INFINITY);
@@ -254,7 +254,7 @@
         if round == 40 {
             started = stage.now;
             let entry = Listing { started: Some(stage.now), ..listing(2) };
-            stage.event(Event::Listed(ListNews::Changed(vec![entry])));
+            stage.event(Event::ListReceived(ListUpdate::Changed(vec![entry])));
         }
         stage.now += 100.0;
         let (in_flight, utilisation) = if round < 40 { (0.8, 0.1) } else { (7.5, 0.94) };
--- a/crates/decide/tests/many_sidecars.rs
+++ b/crates/decide/tests/many_sidecars.rs
@@ -39,7 +39,7 @@
 /// Subsets are small, and together those of numbered sidecars leave nobody out.
 #[test]
 fn each_server_is_known_to_some_numbered_sidecar() {
-    let (known_by, largest) = known_by(|rank| Identity::Ranked { rank, of: SIDECARS });
+    let (known_by, largest) = known_by(|rank| Identity::Ranked { rank, count: SIDECARS });
     assert!(known_by.iter().all(|sidecars| *sidecars > 0));
     assert!(largest < 20, "{largest} servers known to one sidecar");
 }
@@ -56,7 +56,7 @@
 /// One that is alone sends to each of them.
 #[test]
 fn a_sidecar_that_is_alone_draws_all_of_them() {
-    for identity in [Identity::Nobody, Identity::Ranked { rank: 0, of: 1 }] {
+    for identity in [Identity::Anonymous, Identity::Ranked { rank: 0, count: 1 }] {
         let mut stage = Stage::new(settings_of(identity, 1), listings());
         let mut drawn = HashSet::new();
         for _ in 0..60 * SERVERS {
--- a/crates/decide/tests/memory.rs
+++ b/crates/decide/tests/memory.rs
@@ -6,13 +6,13 @@
 use oorandom::Rand64;
 use sagemast_decide::Balancer;
 use sagemast_decide::api::*;
-use sagemast_decide::snapshot::Memory;
+use sagemast_decide::snapshot::Snapshot;
 
 /// A module that has served for a while: of ten servers the third fails and the first is slow.
 fn taught(start: Millis, seed: u64) -> (Balancer, Millis) {
     let mut module = Balancer::new(settings(), seed);
     let (mut out, mut now, mut rng) = (Vec::new(), start, Rand64::new(u128::from(seed)));
-    module.handle(now, Event::Listed(ListNews::Complete((1..=10).map(listing).collect())), &mut out);
+    module.handle(now, Event::ListReceived(ListUpdate::Complete((1..=10).map(listing).collect())), &mut out);
     for number in 0..1_500 {
         now += 4.0;
         let request = RequestId(2 * number + 2);
@@ -20,7 +20,7 @@
         out.clear();
         module.handle(
             now,
-            Event::Arrived { request, class, tenant: TenantId(0), time_left: 500.0 },
+            Event::RequestArrived { request, class, tenant: TenantId(0), time_left: 500.0 },
             &mut out,
         );
         while let Some(action) = out.pop() {
@@ -31,22 +31,22 @@
                         utilisation: Some(0.3 + 0.2 * rng.rand_float()),
                         ..Report::default()
                     };
-                    let event = Event::Probed { upstream, answered: true, report: Some(report) };
+                    let event = Event::ProbeFinished { upstream, answered: true, report: Some(report) };
                     module.handle(now + 1.0, event, &mut out);
                 }
                 Action::Send { request, upstream, .. } => {
                     let outcome = if upstream.0 == 3 { Outcome::Error } else { Outcome::Ok };
                     let latency = if upstream.0 == 1 { 90.0 } else { 20.0 + 10.0 * rng.rand_float() };
-                    let end = Finished {
+                    let end = FinishedAttempt {
                         request,
                         attempt: AttemptNo(0),
                         upstream,
                         outcome,
                         latency,
-                        closed: true,
+                        client_answered: true,
                         report: None,
                     };
-                    module.handle(now + 2.0, Event::Finished(end), &mut out);
+                    module.handle(now + 2.0, Event::AttemptFinished(end), &mut out);
                 }
                 _ => {}
             }
@@ -60,14 +60,14 @@
     // It places what comes at once.
     settings.limits.probes = false;
     let mut module = Balancer::new(settings, seed);
-    let list = ListNews::Restored((1..=10).map(listing).collect());
-    module.handle(at, Event::Listed(list), &mut Vec::new());
+    let list = ListUpdate::Restored((1..=10).map(listing).collect());
+    module.handle(at, Event::ListReceived(list), &mut Vec::new());
     module
 }
 
 /// Equal but for rounding: ages are taken from other clocks.
-fn assert_same(one: &Memory, other: &Memory) {
-    let numbers = |memory: &Memory| {
+fn assert_same(one: &Snapshot, other: &Snapshot) {
+    let numbers = |memory: &Snapshot| {
         let mut memory = memory.clone();
         memory.servers.sort_by_key(|(id, _)| *id);
         let text = serde_json::to_string(&memory).unwrap();
@@ -108,7 +108,8 @@
         let mut out = Vec::new();
         for number in 0..40 {
             let request = RequestId(1_000_000 + 2 * number);
-            let event = Event::Arrived { request, class: REPEATABLE, tenant: TenantId(0), time_left: 500.0 };
+            let event =
+                Event::RequestArrived { request, class: REPEATABLE, tenant: TenantId(0), time_left: 500.0 };
             module.handle(at + number as f64, event, &mut out);
         }
         out.iter().filter(|a| matches!(a, Action::Send { upstream: UpstreamId(3), .. })).count()
@@ -129,7 +130,7 @@
         let mut module = Balancer::new(settings, seed);
         let cold = Listing { started: Some(0.0), ..listing(1) };
         let list = vec![cold, listing(2), listing(3)];
-        module.handle(0.0, Event::Listed(ListNews::Complete(list.clone())), &mut Vec::new());
+        module.handle(0.0, Event::ListReceived(ListUpdate::Complete(list.clone())), &mut Vec::new());
         if inherits {
             let memory = module.memory(0.0);
             module.remember(0.0, &memory).unwrap();
@@ -139,7 +140,7 @@
             let (now, request) = (number as f64, RequestId(2 * number + 2));
             out.clear();
             let arrived =
-                Event::Arrived { request, class: REPEATABLE, tenant: TenantId(0), time_left: 500.0 };
+                Event::RequestArrived { request, class: REPEATABLE, tenant: TenantId(0), time_left: 500.0 };
             module.handle(now, arrived, &mut out);
             let to = out.iter().find_map(|action| match action {
                 Action::Send { upstream, .. } => Some(*upstream),
@@ -152,16 +153,16 @@
             while let Some(&(at, request, upstream)) = busy.first().filter(|(at, ..)| *at <= now) {
                 busy.remove(0);
                 let (attempt, outcome) = (AttemptNo(0), Outcome::Ok);
-                let end = Finished {
+                let end = FinishedAttempt {
                     request,
                     attempt,
                     upstream,
                     outcome,
                     latency: 12.0,
-                    closed: true,
+                    client_answered: true,
                     report: None,
                 };
-                module.handle(at, Event::Finished(end), &mut Vec::new());
+                module.handle(at, Event::AttemptFinished(end), &mut Vec::new());
             }
         }
         sent
@@ -201,10 +202,10 @@
     for (path, value) in absurd {
         let mut broken = sound.clone();
         *broken.pointer_mut(path).unwrap_or_else(|| panic!("{path}")) = value;
-        let broken: Memory = serde_json::from_value(broken).unwrap();
+        let broken: Snapshot = serde_json::from_value(broken).unwrap();
         assert!(next.remember(0.0, &broken).is_err(), "{path}");
         assert_eq!(next.memory(0.0), before, "{path}: nothing of it is taken");
     }
-    let sound: Memory = serde_json::from_value(sound).unwrap();
+    let sound: Snapshot = serde_json::from_value(sound).unwrap();
     assert!(next.remember(0.0, &sound).is_ok());
 }
--- a/crates/decide/tests/pick.rs
+++ b/crates/decide/tests/pick.rs
@@ -66,7 +66,7 @@
         stage.report(2, 8.0, 1.0);
         let (request, actions) = stage.arrive(REPEATABLE);
         assert_eq!(sent_to(&actions), Some(UpstreamId(2)));
-        stage.event(Event::Abandoned(request));
+        stage.event(Event::ClientDisconnected(request));
         stage.finish(request, 0, UpstreamId(2), Outcome::Cancelled, 1.0);
     }
     for _ in 0..10 {
@@ -91,7 +91,7 @@
             let (request, actions) = stage.arrive(REPEATABLE);
             let to = sent_to(&actions).expect("there is room");
             assert_ne!(to, UpstreamId(9), "{jam} in flight");
-            stage.event(Event::Abandoned(request));
+            stage.event(Event::ClientDisconnected(request));
             stage.finish(request, 0, to, Outcome::Cancelled, 1.0);
         }
     }
@@ -108,7 +108,7 @@
         let (request, actions) = stage.arrive(REPEATABLE);
         let to = sent_to(&actions).expect("there is room");
         assert_ne!(to, UpstreamId(9));
-        stage.event(Event::Abandoned(request));
+        stage.event(Event::ClientDisconnected(request));
         stage.finish(request, 0, to, Outcome::Cancelled, 1.0);
     }
 }
@@ -118,7 +118,7 @@
 #[test]
 fn one_jam_is_not_taken_for_a_jam_everywhere() {
     let mut settings = settings();
-    settings.probe_fee = 1e9;
+    settings.probe_cost = 1e9;
     let mut stage = Stage::new(settings, (1..=8).map(listing).collect());
     stage.settle(&[1, 2, 3, 4, 5, 6, 7, 8], 2.0, 0.5);
     // Most of it says nothing any more.
@@ -130,7 +130,7 @@
         let (request, actions) = stage.arrive(REPEATABLE);
         let to = sent_to(&actions).expect("there is room");
         unheard += u32::from(to.0 > 4);
-        stage.event(Event::Abandoned(request));
+        stage.event(Event::ClientDisconnected(request));
         stage.finish(request, 0, to, Outcome::Cancelled, 1.0);
     }
     assert!(unheard > 20, "{unheard} of 100 to servers that nothing speaks against");
@@ -184,9 +184,9 @@
         let mut balancer = Balancer::new(settings(), seed);
         let mut all = Vec::new();
         let list = (1..=6).map(listing).collect();
-        balancer.handle(0.0, Event::Listed(ListNews::Restored(list)), &mut all);
+        balancer.handle(0.0, Event::ListReceived(ListUpdate::Restored(list)), &mut all);
         for id in 0..300 {
-            let event = Event::Arrived {
+            let event = Event::RequestArrived {
                 request: RequestId(id),
                 class: ClassId(id as usize % 5),
                 tenant: TenantId(0),
@@ -203,7 +203,7 @@
 #[test]
 fn near_servers_are_kept_to_while_they_have_room() {
     let mut settings = settings();
-    settings.crossing_fee = 0.1;
+    settings.cross_zone_cost = 0.1;
     let servers = (1..=6).map(|id| Listing { zone: ZoneId(id % 2), ..listing(id) }).collect();
     let mut stage = Stage::new(settings, servers);
     stage.settle(&[1, 2, 3, 4, 5, 6], 1.0, 0.25);
@@ -335,7 +335,7 @@
 fn nobody_waits_for_a_probe_that_takes_longer_than_the_work() {
     let mut stage = fast_servers(1.0);
     stage.now += 500.0;
-    let event = Event::Arrived {
+    let event = Event::RequestArrived {
         request: RequestId(9_999),
         class: REPEATABLE,
         tenant: TenantId(0),
@@ -354,7 +354,8 @@
         [1, 2].into_iter().for_each(|id| stage.report(id, 1.0, 0.3));
         stage.now += age;
         let request = RequestId(10_000 + age as u64);
-        let event = Event::Arrived { request, class: REPEATABLE, tenant: TenantId(0), time_left: 500.0 };
+        let event =
+            Event::RequestArrived { request, class: REPEATABLE, tenant: TenantId(0), time_left: 500.0 };
         let actions = stage.event(event);
         let to = sent_to(&actions).unwrap_or_else(|| panic!("held, with reports {age} ms old"));
         stage.finish(request, 0, to, Outcome::Ok, 0.3);
@@ -369,10 +370,11 @@
     for round in 0..60 {
         stage.now += 200.0;
         let request = RequestId(100 + round);
-        let event = Event::Arrived { request, class: REPEATABLE, tenant: TenantId(0), time_left: 500.0 };
+        let event =
+            Event::RequestArrived { request, class: REPEATABLE, tenant: TenantId(0), time_left: 500.0 };
         let actions = stage.event(event);
         let held_until = actions.iter().find_map(|action| match action {
-            Action::WakeAt { at, .. } => Some(*at),
+            Action::SetTimer { at, .. } => Some(*at),
             _ => None,
         });
         if round > 40 {
@@ -385,7 +387,7 @@
                 stage.report(id.0, 2.0, 0.5);
             }
         }
-        stage.event(Event::Abandoned(request));
+        stage.event(Event::ClientDisconnected(request));
         [1, 2]
             .into_iter()
             .for_each(|id| drop(stage.finish(request, 0, UpstreamId(id), Outcome::Cancelled, 1.0)));
@@ -401,7 +403,7 @@
     [1, 2].into_iter().for_each(|id| stage.report(id, 60.0, 1.0));
     stage.now += 300.0;
     let (request, tenant) = (RequestId(9), TenantId(0));
-    let actions = stage.event(Event::Arrived { request, class: REPEATABLE, tenant, time_left: 40.0 });
+    let actions = stage.event(Event::RequestArrived { request, class: REPEATABLE, tenant, time_left: 40.0 });
     assert!(refused(&actions));
     assert!(actions.iter().any(|action| matches!(action, Action::Probe(_))), "{actions:?}");
 }
@@ -440,7 +442,7 @@
     stage.settle(&[1, 2], 2.0, 0.5);
     stage.now += 5_000.0;
     let request = RequestId(70);
-    let arrival = Event::Arrived { request, class: REPEATABLE, tenant: TenantId(0), time_left: 500.0 };
+    let arrival = Event::RequestArrived { request, class: REPEATABLE, tenant: TenantId(0), time_left: 500.0 };
     let actions = stage.event(arrival);
     assert_eq!(sent_to(&actions), None, "held");
     for id in [1, 2] {
@@ -449,20 +451,21 @@
     stage.now += 2.0;
     assert_eq!(sent_to(&stage.probed(1, 6.0, 0.5)), None, "one of two has answered");
     assert_eq!(sent_to(&stage.probed(2, 1.0, 0.5)), Some(UpstreamId(2)));
-    assert!(stage.event(Event::Woke(70 >> 1)).is_empty(), "its timer finds it gone");
+    assert!(stage.event(Event::TimerFired(70 >> 1)).is_empty(), "its timer finds it gone");
 }
 
 /// Guards against losing a held request: probes may go unanswered.
 #[test]
 fn a_held_request_does_not_wait_for_ever() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    let event = Event::Arrived { request: RequestId(9), class: ONCE, tenant: TenantId(0), time_left: 500.0 };
+    let event =
+        Event::RequestArrived { request: RequestId(9), class: ONCE, tenant: TenantId(0), time_left: 500.0 };
     let mut actions = stage.event(event);
     let mut held = 0;
-    while let Some(Action::WakeAt { at, token }) = actions.last().cloned() {
+    while let Some(Action::SetTimer { at, token }) = actions.last().cloned() {
         held += 1;
         stage.now = at;
-        actions = stage.event(Event::Woke(token));
+        actions = stage.event(Event::TimerFired(token));
     }
     assert!(
         held > 0 && sent_to(&actions).is_some() && stage.now < 1_100.0,
@@ -479,7 +482,7 @@
         let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
         stage.settle(&[1, 2], in_flight, in_flight / 1.4 * 0.8);
         let (request, tenant) = (RequestId(9), TenantId(0));
-        stage.event(Event::Arrived { request, class: REPEATABLE, tenant, time_left: 40.0 })
+        stage.event(Event::RequestArrived { request, class: REPEATABLE, tenant, time_left: 40.0 })
     };
     assert!(sent_to(&place(1.0)).is_some());
     assert!(refused(&place(3.0)), "behind a queue it would be late");
@@ -489,7 +492,7 @@
 fn dear_probes_are_paid_out_of_what_requests_earn() {
     let probes = |fee: f64| {
         let mut settings = settings();
-        settings.probe_fee = fee;
+        settings.probe_cost = fee;
         let mut stage = Stage::new(settings, (1..=20).map(listing).collect());
         let (mut probes, mut refused) = (0, 0);
         for _ in 0..400 {
@@ -506,7 +509,8 @@
             let mut sent = sent_to(&actions);
             for upstream in asked {
                 let report = Report { in_flight: Some(1.0), utilisation: Some(0.3), ..Report::default() };
-                let actions = stage.event(Event::Probed { upstream, answered: true, report: Some(report) });
+                let actions =
+                    stage.event(Event::ProbeFinished { upstream, answered: true, report: Some(report) });
                 sent = sent.or(sent_to(&actions));
             }
             match sent {
--- a/crates/decide/tests/rules.rs
+++ b/crates/decide/tests/rules.rs
@@ -38,7 +38,7 @@
     let mut stage = Stage::new(settings(), cells());
     let (request, actions) = stage.arrive(REPEATABLE);
     let to = sent_to(&actions).unwrap();
-    let actions = stage.event(Event::Abandoned(request));
+    let actions = stage.event(Event::ClientDisconnected(request));
     assert_eq!(actions, vec![Action::Cancel { request, attempt: AttemptNo(0) }]);
     let late = stage.finish(request, 0, to, Outcome::Error, 20.0);
     assert_eq!(sent_to(&late), None);
@@ -101,7 +101,7 @@
     settings.classes[BY_CELL.0].aim = 5_000.0;
     let mut stage = Stage::new(settings, cells());
     stage.event(arrival(9_000, BY_CELL, 5_000.0));
-    (0..2).for_each(|_| drop(stage.event(Event::Woke(9_000 >> 1))));
+    (0..2).for_each(|_| drop(stage.event(Event::TimerFired(9_000 >> 1))));
     let request = RequestId(9_000);
     let mut attempt = 0;
     let mut at = None;
@@ -123,7 +123,7 @@
 }
 
 fn arrival(id: u64, class: ClassId, time_left: Millis) -> Event {
-    Event::Arrived { request: RequestId(id), class, tenant: TenantId(0), time_left }
+    Event::RequestArrived { request: RequestId(id), class, tenant: TenantId(0), time_left }
 }
 
 #[test]
@@ -143,8 +143,8 @@
 #[test]
 fn draining_and_missing_servers_get_nothing_new() {
     let mut stage = Stage::new(settings(), vec![listing(1), listing(2), listing(3)]);
-    let drain = Listing { lifecycle: Lifecycle::Leaving, ..listing(1) };
-    stage.event(Event::Listed(ListNews::Changed(vec![drain])));
+    let drain = Listing { lifecycle: Lifecycle::Draining, ..listing(1) };
+    stage.event(Event::ListReceived(ListUpdate::Changed(vec![drain])));
     for _ in 0..30 {
         let (request, actions) = stage.arrive(REPEATABLE);
         let to = sent_to(&actions).unwrap();
@@ -152,7 +152,7 @@
         stage.now += 5.0;
         stage.finish(request, 0, to, Outcome::Ok, 5.0);
     }
-    stage.event(Event::Listed(ListNews::Complete(vec![listing(3)])));
+    stage.event(Event::ListReceived(ListUpdate::Complete(vec![listing(3)])));
     for _ in 0..30 {
         let (request, actions) = stage.arrive(REPEATABLE);
         assert_eq!(sent_to(&actions), Some(UpstreamId(3)), "2 is missing from the complete list");
@@ -164,7 +164,7 @@
 #[test]
 fn unavailable_keeps_the_list() {
     let mut stage = Stage::new(settings(), vec![listing(1)]);
-    stage.event(Event::Listed(ListNews::Unavailable));
+    stage.event(Event::ListReceived(ListUpdate::Unavailable));
     assert_eq!(sent_to(&stage.arrive(REPEATABLE).1), Some(UpstreamId(1)));
 }
 
@@ -174,15 +174,15 @@
     settings.discovery = Discovery::Subscribed { must_ask_in: 10_000.0 };
     let mut stage = Stage::new(settings, vec![]);
     let mut waits = Vec::new();
-    let mut actions = stage.event(Event::Listed(ListNews::Restored(vec![listing(1)])));
+    let mut actions = stage.event(Event::ListReceived(ListUpdate::Restored(vec![listing(1)])));
     for _ in 0..12 {
         // The first was asked for when the stage was set: only one call is ever pending.
-        assert!(actions.iter().all(|action| !matches!(action, Action::WakeAt { .. })));
-        actions = stage.event(Event::Woke(0));
+        assert!(actions.iter().all(|action| !matches!(action, Action::SetTimer { .. })));
+        actions = stage.event(Event::TimerFired(0));
         assert!(actions.contains(&Action::Subscribe));
-        let set = stage.event(Event::Listed(ListNews::Unavailable));
+        let set = stage.event(Event::ListReceived(ListUpdate::Unavailable));
         waits.extend(set.iter().filter_map(|action| match action {
-            Action::WakeAt { at, .. } => Some(at - stage.now),
+            Action::SetTimer { at, .. } => Some(at - stage.now),
             _ => None,
         }));
         actions = vec![];
@@ -206,7 +206,7 @@
         let servers: Vec<Listing> = (1..=SERVERS)
             .map(|id| Listing { started: (id >= cold_from).then_some(start), ..listing(id) })
             .collect();
-        let (fall, multiple) = (settings.safety.fall, settings.safety.fall_multiple);
+        let (fall, multiple) = (settings.slow_start.overload_window, settings.slow_start.overload_multiple);
         // Each server does one request at a time; together the sidecars ask for nine tenths of what all can do.
         let (span, per_ms) = (3.0 * fall, 0.9 * SERVERS as f64 / WORK);
         let mut sends: Vec<(UpstreamId, Millis)> = Vec::new();
@@ -230,7 +230,7 @@
             assert!(cold_from > 1 || !at.is_empty(), "{sidecars} sidecars: server {id} never gets any work");
             for from in &at {
                 let sent = at.iter().filter(|t| (*from..from + fall).contains(*t)).count() as f64 * WORK;
-                let warmth = 0.2 + 0.8 * (from - start) / settings.safety.warm_up;
+                let warmth = 0.2 + 0.8 * (from - start) / settings.slow_start.warm_up;
                 assert!(
                     sent <= multiple * warmth * fall,
                     "{sidecars} sidecars: {sent} ms of work in a window"
@@ -251,20 +251,21 @@
             // Where the number is told only by the event, before the first request.
             settings.sidecars = if told_late { 1 } else { sidecars };
             settings.limits.probes = false;
-            let (fall, multiple) = (settings.safety.fall, settings.safety.fall_multiple);
+            let (fall, multiple) =
+                (settings.slow_start.overload_window, settings.slow_start.overload_multiple);
             let start = 1_000.0;
             let server = Listing { started: Some(start), ..listing(1) };
             let mut sends: Vec<Millis> = Vec::new();
             for sidecar in 0..sidecars {
                 let mut stage = Stage::seeded(settings.clone(), vec![server.clone()], u64::from(sidecar));
-                stage.event(Event::Sidecars(sidecars));
+                stage.event(Event::SidecarCountChanged(sidecars));
                 let gap = f64::from(sidecars) * WORK / overload;
                 while stage.now < start + 3.0 * fall {
                     let (request, actions) = stage.arrive(ONCE);
                     if sent_to(&actions).is_some() {
                         sends.push(stage.now);
                         // Cold, it takes longer; alone, for there are few.
-                        let warmth = 0.2 + 0.8 * (stage.now - start) / settings.safety.warm_up;
+                        let warmth = 0.2 + 0.8 * (stage.now - start) / settings.slow_start.warm_up;
                         stage.finish(request, 0, UpstreamId(1), Outcome::Ok, WORK / warmth);
                     }
                     stage.now += gap;
@@ -273,7 +274,7 @@
             assert!(sends.len() > 10, "{sidecars} sidecars: it gets work all the same, not {}", sends.len());
             for from in &sends {
                 let sent = sends.iter().filter(|t| (*from..from + fall).contains(*t)).count() as f64 * WORK;
-                let warmth = 0.2 + 0.8 * (from - start) / settings.safety.warm_up;
+                let warmth = 0.2 + 0.8 * (from - start) / settings.slow_start.warm_up;
                 let budget = multiple * warmth * fall;
                 assert!(
                     sent <= budget,
@@ -292,14 +293,14 @@
         for _ in 0..50 {
             let (request, actions) = stage.arrive(REPEATABLE);
             accepted += u32::from(sent_to(&actions).is_some());
-            stage.event(Event::Abandoned(request));
+            stage.event(Event::ClientDisconnected(request));
             stage.finish(request, 0, UpstreamId(1), Outcome::Cancelled, 1.0);
         }
         accepted
     };
     assert_eq!(accepted(&mut stage), 50, "it is warm");
     let again = Listing { started: Some(stage.now), ..listing(1) };
-    stage.event(Event::Listed(ListNews::Changed(vec![again])));
+    stage.event(Event::ListReceived(ListUpdate::Changed(vec![again])));
     let cold = accepted(&mut stage);
     assert!((1..25).contains(&cold), "{cold} of 50 once it is cold again");
 }
--- a/crates/decide/tests/scale.rs
+++ b/crates/decide/tests/scale.rs
@@ -8,7 +8,7 @@
 /// Servers that are looked at for a request, on the average, and the share of requests that was refused.
 fn looks(servers: u64, full: bool) -> (f64, f64) {
     let mut settings = settings();
-    settings.crossing_fee = 0.03;
+    settings.cross_zone_cost = 0.03;
     let list = (0..servers).map(|id| Listing { zone: ZoneId(id % 2), ..listing(id) }).collect();
     let mut stage = Stage::new(settings, list);
     let ids: Vec<u64> = (0..servers).collect();
@@ -54,8 +54,8 @@
     let mut stage = Stage::new(settings(), (0..5_000).map(listing).collect());
     let before = stage.balancer.looks();
     for id in 0..200 {
-        let gone = Listing { lifecycle: Lifecycle::Leaving, ..listing(id) };
-        stage.event(Event::Listed(ListNews::Changed(vec![gone, listing(5_000 + id)])));
+        let gone = Listing { lifecycle: Lifecycle::Draining, ..listing(id) };
+        stage.event(Event::ListReceived(ListUpdate::Changed(vec![gone, listing(5_000 + id)])));
     }
     assert_eq!(stage.balancer.looks(), before);
     for _ in 0..400 {
--- a/crates/decide/tests/slow_start.rs
+++ b/crates/decide/tests/slow_start.rs
@@ -104,14 +104,14 @@
 
 /// The share of its capacity that a server has at an age.
 fn warmth(age: Millis) -> f64 {
-    let safety = settings().safety;
-    (safety.cold_share + (1.0 - safety.cold_share) * age / safety.warm_up).min(1.0)
+    let safety = settings().slow_start;
+    (safety.initial_capacity_share + (1.0 - safety.initial_capacity_share) * age / safety.warm_up).min(1.0)
 }
 
 /// What a cold server may be sent in one window, in requests of mean work: on the mean, and at most.
 fn budget(age: Millis) -> (f64, f64) {
-    let safety = settings().safety;
-    let mean = safety.fall_multiple * warmth(age) * CORES as f64 * safety.fall / MEAN_WORK;
+    let safety = settings().slow_start;
+    let mean = safety.overload_multiple * warmth(age) * CORES as f64 * safety.overload_window / MEAN_WORK;
     (mean, mean + 2.0 * mean.sqrt() + 2.0)
 }
 
@@ -154,13 +154,13 @@
     fn module(&self, number: usize) -> Balancer {
         let mut settings = settings();
         settings.sidecars = self.day.told;
-        settings.probe_fee = PROBE_FEE;
+        settings.probe_cost = PROBE_FEE;
         settings.classes.truncate(2);
         settings.classes.iter_mut().for_each(|class| {
-            *class = Class { aim: 120.0, ..common::class(Effect::Repeatable) };
+            *class = Class { aim: 120.0, ..common::class(Effect::Idempotent) };
         });
         if self.day.numbered {
-            settings.identity = Identity::Ranked { rank: number as u32, of: self.day.told };
+            settings.identity = Identity::Ranked { rank: number as u32, count: self.day.told };
         }
         Balancer::new(settings, self.day.seed * 1_000 + number as u64)
     }
@@ -176,7 +176,7 @@
             })
             .collect();
         for sidecar in 0..self.modules.len() {
-            self.event(sidecar, Event::Listed(ListNews::Changed(list.clone())));
+            self.event(sidecar, Event::ListReceived(ListUpdate::Changed(list.clone())));
         }
     }
 
@@ -197,7 +197,9 @@
                     let server = upstream.0 as usize - 1;
                     self.after(1.0, Happening::Probed { sidecar, server });
                 }
-                Action::WakeAt { at, token } => self.after(at - self.now, Happening::Woke { sidecar, token }),
+                Action::SetTimer { at, token } => {
+                    self.after(at - self.now, Happening::Woke { sidecar, token })
+                }
                 _ => {}
             }
         }
@@ -255,16 +257,16 @@
             return;
         }
         let Job { sidecar, request, attempt, server, sent, .. } = self.jobs[job];
-        let end = Finished {
+        let end = FinishedAttempt {
             request,
             attempt,
             upstream: UpstreamId(server as u64 + 1),
             outcome,
             latency: self.now - sent,
-            closed: outcome == Outcome::Ok,
+            client_answered: outcome == Outcome::Ok,
             report: None,
         };
-        self.event(sidecar, Event::Finished(end));
+        self.event(sidecar, Event::AttemptFinished(end));
     }
 
     /// The traffic comes to a sidecar by its share.
@@ -287,7 +289,7 @@
         let (request, class) = (RequestId(self.requests), ClassId(self.rng.rand_range(0..2) as usize));
         self.classes.insert(request, class);
         let sidecar = self.sidecar();
-        let event = Event::Arrived { request, class, tenant: TenantId(0), time_left: 400.0 };
+        let event = Event::RequestArrived { request, class, tenant: TenantId(0), time_left: 400.0 };
         self.event(sidecar, event);
     }
 
@@ -312,7 +314,7 @@
             ..Report::default()
         };
         let upstream = UpstreamId(server as u64 + 1);
-        self.event(sidecar, Event::Probed { upstream, answered: true, report: Some(report) });
+        self.event(sidecar, Event::ProbeFinished { upstream, answered: true, report: Some(report) });
     }
 
     fn run(&mut self) {
@@ -325,7 +327,7 @@
                 Some(Happening::Arrival) => self.arrive(),
                 Some(Happening::Start) => self.start(),
                 Some(Happening::TimedOut { job }) => self.end(job, Outcome::TimedOut),
-                Some(Happening::Woke { sidecar, token }) => self.event(sidecar, Event::Woke(token)),
+                Some(Happening::Woke { sidecar, token }) => self.event(sidecar, Event::TimerFired(token)),
                 Some(Happening::Probed { sidecar, server }) => self.probed(sidecar, server),
                 Some(Happening::Done { server, job }) => {
                     self.servers[server].advance(at as f64 / 1e3);
@@ -344,7 +346,7 @@
 fn play(day: &Day) -> (f64, f64) {
     let mut fleet = Fleet::new(day);
     fleet.run();
-    let fall = settings().safety.fall;
+    let fall = settings().slow_start.overload_window;
     let (mut worst, mut used, mut windows) = (0.0f64, 0.0, 0.0);
     for server in &fleet.servers[day.warm as usize..] {
         let within = |until: Millis| {
--- a/crates/decide/tests/spread.rs
+++ b/crates/decide/tests/spread.rs
@@ -86,7 +86,7 @@
             }
         }
         arrivals.sort_by(|a, b| a.0.total_cmp(&b.0));
-        let class = |(_, aim): &(Millis, Millis)| Class { aim: *aim, ..class(Effect::Repeatable) };
+        let class = |(_, aim): &(Millis, Millis)| Class { aim: *aim, ..class(Effect::Idempotent) };
         Day { arrivals, cores, classes: classes.iter().map(class).collect() }
     }
 }
@@ -124,7 +124,7 @@
         let mut module = Balancer::new(settings, 5);
         let list =
             (0..day.cores.len() as u64).map(|id| Listing { kind: KindId(id), ..listing(id) }).collect();
-        module.handle(0.0, Event::Listed(ListNews::Complete(list)), &mut Vec::new());
+        module.handle(0.0, Event::ListReceived(ListUpdate::Complete(list)), &mut Vec::new());
         let server =
             |cores: &usize| Server { cores: *cores, busy: 0, queue: VecDeque::new(), used: 0.0, seen: 0.0 };
         World {
@@ -162,9 +162,9 @@
                 Some(Happening::Probed(server)) => {
                     let report = Some(self.servers[server].look(self.now));
                     let upstream = UpstreamId(server as u64);
-                    self.tell(Event::Probed { upstream, answered: true, report });
+                    self.tell(Event::ProbeFinished { upstream, answered: true, report });
                 }
-                Some(Happening::Woke(token)) => self.tell(Event::Woke(token)),
+                Some(Happening::Woke(token)) => self.tell(Event::TimerFired(token)),
                 Some(Happening::Late { request, attempt }) if self.is_out(request, attempt) => {
                     self.ended(request, Outcome::TimedOut);
                 }
@@ -184,7 +184,7 @@
                 let time_left = 4.0 * self.day.classes[class].aim;
                 debug_assert!(at <= self.now + 1e-3);
                 let class = ClassId(class);
-                return self.tell(Event::Arrived {
+                return self.tell(Event::RequestArrived {
                     request: RequestId(request as u64),
                     class,
                     tenant: TenantId(0),
@@ -251,20 +251,20 @@
 
     fn ended(&mut self, request: u64, outcome: Outcome) {
         let Some((attempt, server, sent)) = self.open.remove(&request) else { return };
-        self.tell(Event::Finished(Finished {
+        self.tell(Event::AttemptFinished(FinishedAttempt {
             request: RequestId(request),
             attempt: AttemptNo(attempt),
             upstream: UpstreamId(server as u64),
             outcome,
             latency: self.now - sent,
-            closed: outcome == Outcome::Ok,
+            client_answered: outcome == Outcome::Ok,
             report: None,
         }));
     }
 
     fn tell(&mut self, event: Event) {
         let attempt = match &event {
-            Event::Finished(end) => end.attempt.0 + 1,
+            Event::AttemptFinished(end) => end.attempt.0 + 1,
             _ => 0,
         };
         let mut actions = Vec::new();
@@ -285,7 +285,7 @@
                     let at = self.now + ROUND_TRIP;
                     self.at(at, Happening::Probed(upstream.0 as usize));
                 }
-                Action::WakeAt { at, token } => self.at(at, Happening::Woke(token)),
+                Action::SetTimer { at, token } => self.at(at, Happening::Woke(token)),
                 Action::Cancel { .. } | Action::Subscribe | Action::Log(_) => {}
             }
         }
--- a/crates/decide/tests/staleness.rs
+++ b/crates/decide/tests/staleness.rs
@@ -27,7 +27,7 @@
 /// When the module has its timer for discovery go off, if it set one.
 fn call_due(actions: &[Action]) -> Option<Millis> {
     actions.iter().find_map(|action| match action {
-        Action::WakeAt { at, token: 0 } => Some(*at),
+        Action::SetTimer { at, token: 0 } => Some(*at),
         _ => None,
     })
 }
@@ -42,7 +42,7 @@
     /// One that starts at this time.
     fn start(seed: u64, at: Millis) -> Sidecar {
         let mut sidecar = Sidecar { balancer: Balancer::new(asked(), seed), next_call: 0.0 };
-        sidecar.hear(at, Event::Listed(ListNews::Restored(vec![listing(1)])));
+        sidecar.hear(at, Event::ListReceived(ListUpdate::Restored(vec![listing(1)])));
         sidecar
     }
 
@@ -54,13 +54,13 @@
     }
 
     fn fail(&mut self, now: Millis) {
-        self.hear(now, Event::Listed(ListNews::Unavailable));
+        self.hear(now, Event::ListReceived(ListUpdate::Unavailable));
     }
 
     /// Makes the call that is due.
     fn call(&mut self, now: Millis) {
         let mut actions = Vec::new();
-        self.balancer.handle(now, Event::Woke(0), &mut actions);
+        self.balancer.handle(now, Event::TimerFired(0), &mut actions);
         assert!(actions.contains(&Action::Subscribe), "a call was due at {now}");
     }
 }
@@ -101,7 +101,7 @@
     sidecar.call(sidecar.next_call);
     // The first watch is answered and ends with the outage's beginning.
     let begins = LONGEST_CALL + 30_000.0 * rng.rand_float();
-    sidecar.hear(LONGEST_CALL, Event::Listed(ListNews::Complete(vec![listing(1)])));
+    sidecar.hear(LONGEST_CALL, Event::ListReceived(ListUpdate::Complete(vec![listing(1)])));
     let reachable = begins + outage;
     sidecar.fail(begins);
     for _ in 0..10_000 {
@@ -151,7 +151,7 @@
     let mut all: Vec<Sidecar> = (0..sidecars).map(|n| Sidecar::start(seed * 1_000 + n, 0.0)).collect();
     for sidecar in &mut all {
         sidecar.call(sidecar.next_call);
-        sidecar.hear(begins - 1.0, Event::Listed(ListNews::Complete(vec![listing(1)])));
+        sidecar.hear(begins - 1.0, Event::ListReceived(ListUpdate::Complete(vec![listing(1)])));
         sidecar.fail(begins);
     }
     let reachable = begins + outage;
@@ -187,7 +187,7 @@
         {
             credit -= 1.0;
             taken.push(now - reachable);
-            all[number].hear(now, Event::Listed(ListNews::Complete(vec![listing(1)])));
+            all[number].hear(now, Event::ListReceived(ListUpdate::Complete(vec![listing(1)])));
         }
     }
     (herd.half, herd.last) = (taken[taken.len() / 2], taken[taken.len() - 1]);
@@ -222,7 +222,7 @@
         // The change comes as the watch ends, at any moment after its beginning; the next call is refused.
         let told = LONGEST_CALL;
         let ends = told + 3.0 * seed as f64;
-        sidecar.hear(told, Event::Listed(ListNews::Complete(vec![listing(1)])));
+        sidecar.hear(told, Event::ListReceived(ListUpdate::Complete(vec![listing(1)])));
         sidecar.fail(ends);
         sidecar.call(sidecar.next_call);
         sidecar.fail(sidecar.next_call);
--- a/crates/decide/tests/upload.rs
+++ b/crates/decide/tests/upload.rs
@@ -18,7 +18,7 @@
         settings.limits.probes = false;
         let mut stage = Stage { module: Balancer::new(settings, 7), out: Vec::new(), next: 1 };
         let list = (1..=servers).map(listing).collect();
-        stage.tell(0.0, Event::Listed(ListNews::Complete(list)));
+        stage.tell(0.0, Event::ListReceived(ListUpdate::Complete(list)));
         stage
     }
 
@@ -33,7 +33,7 @@
         let request = RequestId(self.next);
         self.next += 2;
         let actions =
-            self.tell(now, Event::Arrived { request, class, tenant: TenantId(0), time_left: 400.0 });
+            self.tell(now, Event::RequestArrived { request, class, tenant: TenantId(0), time_left: 400.0 });
         let sent = actions.into_iter().find_map(|action| match action {
             Action::Send { upstream, timeout, .. } => Some((upstream, timeout)),
             _ => None,
@@ -41,8 +41,8 @@
         (request, sent)
     }
 
-    fn upload(&mut self, now: Millis, request: RequestId, coming: bool) {
-        self.tell(now, Event::Upload { request, attempt: AttemptNo(0), coming });
+    fn upload(&mut self, now: Millis, request: RequestId, in_progress: bool) {
+        self.tell(now, Event::UploadProgress { request, attempt: AttemptNo(0), in_progress });
     }
 
     fn end(
@@ -52,11 +52,19 @@
         upstream: UpstreamId,
         outcome: Outcome,
     ) -> Vec<Action> {
-        let closed = outcome == Outcome::Ok;
+        let client_answered = outcome == Outcome::Ok;
         let (attempt, latency, report) = (AttemptNo(0), 20.0, None);
         self.tell(
             now,
-            Event::Finished(Finished { request, attempt, upstream, outcome, latency, closed, report }),
+            Event::AttemptFinished(FinishedAttempt {
+                request,
+                attempt,
+                upstream,
+                outcome,
+                latency,
+                client_answered,
+                report,
+            }),
         )
     }
 }
@@ -120,8 +128,8 @@
     let (request, sent) = stage.ask(0.0, ONCE);
     let (upstream, _) = sent.expect("sent");
     stage.upload(0.0, request, true);
-    let gone = Listing { lifecycle: Lifecycle::Leaving, ..listing(upstream.0) };
-    stage.tell(10.0, Event::Listed(ListNews::Changed(vec![gone])));
+    let gone = Listing { lifecycle: Lifecycle::Draining, ..listing(upstream.0) };
+    stage.tell(10.0, Event::ListReceived(ListUpdate::Changed(vec![gone])));
     stage.upload(20.0, request, false);
     let actions = stage.end(30.0, request, upstream, Outcome::Reset);
     assert!(matches!(actions[..], [Action::Fail(_)]), "it may have run: {actions:?}");
--- a/crates/flows/src/flows.rs
+++ b/crates/flows/src/flows.rs
@@ -6,7 +6,9 @@
 use ahash::RandomState;
 use oorandom::Rand64;
 use sagemast_decide::api as module;
-use sagemast_decide::api::{AttemptNo, ClassId, Finished, ListNews, Outcome, Report, RequestId, TenantId};
+use sagemast_decide::api::{
+    AttemptNo, ClassId, FinishedAttempt, ListUpdate, Outcome, Report, RequestId, TenantId,
+};
 use sagemast_decide::balancer::Balancer;
 
 use crate::api::*;
@@ -104,30 +106,30 @@
             worth: 1.0,
             late_worth: 0.0,
             // A datagram is never sent again: a further attempt is made of the next one.
-            effect: module::Effect::Repeatable,
+            effect: module::Effect::Idempotent,
         }],
         tenants: Vec::new(),
         over_quota_worth: 0.0,
         zone: module::ZoneId(rules.zone),
         sidecars: rules.peers,
         // Flows stay where they are: all servers are known.
-        identity: module::Identity::Nobody,
-        crossing_fee: rules.crossing_fee,
-        probe_fee: 0.0,
-        attempt_fee: 0.0,
+        identity: module::Identity::Anonymous,
+        cross_zone_cost: rules.crossing_fee,
+        probe_cost: 0.0,
+        attempt_cost: 0.0,
         limits: module::Limits {
             max_attempts: ATTEMPTS,
-            duplicates: false,
+            allow_parallel_attempts: false,
             probes: false,
             cancel: false,
             max_retry_after: 0.0,
             tick: 0.0,
         },
-        safety: module::Safety {
-            cold_share: rules.cold_share,
+        slow_start: module::SlowStartLimits {
+            initial_capacity_share: rules.cold_share,
             warm_up: rules.warm_up,
-            fall_multiple: rules.fall_multiple,
-            fall: 1_500.0,
+            overload_multiple: rules.fall_multiple,
+            overload_window: 1_500.0,
         },
         discovery: module::Discovery::Pushed,
     }
@@ -350,7 +352,7 @@
         self.next_request += 1;
         let request = self.next_request;
         let time_left = self.rules.unanswered;
-        let arrived = module::Event::Arrived {
+        let arrived = module::Event::RequestArrived {
             request: RequestId(request),
             class: ClassId(0),
             tenant: TenantId(0),
@@ -390,16 +392,16 @@
                 }
                 return Some((at, Opening { request, attempt, since: now, timeout }));
             }
-            let end = Finished {
+            let end = FinishedAttempt {
                 request: RequestId(request),
                 attempt: AttemptNo(attempt),
                 upstream,
                 outcome: Outcome::Full,
                 latency: 0.0,
-                closed: false,
+                client_answered: false,
                 report: None,
             };
-            self.module.handle(now, module::Event::Finished(end), actions);
+            self.module.handle(now, module::Event::AttemptFinished(end), actions);
             attempt += 1;
         }
     }
@@ -445,17 +447,17 @@
         let again = matches!(outcome, Outcome::TimedOut | Outcome::Unreachable);
         let upstream = server.id;
         let report = (outcome == Outcome::Ok).then(|| self.load(self.table.flows[at as usize].server));
-        let end = Finished {
+        let end = FinishedAttempt {
             request: RequestId(opening.request),
             attempt: AttemptNo(opening.attempt),
             upstream,
             outcome,
             latency: (now - opening.since).max(0.001),
-            closed: !again,
+            client_answered: !again,
             report,
         };
         let mut actions = std::mem::take(&mut self.actions);
-        self.module.handle(now, module::Event::Finished(end), &mut actions);
+        self.module.handle(now, module::Event::AttemptFinished(end), &mut actions);
         let next = match again {
             true => self.follow(now, (opening.request, opening.attempt + 1), &mut actions, out),
             false => None,
@@ -587,7 +589,7 @@
         server.listed = server.is_offered() && server.has_place(now, &self.rules);
         let listing = server.listing(&self.rules);
         let mut actions = Vec::new();
-        let news = module::Event::Listed(ListNews::Changed(vec![listing]));
+        let news = module::Event::ListReceived(ListUpdate::Changed(vec![listing]));
         self.module.handle(now, news, &mut actions);
         self.tell_load(now, at);
     }
@@ -788,13 +790,13 @@
     /// A choice of the module that comes too late: nothing goes there.
     fn decline(&mut self, now: Millis, server: u32, opening: Opening) {
         let to = &mut self.servers.all[server as usize];
-        let end = Finished {
+        let end = FinishedAttempt {
             request: RequestId(opening.request),
             attempt: AttemptNo(opening.attempt),
             upstream: to.id,
             outcome: Outcome::NotSent,
             latency: 0.0,
-            closed: true,
+            client_answered: true,
             report: None,
         };
         if to.lost.is_some_and(|lost| lost.tried) {
@@ -802,7 +804,7 @@
             self.relist(now, server);
         }
         let mut actions = Vec::new();
-        self.module.handle(now, module::Event::Finished(end), &mut actions);
+        self.module.handle(now, module::Event::AttemptFinished(end), &mut actions);
     }
 
     // --- Servers -----------------------------------------------------------------------------
@@ -886,7 +888,11 @@
         }
         let (upstream, report) = (server.id, Some(self.load(at)));
         let mut actions = std::mem::take(&mut self.actions);
-        self.module.handle(now, module::Event::Probed { upstream, answered: true, report }, &mut actions);
+        self.module.handle(
+            now,
+            module::Event::ProbeFinished { upstream, answered: true, report },
+            &mut actions,
+        );
         actions.clear();
         self.actions = actions;
     }
@@ -959,7 +965,7 @@
     /// Goes by other rules from now on. Flows beyond new limits stay until they end.
     pub fn set_rules(&mut self, now: Millis, rules: Rules) {
         let now = self.pass(now);
-        let peers = module::Event::Sidecars(rules.peers);
+        let peers = module::Event::SidecarCountChanged(rules.peers);
         self.rules = rules;
         let mut actions = Vec::new();
         self.module.handle(now, peers, &mut actions);
--- a/crates/flows/src/servers.rs
+++ b/crates/flows/src/servers.rs
@@ -100,7 +100,7 @@
 
     /// In the module's terms. Its capacity is what it can hold in flows.
     pub fn listing(&self, rules: &Rules) -> Listing {
-        let lifecycle = if self.listed { Lifecycle::Serving } else { Lifecycle::Leaving };
+        let lifecycle = if self.listed { Lifecycle::Serving } else { Lifecycle::Draining };
         Listing {
             upstream: self.id,
             zone: ZoneId(self.entry.zone),
--- a/crates/model/src/day.rs
+++ b/crates/model/src/day.rs
@@ -1,6 +1,6 @@
 //! A day as a file has it: who asks for what, what serves it, what lies between, and what goes wrong.
 
-use sagemast_decide::api::{Effect, Scope};
+use sagemast_decide::api::{Effect, KeyScope};
 use serde::{Deserialize, Serialize};
 
 use crate::server::Discipline;
@@ -169,9 +169,9 @@
     /// In the module's terms.
     pub fn effect(self) -> Effect {
         match self {
-            EffectName::Safe => Effect::Repeatable,
-            EffectName::Keyed => Effect::ByKey { scope: Scope::Zone, window: KEY_WINDOW_MS },
-            EffectName::Unsafe => Effect::Once,
+            EffectName::Safe => Effect::Idempotent,
+            EffectName::Keyed => Effect::IdempotentByKey { scope: KeyScope::Zone, window: KEY_WINDOW_MS },
+            EffectName::Unsafe => Effect::NonIdempotent,
         }
     }
 }
