--- a/crates/decide/src/balancer.rs
+++ b/crates/decide/src/balancer.rs
@@ -85,24 +85,24 @@
     pub(crate) rng: Rand64,
     pub(crate) now: Millis,
     /// What limits traffic that leaves the zone, if anything does.
-    pub(crate) cross: Option<Box<dyn CrossZone>>,
+    pub(crate) cross_zone_budget: Option<Box<dyn CrossZone>>,
     pub(crate) requests: FxHashMap<RequestId, PendingRequest>,
     pub(crate) upstreams: Fleet,
     /// Sends that have not ended: their number in the books of their server. And the next number.
     pub(crate) sends: FxHashMap<(RequestId, AttemptNo), (u64, UpstreamId)>,
     pub(crate) next_send: u64,
     pub(crate) uploads: Uploads,
-    pub(crate) watch: CheckSchedule,
+    pub(crate) check_schedule: CheckSchedule,
     discovery_calls: CallSchedule,
-    purse: ProbeBudget,
+    probe_budget: ProbeBudget,
     /// Zones that cannot be reached.
     pub(crate) outages: ZoneOutages,
     /// In which order servers are taken into the subset, and how many.
-    pub(crate) order: ServerRanking,
-    size: SubsetSize,
+    pub(crate) ranking: ServerRanking,
+    subset_size: SubsetSize,
     /// Which requests wait for a server's probe.
     waiting: BTreeSet<(UpstreamId, RequestId)>,
-    pub(crate) seen: Estimates,
+    pub(crate) estimates: Estimates,
 }
 
 impl Balancer {
@@ -111,28 +111,28 @@
         // Until answers tell, a service time that leaves room for a queue and another try.
         let service =
             settings.classes.iter().map(|class| ClassEstimates::new(class.aim * SERVICE_PRIOR)).collect();
-        let seen = Estimates::new(service, settings.tenants.len(), RETRY_BURST);
-        let purse = ProbeBudget::new(settings.probe_cost);
-        let order = ServerRanking::new(settings.identity);
+        let estimates = Estimates::new(service, settings.tenants.len(), RETRY_BURST);
+        let probe_budget = ProbeBudget::new(settings.probe_cost);
+        let ranking = ServerRanking::new(settings.identity);
         let home = (settings.cross_zone_cost > 0.0).then_some(settings.zone);
         Balancer {
             settings,
             rng: Rand64::new(u128::from(seed)),
             now: 0.0,
-            cross: None,
+            cross_zone_budget: None,
             requests: FxHashMap::default(),
-            upstreams: Fleet::new(order, home),
+            upstreams: Fleet::new(ranking, home),
             sends: FxHashMap::default(),
             next_send: 1,
             uploads: Uploads::default(),
-            watch: CheckSchedule::default(),
+            check_schedule: CheckSchedule::default(),
             discovery_calls: CallSchedule::default(),
-            purse,
+            probe_budget,
             outages: ZoneOutages::default(),
-            order,
-            size: SubsetSize::default(),
+            ranking,
+            subset_size: SubsetSize::default(),
             waiting: BTreeSet::new(),
-            seen,
+            estimates,
         }
     }
 
@@ -159,9 +159,9 @@
             }
             Event::ClientDisconnected(request) => {
                 // Who goes once the aim has passed was not served in time; who goes before tells nothing.
-                let held = self.requests.get(&request).filter(|held| held.tries.iter().any(|t| t.out));
+                let held = self.requests.get(&request).filter(|held| held.attempts.iter().any(|t| t.out));
                 if held.is_some_and(|held| self.aim_left(held) <= 0.0) {
-                    self.seen.throttle.ended(false);
+                    self.estimates.throttle.ended(false);
                 }
                 self.abandoned(request, out);
             }
@@ -171,18 +171,18 @@
             Event::ListReceived(news) => self.listed(news, out),
             Event::SidecarCountChanged(count) => {
                 self.settings.sidecars = count;
-                self.cross.iter_mut().for_each(|plan| plan.sidecars(self.now, count));
+                self.cross_zone_budget.iter_mut().for_each(|plan| plan.sidecars(self.now, count));
             }
             Event::TimerFired(0) if self.discovery_calls.begin_call(self.now) => out.push(Action::Subscribe),
             Event::TimerFired(check_schedule::TOKEN) => {
-                self.watch.woke();
-                while let Some(request) = self.watch.next(self.now) {
+                self.check_schedule.woke();
+                while let Some(request) = self.check_schedule.next(self.now) {
                     self.look_after(request, out);
                 }
             }
             Event::TimerFired(token) => self.resume(token, out),
         }
-        self.watch.arm(out);
+        self.check_schedule.arm(out);
     }
 
     fn arrived(&mut self, request: RequestId, held: PendingRequest, out: &mut Vec<Action>) {
@@ -192,25 +192,26 @@
         if held.class.0 >= self.settings.classes.len() {
             return out.push(Action::Refuse { request, retry_after: 0.0 });
         }
-        self.seen.retry_tokens = (self.seen.retry_tokens + RETRY_SHARE).min(RETRY_BURST);
-        self.purse.arrived();
-        self.size.arrived(self.now);
-        for (number, share) in self.seen.tenant_shares.iter_mut().enumerate() {
+        self.estimates.retry_tokens = (self.estimates.retry_tokens + RETRY_SHARE).min(RETRY_BURST);
+        self.probe_budget.arrived();
+        self.subset_size.arrived(self.now);
+        for (number, share) in self.estimates.tenant_shares.iter_mut().enumerate() {
             *share += SMOOTH_ALL * (f64::from(u8::from(number == held.tenant.0)) - *share);
         }
-        let service = self.seen.service[held.class.0].time;
-        let mean = self.seen.usual_service.get_or_insert(service);
+        let service = self.estimates.service[held.class.0].time;
+        let mean = self.estimates.usual_service.get_or_insert(service);
         *mean += SMOOTH_ALL * (service - *mean);
-        let (density, usual) = (self.density(&held), self.seen.usual_density.unwrap_or(self.density(&held)));
-        self.seen.usual_density = Some(usual + SMOOTH_ALL * (density - usual));
+        let (density, usual) =
+            (self.density(&held), self.estimates.usual_density.unwrap_or(self.density(&held)));
+        self.estimates.usual_density = Some(usual + SMOOTH_ALL * (density - usual));
         // Where servers tell of their load, room is judged by that.
         let aim = self.settings.classes[held.class.0].aim;
-        let blind = self.seen.first_at.is_none();
-        let chance = if blind { self.seen.throttle.chance(self.now, aim) } else { 0.0 };
+        let blind = self.estimates.first_at.is_none();
+        let chance = if blind { self.estimates.throttle.chance(self.now, aim) } else { 0.0 };
         self.requests.insert(request, held);
         // Luck is drawn only where it decides something.
         if chance > 0.0 && self.rng.rand_float() < chance {
-            self.seen.throttle.turned_away();
+            self.estimates.throttle.turned_away();
             return self.give_up(request, out);
         }
         self.place(request, out);
@@ -222,14 +223,14 @@
         let drawn = self.draw(&held, out);
         let (chosen, again) = (drawn.map(|(pair, _)| pair), drawn.is_some_and(|(_, again)| again));
         // On old readings, sidecars that send seldom crowd onto the same servers, or refuse what has room.
-        if let Some(pair) = chosen.filter(|pair| pair.iter().any(|c| c.unsure)) {
+        if let Some(pair) = chosen.filter(|pair| pair.iter().any(|c| c.awaits_probe)) {
             return self.hold(request, pair, again, out);
         }
         let refused = f64::from(u8::from(chosen.is_none()));
-        self.seen.refused += SMOOTH_ALL * (refused - self.seen.refused);
-        let class = &mut self.seen.service[held.class.0];
+        self.estimates.refused += SMOOTH_ALL * (refused - self.estimates.refused);
+        let class = &mut self.estimates.service[held.class.0];
         class.refused += SMOOTH_ALL * (refused - class.refused);
-        let by_use = chosen.map(|[a, b]| if b.projected < a.projected { [b, a] } else { [a, b] });
+        let by_use = chosen.map(|[a, b]| if b.projected_load < a.projected_load { [b, a] } else { [a, b] });
         let taker = by_use.into_iter().flatten().find(|c| self.admits(c, &held, again));
         let other = |_| self.warm_one(&held).or_else(|| self.cold_one(&held));
         match taker.or_else(|| chosen.and_then(other)) {
@@ -247,13 +248,13 @@
     /// allowance for each sidecar. A part that never comes to one request is a chance of one instead, spent
     /// whether or not it wins.
     fn admits(&mut self, to: &Candidate, held: &PendingRequest, again: bool) -> bool {
-        if to.warmth >= 1.0 {
+        if to.warm_up_fraction >= 1.0 {
             return true;
         }
-        let odds = if again { held.odds } else { self.odds(held) };
+        let odds = if again { held.draw_share } else { self.odds(held) };
         // Where there is no room elsewhere, more requests come than servers can carry, and more to this one.
-        let multiple = self.settings.slow_start.overload_multiple * to.warmth;
-        let share = COLD_MARGIN * multiple / 2.0 * odds * (1.0 - self.seen.refused);
+        let multiple = self.settings.slow_start.overload_multiple * to.warm_up_fraction;
+        let share = COLD_MARGIN * multiple / 2.0 * odds * (1.0 - self.estimates.refused);
         self.affords(to, held.class, share)
     }
 
@@ -261,14 +262,15 @@
     fn hold(&mut self, request: RequestId, pair: [Candidate; 2], again: bool, out: &mut Vec<Action>) {
         let Some(known) = self.requests.get(&request) else { return };
         // What a cold one was drawn from is told by how things stand at the draw.
-        let odds = match pair.iter().any(|c| c.warmth < 1.0) {
+        let odds = match pair.iter().any(|c| c.warm_up_fraction < 1.0) {
             true if !again => self.odds(&known.clone()),
-            _ => known.odds,
+            _ => known.draw_share,
         };
         let Some(held) = self.requests.get_mut(&request) else { return };
-        (held.odds, held.holds, held.bend) = (odds, held.holds + 1, pair.iter().find_map(|c| c.bend));
+        (held.draw_share, held.probe_waits, held.exemption) =
+            (odds, held.probe_waits + 1, pair.iter().find_map(|c| c.exemption));
         let most = HOLD_FOR * self.settings.classes[held.class.0].aim;
-        let at = self.now + self.seen.probe_time.map_or(most, |time| most.min(HOLD_PROBES * time));
+        let at = self.now + self.estimates.probe_time.map_or(most, |time| most.min(HOLD_PROBES * time));
         out.push(Action::SetTimer { at: at.min(held.deadline), token: request.0 >> 1 });
         let before = held.pair.replace(pair.map(|c| c.id));
         self.wait_no_more(request, before);
@@ -288,10 +290,11 @@
     /// to it, so work that earns less for its service time than the usual is the first to be refused.
     fn room(&self, held: &PendingRequest) -> f64 {
         let density = self.density(held);
-        let worth = (density / self.seen.usual_density.unwrap_or(density)).powf(FAVOUR).clamp(0.5, 1.5);
+        let worth = (density / self.estimates.usual_density.unwrap_or(density)).powf(FAVOUR).clamp(0.5, 1.5);
         // By worth alone one class would bear all refusals.
-        let even = (1.0 + EVEN * (self.seen.service[held.class.0].refused - self.seen.refused)).max(0.5);
-        self.seen.room_scale * ROOM * worth * even
+        let even =
+            (1.0 + EVEN * (self.estimates.service[held.class.0].refused - self.estimates.refused)).max(0.5);
+        self.estimates.wait_scale * ROOM * worth * even
     }
 
     /// What a request earns for its service time. No sidecar can know which tenants are over their share;
@@ -299,11 +302,11 @@
     fn density(&self, held: &PendingRequest) -> f64 {
         let quotas: f64 = self.settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
         let quota = self.settings.tenants.get(held.tenant.0).map_or(0.0, |tenant| tenant.quota_per_s);
-        let share = self.seen.tenant_shares.get(held.tenant.0).copied().unwrap_or(0.0);
+        let share = self.estimates.tenant_shares.get(held.tenant.0).copied().unwrap_or(0.0);
         let within = if quota > 0.0 && share > 0.0 { (quota / quotas / share).min(1.0) } else { 1.0 };
         let worth = self.settings.classes[held.class.0].worth;
         worth * (within + (1.0 - within) * self.settings.over_quota_worth)
-            / self.seen.service[held.class.0].time.max(1.0)
+            / self.estimates.service[held.class.0].time.max(1.0)
     }
 
     /// Time until the answer loses its worth.
@@ -317,7 +320,7 @@
         let safe = match self.settings.classes[held.class.0].effect {
             Effect::Idempotent | Effect::IdempotentByKey { scope: KeyScope::All, .. } => true,
             Effect::IdempotentByKey { .. } | Effect::NonIdempotent => {
-                !held.tries.iter().any(|t| t.may_have_run)
+                !held.attempts.iter().any(|t| t.may_have_run)
             }
         };
         if safe {
@@ -339,7 +342,7 @@
 
     pub(crate) fn watch_no_more(&mut self, request: RequestId) {
         if let Some(held) = self.requests.get_mut(&request) {
-            self.watch.set(request, held.look_at.take(), None);
+            self.check_schedule.set(request, held.check_at.take(), None);
         }
     }
 
@@ -353,7 +356,7 @@
 
     /// How much longer times are here than where the mean service time is the usual.
     fn scale(&self) -> f64 {
-        (self.seen.usual_service.unwrap_or(USUAL_SERVICE) / USUAL_SERVICE).clamp(1.0, MOST_SCALE)
+        (self.estimates.usual_service.unwrap_or(USUAL_SERVICE) / USUAL_SERVICE).clamp(1.0, MOST_SCALE)
     }
 
     /// What all servers are looked at with.
@@ -362,23 +365,23 @@
         let spare = aim_left > 2.0 * HOLD_FOR * self.settings.classes[held.class.0].aim;
         // With roughly exponential answer times one expected at `wait` misses its aim with probability
         // exp(-aim/wait): while that is below the fee, crossing does not pay.
-        let terms = self.cross.as_ref().map(|plan| plan.terms(self.now, held.class));
+        let terms = self.cross_zone_budget.as_ref().map(|plan| plan.terms(self.now, held.class));
         let limit = |fee: f64| if fee > 0.0 { aim_left / (1.0 / fee).ln().max(1.0) } else { 0.0 };
-        let service = self.seen.service[held.class.0].time;
-        let soon = self.seen.probe_time.is_none_or(|time| time <= HOLD_WORTH * service);
+        let service = self.estimates.service[held.class.0].time;
+        let soon = self.estimates.probe_time.is_none_or(|time| time <= HOLD_WORTH * service);
         SelectionContext {
             service,
             outside: false,
             // Older than what is renewed: there is a probe to wait for.
-            hold_after: (HOLD_AFTER * service).max(FRESH * self.scale()),
+            max_report_age: (HOLD_AFTER * service).max(FRESH * self.scale()),
             means: self.upstreams.means(),
-            may_hold: self.settings.limits.probes
-                && self.purse.can(2.0)
-                && held.holds < HOLDS
+            may_wait_for_probe: self.settings.limits.probes
+                && self.probe_budget.can(2.0)
+                && held.probe_waits < HOLDS
                 && spare
                 && soon,
-            room: self.room(held) * aim_left * if held.holds > 0 { HELD_ROOM } else { 1.0 },
-            near_limit: limit(terms.map_or(self.settings.cross_zone_cost, |terms| terms.fee)),
+            max_wait: self.room(held) * aim_left * if held.probe_waits > 0 { HELD_ROOM } else { 1.0 },
+            same_zone_limit: limit(terms.map_or(self.settings.cross_zone_cost, |terms| terms.fee)),
             failing: terms.map_or(1.0, |terms| terms.bend_at),
         }
     }
@@ -392,34 +395,35 @@
     ) -> Option<Candidate> {
         let (id, upstream) = self.upstreams.at(slot)?;
         let (in_flight, kappa) = (self.in_flight(upstream, &view.means), self.kappa(upstream));
-        let warmth = upstream.warmth(self.now, &self.settings.slow_start);
-        let slowness = self.slowness(upstream) / warmth;
+        let warm_up_fraction = upstream.warmth(self.now, &self.settings.slow_start);
+        let slowness = self.slowness(upstream) / warm_up_fraction;
         let depth = ((in_flight + 1.0) / kappa).max(1.0);
         Some(Candidate {
             id,
             zone: upstream.zone,
-            near: upstream.zone == self.settings.zone,
-            bend: None,
-            heard: upstream.is_heard,
-            unsure: view.may_hold && self.now - upstream.reported_at > view.hold_after,
+            same_zone: upstream.zone == self.settings.zone,
+            exemption: None,
+            heard: upstream.has_valid_report,
+            awaits_probe: view.may_wait_for_probe && self.now - upstream.reported_at > view.max_report_age,
             // One that has just failed this request is the likeliest to fail it again.
             healthy: self.takes_part(upstream)
                 && !self.outages.is_out(upstream.zone)
-                && held.tries.iter().all(|t| t.upstream != id),
-            projected: (in_flight + 1.0) / kappa * slowness,
+                && held.attempts.iter().all(|t| t.upstream != id),
+            projected_load: (in_flight + 1.0) / kappa * slowness,
             depth,
             // An empty one is idle whatever its size: else nothing could ever correct what was learnt.
             idle: self.says_idle(upstream)
-                || in_flight + 1.0 <= (IDLE * kappa).max((2.5 - IDLE_CROWDED * self.seen.refused).max(1.0)),
+                || in_flight + 1.0
+                    <= (IDLE * kappa).max((2.5 - IDLE_CROWDED * self.estimates.refused).max(1.0)),
             wait: view.service * slowness * depth,
-            failing: upstream.failure_rate,
-            warmth,
+            failure_rate: upstream.failure_rate,
+            warm_up_fraction,
         })
     }
 
     /// Where a further send may go, by what may have run already.
     pub(crate) fn reach(&self, held: &PendingRequest) -> Option<CandidateScope> {
-        let Some(first) = held.tries.iter().find(|t| t.out || t.may_have_run) else {
+        let Some(first) = held.attempts.iter().find(|t| t.out || t.may_have_run) else {
             return Some(CandidateScope::All);
         };
         match self.settings.classes[held.class.0].effect {
@@ -438,27 +442,29 @@
     }
 
     pub(crate) fn kappa(&self, upstream: &Upstream) -> f64 {
-        self.seen.kappa(upstream, self.upstreams.known_of(upstream.kind), self.now, self.scale())
+        self.estimates.kappa(upstream, self.upstreams.known_of(upstream.kind), self.now, self.scale())
     }
 
     /// m: the last report and our sends since; an unheard server takes the mean m of the known ones.
     fn in_flight(&self, upstream: &Upstream, means: &FleetMeans) -> f64 {
         let own = upstream.outstanding.len() as f64;
-        if !upstream.is_heard || !self.seen.believes() {
+        if !upstream.has_valid_report || !self.estimates.believes() {
             // What all send to a cold one is kept to what it surely does: others' queues are not its.
             let cold = upstream.warmth(self.now, &self.settings.slow_start) < 1.0;
             return own + if cold { 0.0 } else { means.in_flight };
         }
         // A report below what we ourselves have out there is old, whatever it says.
-        (upstream.reported + upstream.since_counted as f64).max(own)
+        (upstream.reported_in_flight + upstream.unreported_sends as f64).max(own)
     }
 
     /// Whether one of unknown size says itself that it is little used, and has not been sent twice as much
     /// since.
     fn says_idle(&self, upstream: &Upstream) -> bool {
-        let sent = upstream.since_counted as f64;
-        let believed = upstream.is_heard && self.seen.believes() && sent <= upstream.reported + 1.0;
-        upstream.kappa.is_none() && believed && upstream.utilisation.is_some_and(|u| u < IDLE)
+        let sent = upstream.unreported_sends as f64;
+        let believed = upstream.has_valid_report
+            && self.estimates.believes()
+            && sent <= upstream.reported_in_flight + 1.0;
+        upstream.capacity.is_none() && believed && upstream.utilisation.is_some_and(|u| u < IDLE)
     }
 
     /// Service time relative to the mean server, from answers and from sends that are long unanswered.
@@ -467,13 +473,13 @@
         // A server that hangs gives no answers to learn from: the time since its last one tells.
         let ageing = upstream.outstanding.oldest().map_or(0.0, |(_, oldest)| {
             AGEING * (self.now - oldest.sent.max(upstream.answered_at))
-                / (oldest.depth * self.seen.service[oldest.class.0].time)
+                / (oldest.depth * self.estimates.service[oldest.class.0].time)
         });
         learnt.max(ageing).max(0.05)
     }
 
     pub(crate) fn remembered(&self, upstream: &Upstream) -> f64 {
-        self.seen.slowness(upstream, self.upstreams.known_of(upstream.kind), self.now, self.scale())
+        self.estimates.slowness(upstream, self.upstreams.known_of(upstream.kind), self.now, self.scale())
     }
 
     fn takes_part(&self, upstream: &Upstream) -> bool {
@@ -496,13 +502,14 @@
         let view = self.view(held);
         let before = self.asked_for(held, &view);
         let inside = reach.inside();
-        let near = if before.is_none() && held.holds == 0 { self.near(inside, held, &view) } else { None };
+        let near =
+            if before.is_none() && held.probe_waits == 0 { self.near(inside, held, &view) } else { None };
         let mut pair = before.or(near).or_else(|| self.open(inside, held, &view));
         if pair.is_none() && inside != reach && self.upstreams.size(reach) != self.upstreams.size(inside) {
             // A refusal is honest only after a look outside; what is found there widens the subset.
             pair = self.open(reach, held, &SelectionContext { outside: true, ..view });
             if pair.is_some() {
-                self.size.widen();
+                self.subset_size.widen();
             }
         }
         let Some(pair) = pair else {
@@ -516,15 +523,15 @@
 
     /// Brings the subset into line with the traffic and with what has become of its members.
     fn know(&mut self) {
-        if self.seen.carried.is_due(self.now) {
+        if self.estimates.observed_capacity.is_due(self.now) {
             let warm = self.upstreams.warm_servers(self.now, &self.settings.slow_start);
-            self.seen.carried.review(self.now, warm);
+            self.estimates.observed_capacity.review(self.now, warm);
         }
-        let wanted = self.size.wanted(self.now, self.upstreams.serving(), self.settings.sidecars);
+        let wanted = self.subset_size.wanted(self.now, self.upstreams.serving(), self.settings.sidecars);
         if self.upstreams.is_settled(wanted, self.now) {
             return;
         }
-        let mut fleet = std::mem::replace(&mut self.upstreams, Fleet::new(self.order, None));
+        let mut fleet = std::mem::replace(&mut self.upstreams, Fleet::new(self.ranking, None));
         fleet.settle(wanted, self.now, |_, server| self.standing(server));
         self.upstreams = fleet;
     }
@@ -535,7 +542,7 @@
         for _ in 0..2 {
             let slot = looks.next(&mut self.upstreams, &mut self.rng);
             let Some((id, upstream)) = slot.and_then(|slot| self.upstreams.at(slot)) else { return };
-            if self.now - upstream.reported_at > view.hold_after {
+            if self.now - upstream.reported_at > view.max_report_age {
                 self.probe(id, out);
             }
         }
@@ -544,7 +551,11 @@
     /// Of the pair that was drawn before and asked since, those that still suit.
     fn asked_for(&self, held: &PendingRequest, view: &SelectionContext) -> Option<[Candidate; 2]> {
         let limit = |c: &Candidate| {
-            if held.holds == 1 && c.near { view.near_limit.min(view.room) } else { view.room }
+            if held.probe_waits == 1 && c.same_zone {
+                view.same_zone_limit.min(view.max_wait)
+            } else {
+                view.max_wait
+            }
         };
         let fits = |c: &Candidate| c.healthy && view.has_room(c) && c.wait <= limit(c);
         let suits = |c: &Candidate| fits(c) && self.still_pays(held, c);
@@ -562,7 +573,7 @@
         held: &PendingRequest,
         view: &SelectionContext,
     ) -> Option<[Candidate; 2]> {
-        if view.near_limit == 0.0 {
+        if view.same_zone_limit == 0.0 {
             return None;
         }
         let reach = if reach == CandidateScope::Members {
@@ -622,10 +633,10 @@
         } else {
             reach
         };
-        let near = if view.near_limit != 0.0 {
+        let near = if view.same_zone_limit != 0.0 {
             // Where nothing pays for a crossing, the near ones are drawn from as long as one has room.
             let stays = self.stays(held.class);
-            self.count(zone, held, &view, |c| view.suits_near(c) || stays && c.near && view.has_room(c))
+            self.count(zone, held, &view, |c| view.suits_near(c) || stays && c.same_zone && view.has_room(c))
         } else {
             0.0
         };
@@ -657,7 +668,7 @@
     }
 
     pub(crate) fn probe(&mut self, id: UpstreamId, out: &mut Vec<Action>) {
-        let may_probe = self.settings.limits.probes && self.purse.can(1.0);
+        let may_probe = self.settings.limits.probes && self.probe_budget.can(1.0);
         let (now, next) = (self.now, self.next_send);
         let (fresh, lost) = (FRESH * self.scale(), STALE * self.scale());
         let ask = |upstream: &mut Upstream| {
@@ -665,13 +676,13 @@
             let due = may_probe && !waiting && now - upstream.reported_at > fresh;
             if due {
                 upstream.probe_sent = Some(now);
-                (upstream.asked_from, upstream.since_asked) = upstream.unheard(next, now);
+                (upstream.first_send_after_probe, upstream.sends_after_probe) = upstream.unheard(next, now);
             }
             due
         };
         if self.upstreams.change(id, ask) == Some(true) {
             self.tell_probed(id);
-            self.purse.spend();
+            self.probe_budget.spend();
             out.push(Action::Probe(id));
         }
     }
@@ -679,18 +690,22 @@
     fn send(&mut self, request: RequestId, to: Candidate, out: &mut Vec<Action>) {
         let Some(held) = self.requests.get(&request) else { return };
         let left = (held.deadline - self.now).max(0.0);
-        let first = AttemptEvidence { wait: to.wait, failing: to.failing, ..self.no_evidence() };
-        let look =
-            self.may_go_on(held, held.tries.len() + 1).then(|| self.next_look(held, &first, 0.0)).flatten();
+        let first = AttemptEvidence { wait: to.wait, failing: to.failure_rate, ..self.no_evidence() };
+        let look = self
+            .may_go_on(held, held.attempts.len() + 1)
+            .then(|| self.next_look(held, &first, 0.0))
+            .flatten();
         // Who may not call an attempt off has to know beforehand.
         let (timeout, look) = match self.settings.limits.cancel {
             true => (left, look),
-            false if self.may_go_on(held, held.tries.len() + 1) => (self.timeout(held, to).min(left), None),
+            false if self.may_go_on(held, held.attempts.len() + 1) => {
+                (self.timeout(held, to).min(left), None)
+            }
             false => (left, None),
         };
-        let usual = &mut self.seen.service[held.class.0].wait;
+        let usual = &mut self.estimates.service[held.class.0].wait;
         *usual += SMOOTH_ALL * (to.wait - *usual);
-        let (class, attempt, held_bend) = (held.class, AttemptNo(held.tries.len() as u32), held.bend);
+        let (class, attempt, held_bend) = (held.class, AttemptNo(held.attempts.len() as u32), held.exemption);
         let (sent, number) = (self.now, self.next_send);
         let Candidate { depth, wait, zone, .. } = to;
         let enter = |upstream: &mut Upstream| {
@@ -701,10 +716,10 @@
         self.next_send += 1;
         self.sends.insert((request, attempt), (number, to.id));
         if let Some(held) = self.requests.get_mut(&request) {
-            held.tries.push(this);
+            held.attempts.push(this);
             let pair = held.pair.take();
-            held.look_at = look.map(|after| sent + after);
-            self.watch.set(request, None, held.look_at);
+            held.check_at = look.map(|after| sent + after);
+            self.check_schedule.set(request, None, held.check_at);
             self.wait_no_more(request, pair);
         }
         self.tell_sent(CrossZoneAttempt {
@@ -712,7 +727,7 @@
             number: attempt,
             class,
             to: zone,
-            bend: to.bend.or(held_bend),
+            bend: to.exemption.or(held_bend),
         });
         out.push(Action::Send { request, upstream: to.id, timeout });
     }
@@ -721,28 +736,28 @@
     fn finished(&mut self, end: FinishedAttempt, out: &mut Vec<Action>) {
         let (request, outcome) = (end.request, end.outcome);
         let Some(held) = self.requests.get_mut(&request) else { return };
-        let Some(this) = held.tries.get_mut(end.attempt.0 as usize).filter(|t| t.out) else { return };
+        let Some(this) = held.attempts.get_mut(end.attempt.0 as usize).filter(|t| t.out) else { return };
         this.out = false;
-        self.watch.set(request, held.look_at.take(), None);
+        self.check_schedule.set(request, held.check_at.take(), None);
         // A jam once fed itself: answers that servers were full came soon, and made room as if in time.
         let full = outcome == Outcome::Full;
         let late = full || self.now > held.arrived + self.settings.classes[held.class.0].aim;
         let step = if full { SMOOTH } else { SMOOTH_ALL } * (LATE_TARGET - f64::from(u8::from(late)));
-        self.seen.room_scale = (self.seen.room_scale * (1.0 + step)).clamp(0.25, 1.0);
+        self.estimates.wait_scale = (self.estimates.wait_scale * (1.0 + step)).clamp(0.25, 1.0);
         // Failures are those of one server; a jam shows in what comes late.
         if matches!(outcome, Outcome::Ok | Outcome::TimedOut) {
-            self.seen.throttle.ended(outcome == Outcome::Ok && !late);
+            self.estimates.throttle.ended(outcome == Outcome::Ok && !late);
         }
         this.may_have_run = outcome.may_have_run();
         if end.client_answered || outcome == Outcome::Ok {
             return self.abandoned(request, out);
         }
         let held = held.clone();
-        let attempts_left = (held.tries.len() as u32) < self.settings.limits.max_attempts;
-        let given_up = held.tries[end.attempt.0 as usize].given_up;
+        let attempts_left = (held.attempts.len() as u32) < self.settings.limits.max_attempts;
+        let given_up = held.attempts[end.attempt.0 as usize].abandoned;
         let worth_it = self.aim_left(&held) > 0.0 && (outcome != Outcome::NotSent || given_up);
-        if attempts_left && worth_it && self.seen.retry_tokens >= 1.0 {
-            self.seen.retry_tokens -= 1.0;
+        if attempts_left && worth_it && self.estimates.retry_tokens >= 1.0 {
+            self.estimates.retry_tokens -= 1.0;
             self.place(request, out);
         } else {
             self.give_up(request, out);
@@ -753,7 +768,7 @@
     fn abandoned(&mut self, request: RequestId, out: &mut Vec<Action>) {
         let Some(held) = self.end(request) else { return };
         let cancel = self.settings.limits.cancel;
-        for (number, _) in held.tries.iter().enumerate().filter(|(_, t)| t.out && cancel) {
+        for (number, _) in held.attempts.iter().enumerate().filter(|(_, t)| t.out && cancel) {
             out.push(Action::Cancel { request, attempt: AttemptNo(number as u32) });
         }
     }
@@ -765,8 +780,8 @@
         let Some(&(number, _)) = self.sends.get(&key).filter(|(_, to)| *to == id) else { return };
         self.sends.remove(&key);
         let given_up =
-            self.requests.get(&end.request).and_then(|held| held.tries.get(end.attempt.0 as usize));
-        let given_up = given_up.is_some_and(|this| this.given_up) && outcome == Outcome::Cancelled;
+            self.requests.get(&end.request).and_then(|held| held.attempts.get(end.attempt.0 as usize));
+        let given_up = given_up.is_some_and(|this| this.abandoned) && outcome == Outcome::Cancelled;
         let unanswered = given_up || outcome == Outcome::TimedOut;
         let known = self.upstreams.get(id).filter(|_| unanswered).and_then(|upstream| {
             Some(self.evidence_of(upstream, number, &upstream.outstanding.get(number)?))
@@ -776,23 +791,23 @@
         };
         self.tell_of_zone(id, outcome);
         self.carried(id, &sent, outcome);
-        let law = &mut self.seen.service[sent.class.0].law;
+        let law = &mut self.estimates.service[sent.class.0].latencies;
         let silent = known.map_or(0.0, |known| known.silent(law, latency));
         let mute = known.is_some_and(|known| !known.answers && latency >= MUTE * known.crowd * known.wait);
         match outcome {
             Outcome::Ok => {
                 law.answered(latency / sent.wait);
-                self.seen.silence.took(latency / sent.wait);
-                self.seen.silence.met(0.0);
+                self.estimates.unresponsive.took(latency / sent.wait);
+                self.estimates.unresponsive.met(0.0);
                 self.learn(id, sent, latency, true);
             }
             Outcome::Cancelled if !given_up => {}
             Outcome::TimedOut | Outcome::Cancelled => {
                 law.given_up(latency / sent.wait, 1.0 - silent);
                 if silent < SILENT {
-                    self.seen.silence.took(latency / sent.wait);
+                    self.estimates.unresponsive.took(latency / sent.wait);
                 }
-                self.seen.silence.met(silent);
+                self.estimates.unresponsive.met(silent);
                 self.learn(id, sent, latency, false);
             }
             _ => {}
@@ -819,7 +834,9 @@
             self.upstreams.get(id).is_some_and(|u| u.warmth(self.now, &self.settings.slow_start) >= 1.0);
         if warm {
             let answered = f64::from(u8::from(outcome == Outcome::Ok));
-            self.seen.carried.ended(self.now, answered * self.seen.service[sent.class.0].time);
+            self.estimates
+                .observed_capacity
+                .ended(self.now, answered * self.estimates.service[sent.class.0].time);
         }
     }
 
@@ -831,18 +848,18 @@
         let (known, warmth) = (self.remembered(server), server.warmth(self.now, &self.settings.slow_start));
         let kind = server.kind;
         let alone = latency * warmth / sent.depth;
-        let service = &mut self.seen.service[sent.class.0];
+        let service = &mut self.estimates.service[sent.class.0];
         let pace = alone / service.time;
         let (seen, weight) = if answered { (pace, SMOOTH) } else { (known.max(AGEING * pace), 1.0) };
         let now = self.now;
-        let answers = self.seen.kinds.get(&kind).map_or(0.0, |kind| kind.answers);
+        let answers = self.estimates.kinds.get(&kind).map_or(0.0, |kind| kind.answers);
         self.upstreams.change(id, |upstream| {
-            upstream.slowness = known + weight * (seen - known);
-            (upstream.learnt_at, upstream.learnt_after) = (now, answers);
+            upstream.relative_service_time = known + weight * (seen - known);
+            (upstream.estimated_at, upstream.kind_answers_at_estimate) = (now, answers);
             upstream.answered_at = if answered { now } else { upstream.answered_at };
         });
-        self.seen.kinds.entry(kind).or_default().answered(seen, SMOOTH_ALL);
-        self.seen.fleet.answered(seen, SMOOTH_ALL);
+        self.estimates.kinds.entry(kind).or_default().answered(seen, SMOOTH_ALL);
+        self.estimates.fleet.answered(seen, SMOOTH_ALL);
         // The median of sends that met no queue tells the service time: behind one that we underrate, answers
         // are late, and a service time learnt from them would have us refuse work that there is room for.
         if answered && sent.depth <= 1.0 {
@@ -870,13 +887,13 @@
             // One that nobody asked for holds all that was sent.
             let asked_at = upstream.probe_sent.take();
             if asked_at.is_none() {
-                (upstream.asked_from, upstream.since_asked) = upstream.unheard(next, now);
+                (upstream.first_send_after_probe, upstream.sends_after_probe) = upstream.unheard(next, now);
             }
-            (upstream.outstanding.len() - upstream.since_asked, asked_at)
+            (upstream.outstanding.len() - upstream.sends_after_probe, asked_at)
         };
         let Some((ours, asked_at)) = self.upstreams.change(id, take) else { return };
         if let Some(time) = asked_at.map(|at| now - at) {
-            let mean = self.seen.probe_time.get_or_insert(time);
+            let mean = self.estimates.probe_time.get_or_insert(time);
             *mean += SMOOTH * (time - *mean);
         }
         let ours = ours as f64;
@@ -885,7 +902,7 @@
         // when many are, none is believed: each server then counts as unheard.
         if let Some(in_flight) = report.in_flight.filter(|_| ours > 1.0) {
             let late = f64::from(u8::from(in_flight + 1.0 < ours));
-            self.seen.lateness += SMOOTH_ALL * (late - self.seen.lateness);
+            self.estimates.lateness += SMOOTH_ALL * (late - self.estimates.lateness);
         }
         self.take_report(id, report, None);
     }
@@ -895,20 +912,20 @@
         let Some(in_flight) = sound_in_flight(&report) else { return };
         let (now, scale) = (self.now, self.scale());
         let (until, utilisation) = (now + STALE * scale, report.utilisation.filter(|u| *u >= 0.0));
-        let early = now < *self.seen.first_at.get_or_insert(now) + settled_after(scale);
-        let kinds = &self.seen.kinds;
+        let early = now < *self.estimates.first_at.get_or_insert(now) + settled_after(scale);
+        let kinds = &self.estimates.kinds;
         let take = |upstream: &mut Upstream| {
             let weight =
                 reports::enter(upstream, (in_flight, report.utilisation), (now, until, scale), unheard);
             if let Some(utilisation) = utilisation.filter(|_| !early) {
                 learn_kappa(upstream, utilisation, weight);
             }
-            upstream.reported_after = kinds.get(&upstream.kind).map_or(0.0, |kind| kind.reports);
+            upstream.kind_reports_at_report = kinds.get(&upstream.kind).map_or(0.0, |kind| kind.reports);
             upstream.kind
         };
         let Some(kind) = self.upstreams.change(id, take) else { return };
         if let Some(utilisation) = utilisation.filter(|_| !early) {
-            learn_kind(&mut self.seen, kind, in_flight, utilisation);
+            learn_kind(&mut self.estimates, kind, in_flight, utilisation);
         }
     }
 
@@ -942,8 +959,8 @@
             ListUpdate::Changed(list) => list.iter().for_each(|entry| self.list(entry)),
             ListUpdate::Unavailable => out.push(Action::Log("server list unavailable".to_owned())),
         }
-        if self.seen.kinds.len() > KINDS {
-            self.seen.kinds.retain(|kind, _| self.upstreams.has_kind(*kind));
+        if self.estimates.kinds.len() > KINDS {
+            self.estimates.kinds.retain(|kind, _| self.upstreams.has_kind(*kind));
         }
         let Discovery::Subscribed { must_ask_in } = self.settings.discovery else { return };
         if must_ask {
--- a/crates/decide/src/cross_zone.rs
+++ b/crates/decide/src/cross_zone.rs
@@ -97,24 +97,24 @@
 /// The share of its worth that a request is expected to lose at a server, with so much time left: an answer that is
 /// expected after `wait` is late with a chance of exp(-left / wait), since answer times are about exponential.
 fn loss(at: &Candidate, left: Millis) -> f64 {
-    let late = match at.unsure {
+    let late = match at.awaits_probe {
         true => 0.0,
         false if left > 0.0 => (-left / at.wait.max(f64::MIN_POSITIVE)).exp(),
         false => 1.0,
     };
-    1.0 - (1.0 - late) * (1.0 - at.failing)
+    1.0 - (1.0 - late) * (1.0 - at.failure_rate)
 }
 
 impl Balancer {
     /// Puts a plan for traffic that leaves the zone into force, or takes it away. Without one requests cross as
     /// [`Settings::cross_zone_cost`] has it.
     pub fn set_cross_zone(&mut self, plan: Option<Box<dyn CrossZone>>) {
-        self.cross = plan;
+        self.cross_zone_budget = plan;
     }
 
     /// The plan that is in force, to be told of what only the sidecar sees.
     pub fn cross_zone(&mut self) -> Option<&mut (dyn CrossZone + 'static)> {
-        self.cross.as_deref_mut()
+        self.cross_zone_budget.as_deref_mut()
     }
 
     /// Two with room, wherever the request may go.
@@ -125,9 +125,11 @@
         view: &SelectionContext,
     ) -> Option<[Candidate; 2]> {
         // It is asked while servers are looked at, which takes hold of all the rest.
-        let Some(plan) = self.cross.take() else { return self.anywhere(reach, held, view, |_| true) };
+        let Some(plan) = self.cross_zone_budget.take() else {
+            return self.anywhere(reach, held, view, |_| true);
+        };
         let pair = self.under_plan(&*plan, reach, held, view);
-        self.cross = Some(plan);
+        self.cross_zone_budget = Some(plan);
         pair
     }
 
@@ -148,7 +150,7 @@
         };
         if plan.pays(now, class, None) {
             let may = |c: &Candidate| {
-                if c.near { loss(c, left) <= bend_at } else { plan.pays(now, class, Some(c.zone)) }
+                if c.same_zone { loss(c, left) <= bend_at } else { plan.pays(now, class, Some(c.zone)) }
             };
             if let Some(pair) = self.anywhere(reach, held, view, may) {
                 return Some(pair);
@@ -156,14 +158,14 @@
         }
         let (mut near, mut healthy) = (false, false);
         let stay = self.two(home, held, view, false, |c| {
-            near |= c.near;
-            healthy |= c.near && c.healthy;
-            c.near && c.healthy && view.has_room(c)
+            near |= c.same_zone;
+            healthy |= c.same_zone && c.healthy;
+            c.same_zone && c.healthy && view.has_room(c)
         });
         let least = |[a, b]: &[Candidate; 2]| loss(a, left).min(loss(b, left));
         let why = match &stay {
             Some(pair) if least(pair) <= bend_at => return stay,
-            Some([a, b]) if a.failing.min(b.failing) > bend_at => BudgetExemption::Failing,
+            Some([a, b]) if a.failure_rate.min(b.failure_rate) > bend_at => BudgetExemption::Failing,
             Some(_) => BudgetExemption::Late,
             None if !matches!(reach, CandidateScope::All | CandidateScope::Members) && !near => {
                 BudgetExemption::Bound
@@ -173,7 +175,7 @@
         };
         if !plan.bends(why) {
             // Rather one that looks bad than no one.
-            let any = |c: &Candidate| c.near && view.has_room(c);
+            let any = |c: &Candidate| c.same_zone && view.has_room(c);
             return stay.or_else(|| self.two(home, held, view, true, any));
         }
         let across = self.anywhere(reach, held, view, |_| true);
@@ -183,7 +185,7 @@
                 return stay;
             }
         }
-        let bent = |c: Candidate| Candidate { bend: Some(why).filter(|_| !c.near), ..c };
+        let bent = |c: Candidate| Candidate { exemption: Some(why).filter(|_| !c.same_zone), ..c };
         across.map(|pair| pair.map(bent)).or(stay)
     }
 
@@ -191,15 +193,15 @@
     /// have room, near or, where a budget pays or bends, across.
     pub(crate) fn warm_one(&mut self, held: &PendingRequest) -> Option<Candidate> {
         let (reach, view) = (self.reach(held)?.inside(), self.view(held));
-        let (now, class, plan) = (self.now, held.class, self.cross.take());
+        let (now, class, plan) = (self.now, held.class, self.cross_zone_budget.take());
         let across =
             |to| plan.as_ref().is_none_or(|p| p.pays(now, class, Some(to)) || p.bends(BudgetExemption::Full));
-        let may = |c: &Candidate| c.warmth >= 1.0 && (c.near || across(c.zone));
+        let may = |c: &Candidate| c.warm_up_fraction >= 1.0 && (c.same_zone || across(c.zone));
         let pair = self.anywhere(reach, held, &view, may);
-        self.cross = plan;
+        self.cross_zone_budget = plan;
         let [a, b] = pair?;
-        let best = if b.projected < a.projected { b } else { a };
-        Some(Candidate { bend: Some(BudgetExemption::Full).filter(|_| !best.near), ..best })
+        let best = if b.projected_load < a.projected_load { b } else { a };
+        Some(Candidate { exemption: Some(BudgetExemption::Full).filter(|_| !best.same_zone), ..best })
     }
 
     /// Whether a request may go to a server where all near ones are full.
@@ -207,19 +209,19 @@
         let pays = |plan: &dyn CrossZone| {
             plan.pays(self.now, class, Some(to.zone)) || plan.bends(BudgetExemption::Full)
         };
-        to.near || self.cross.as_deref().is_none_or(pays)
+        to.same_zone || self.cross_zone_budget.as_deref().is_none_or(pays)
     }
 
     /// Whether a server that was drawn before may still be sent this request.
     pub(crate) fn still_pays(&self, held: &PendingRequest, to: &Candidate) -> bool {
-        let Some(plan) = self.cross.as_ref().filter(|_| !to.near) else { return true };
-        held.bend.is_some() || plan.pays(self.now, held.class, Some(to.zone))
+        let Some(plan) = self.cross_zone_budget.as_ref().filter(|_| !to.same_zone) else { return true };
+        held.exemption.is_some() || plan.pays(self.now, held.class, Some(to.zone))
     }
 
     /// Tells the plan of an attempt. Its bend counts only where no budget pays.
     pub(crate) fn tell_sent(&mut self, attempt: CrossZoneAttempt) {
         let (now, home) = (self.now, self.settings.zone);
-        let Some(plan) = &mut self.cross else { return };
+        let Some(plan) = &mut self.cross_zone_budget else { return };
         let pays = attempt.to == home || plan.pays(now, attempt.class, Some(attempt.to));
         plan.sent(now, CrossZoneAttempt { bend: attempt.bend.filter(|_| !pays), ..attempt });
     }
@@ -227,11 +229,11 @@
     /// Tells it of a probe.
     pub(crate) fn tell_probed(&mut self, id: UpstreamId) {
         let zone = self.upstreams.get(id).map(|upstream| upstream.zone);
-        self.cross.iter_mut().zip(zone).for_each(|(plan, zone)| plan.probed(zone));
+        self.cross_zone_budget.iter_mut().zip(zone).for_each(|(plan, zone)| plan.probed(zone));
     }
 
     /// Whether the plan keeps a request of this class in its zone, but for bends.
     pub(crate) fn stays(&self, class: ClassId) -> bool {
-        self.cross.as_ref().is_some_and(|plan| !plan.pays(self.now, class, None))
+        self.cross_zone_budget.as_ref().is_some_and(|plan| !plan.pays(self.now, class, None))
     }
 }
--- a/crates/decide/src/estimates.rs
+++ b/crates/decide/src/estimates.rs
@@ -30,12 +30,18 @@
     pub refused: f64,
     /// How long answers are expected to take where its requests go, queues and all, and how long they do take.
     pub wait: Millis,
-    pub law: LatencyHistogram,
+    pub latencies: LatencyHistogram,
 }
 
 impl ClassEstimates {
     pub fn new(time: Millis) -> ClassEstimates {
-        ClassEstimates { time, samples: 0.0, refused: 0.0, wait: time, law: LatencyHistogram::default() }
+        ClassEstimates {
+            time,
+            samples: 0.0,
+            refused: 0.0,
+            wait: time,
+            latencies: LatencyHistogram::default(),
+        }
     }
 
     /// Steps the median towards a sample, at first in larger steps.
@@ -128,11 +134,11 @@
     pub refused: f64,
     pub retry_tokens: f64,
     /// How often servers were silent of late.
-    pub silence: UnresponsiveRate,
+    pub unresponsive: UnresponsiveRate,
     /// What warm servers carry.
-    pub carried: ObservedCapacity,
+    pub observed_capacity: ObservedCapacity,
     /// Room shrinks to this share of the usual while answers are late.
-    pub room_scale: f64,
+    pub wait_scale: f64,
     /// Worth per service time of the mean arrival.
     pub usual_density: Option<f64>,
     /// Each tenant's share of our arrivals.
@@ -156,9 +162,9 @@
             fleet: KindEstimates::default(),
             refused: 0.0,
             retry_tokens,
-            silence: UnresponsiveRate::default(),
-            carried: ObservedCapacity::default(),
-            room_scale: 1.0,
+            unresponsive: UnresponsiveRate::default(),
+            observed_capacity: ObservedCapacity::default(),
+            wait_scale: 1.0,
             usual_density: None,
             tenant_shares: vec![0.0; tenants],
             lateness: 0.0,
@@ -182,10 +188,10 @@
         let of_kind = self.kinds.get(&upstream.kind);
         let kind = of_kind.and_then(KindEstimates::kappa).unwrap_or(listed);
         let reports = of_kind.map_or(0.0, |kind| kind.reports);
-        let rounds = (reports - upstream.reported_after) / known;
-        let trust = upstream.readings / (upstream.readings + KIND_READINGS);
+        let rounds = (reports - upstream.kind_reports_at_report) / known;
+        let trust = upstream.capacity_samples / (upstream.capacity_samples + KIND_READINGS);
         let trust = trust * fade(now - upstream.reported_at, rounds, scale);
-        (kind + (upstream.kappa.unwrap_or(kind) - kind) * trust).max(0.1)
+        (kind + (upstream.capacity.unwrap_or(kind) - kind) * trust).max(0.1)
     }
 
     /// What answers told of a server's slowness; as that is forgotten, the slowness of its kind, of which so many are heard
@@ -193,8 +199,8 @@
     pub fn slowness(&self, upstream: &Upstream, known: f64, now: Millis, scale: f64) -> f64 {
         let kind = self.kinds.get(&upstream.kind).filter(|kind| kind.answers > 0.0);
         let pace = kind.unwrap_or(&self.fleet).pace;
-        let rounds = (kind.map_or(0.0, |kind| kind.answers) - upstream.learnt_after) / known;
-        pace + (upstream.slowness - pace) * fade(now - upstream.learnt_at, rounds, scale)
+        let rounds = (kind.map_or(0.0, |kind| kind.answers) - upstream.kind_answers_at_estimate) / known;
+        pace + (upstream.relative_service_time - pace) * fade(now - upstream.estimated_at, rounds, scale)
     }
 }
 
--- a/crates/decide/src/fleet.rs
+++ b/crates/decide/src/fleet.rs
@@ -136,7 +136,7 @@
 /// What a server holds of others, as its logarithm: who hears of a few servers, one of them in a jam, would take all others
 /// for jammed by the plain mean, and refuse what they have room for.
 fn others(server: &Upstream) -> f64 {
-    (server.reported - server.outstanding.len() as f64).max(0.0).ln_1p()
+    (server.reported_in_flight - server.outstanding.len() as f64).max(0.0).ln_1p()
 }
 
 /// All known servers.
@@ -327,7 +327,7 @@
         let (mut weight, mut reports, mut utilisations) = (0.0, 0.0, 0.0);
         for entry in warm {
             weight += entry.server.weight;
-            if let Some(utilisation) = entry.server.utilisation.filter(|_| entry.server.is_heard) {
+            if let Some(utilisation) = entry.server.utilisation.filter(|_| entry.server.has_valid_report) {
                 reports += 1.0;
                 utilisations += utilisation;
             }
@@ -399,7 +399,7 @@
             if let Some(Some(entry)) = self.entries.get_mut(slot) {
                 entry.heard_until = None;
                 // One that has been heard again meanwhile gets a new entry.
-                entry.server.is_heard &= Due::at(entry.server.heard_until) >= now;
+                entry.server.has_valid_report &= Due::at(entry.server.report_valid_until) >= now;
             }
             self.refresh(slot);
         }
@@ -407,7 +407,7 @@
             self.trials.remove(&(due, slot));
             if let Some(Some(entry)) = self.entries.get_mut(slot) {
                 entry.trial_at = None;
-                entry.server.on_trial = true;
+                entry.server.is_half_open = true;
             }
             self.refresh(slot);
         }
@@ -462,7 +462,7 @@
     fn refresh(&mut self, slot: Slot) {
         let Some(Some(entry)) = self.entries.get_mut(slot) else { return };
         let server = &entry.server;
-        let heard = server.serving && server.is_heard;
+        let heard = server.serving && server.has_valid_report;
         let part = Part {
             serving: server.serving,
             ejected: server.serving && server.health != Health::Ready,
@@ -477,13 +477,13 @@
             self.sides[entry.side].remove(&(entry.depth, slot));
         }
         self.changed |= (part.serving, part.ejected) != (old.serving, old.ejected);
-        if server.is_heard && entry.heard_until.is_none() {
-            let due = Due::at(server.heard_until);
+        if server.has_valid_report && entry.heard_until.is_none() {
+            let due = Due::at(server.report_valid_until);
             self.heard_until.insert((due, slot));
             entry.heard_until = Some(due);
         }
         let trial_at = match server.health {
-            Health::Ejected { until, .. } if server.serving && !server.on_trial => Some(Due::at(until)),
+            Health::Ejected { until, .. } if server.serving && !server.is_half_open => Some(Due::at(until)),
             _ => None,
         };
         if entry.trial_at != trial_at {
@@ -493,7 +493,7 @@
             self.trials.extend(trial_at.map(|due| (due, slot)));
             entry.trial_at = trial_at;
         }
-        let ready = server.health == Health::Ready || server.on_trial;
+        let ready = server.health == Health::Ready || server.is_half_open;
         let (wanted, zone, cell, member) = (server.serving, server.zone, server.cell, entry.member);
         let in_place = match entry.places {
             Some(Places { zone: z, cell: c, ready: r, member: m, .. }) => {
@@ -623,7 +623,7 @@
         assert_eq!(fleet.serving, serving().count());
         let out = |entry: &&Entry| entry.server.health != Health::Ready;
         assert_eq!(fleet.ejected, serving().filter(out).count());
-        let heard = || serving().filter(|entry| entry.server.is_heard);
+        let heard = || serving().filter(|entry| entry.server.has_valid_report);
         assert_eq!(fleet.heard, heard().count());
         assert!((fleet.others - heard().map(|entry| others(&entry.server)).sum::<f64>()).abs() < 1e-6);
         assert!((fleet.failure_rates - serving().map(|e| e.server.failure_rate).sum::<f64>()).abs() < 1e-6);
@@ -636,7 +636,7 @@
             let Some(entry) = entry.as_ref().filter(|entry| entry.server.serving) else { continue };
             let side =
                 |group: &Group, ready: bool| if ready { group.ready.clone() } else { group.out.clone() };
-            let ready = entry.server.health == Health::Ready || entry.server.on_trial;
+            let ready = entry.server.health == Health::Ready || entry.server.is_half_open;
             for reach in [
                 CandidateScope::All,
                 CandidateScope::Zone(entry.server.zone),
@@ -714,13 +714,13 @@
                 8 => {
                     let until = now + rng.rand_float() * 500.0;
                     fleet.change(id, |server| {
-                        (server.health, server.on_trial) = (Health::Ejected { until, wait: 1.0 }, false);
+                        (server.health, server.is_half_open) = (Health::Ejected { until, wait: 1.0 }, false);
                         server.failure_rate += 0.3 * (1.0 - server.failure_rate);
                     });
                 }
                 _ => {
                     fleet.change(id, |server| {
-                        (server.health, server.on_trial) = (Health::Ready, false);
+                        (server.health, server.is_half_open) = (Health::Ready, false);
                         server.failure_rate *= 0.5;
                     });
                 }
--- a/crates/decide/src/latency_outlier.rs
+++ b/crates/decide/src/latency_outlier.rs
@@ -22,12 +22,12 @@
 impl Balancer {
     /// Long enough for this attempt, short enough for another to make the aim.
     pub(crate) fn timeout(&self, held: &PendingRequest, to: Candidate) -> Millis {
-        let spare = self.aim_left(held) - RETRY_ROOM * self.seen.service[held.class.0].time;
-        spare.max(MUTE * self.seen.silence.crowd() * to.wait)
+        let spare = self.aim_left(held) - RETRY_ROOM * self.estimates.service[held.class.0].time;
+        spare.max(MUTE * self.estimates.unresponsive.crowd() * to.wait)
     }
 
     pub(crate) fn no_evidence(&self) -> AttemptEvidence {
-        let (silence, crowd) = (self.seen.silence.share(), self.seen.silence.crowd());
+        let (silence, crowd) = (self.estimates.unresponsive.share(), self.estimates.unresponsive.crowd());
         AttemptEvidence {
             wait: 1.0,
             others: 1.0,
@@ -44,7 +44,7 @@
         let class = &self.settings.classes[held.class.0];
         (attempts as u32) < self.settings.limits.max_attempts
             && class.effect != Effect::NonIdempotent
-            && self.seen.retry_tokens >= 1.0
+            && self.estimates.retry_tokens >= 1.0
             && self.reach(held).is_some_and(|reach| self.upstreams.size(reach).1 > 1)
     }
 
@@ -61,11 +61,11 @@
         known: &AttemptEvidence,
         out: Millis,
     ) -> Option<Millis> {
-        let class = &self.seen.service[held.class.0];
+        let class = &self.estimates.service[held.class.0];
         let until = out + self.aim_left(held);
-        let gains = known.look_at(&class.law, out, until, class.wait, self.cost(held));
+        let gains = known.look_at(&class.latencies, out, until, class.wait, self.cost(held));
         // When it is overdue its server is asked; and now and then from there on there may be more to go by.
-        let again = (LOOKS_APART * out).max(class.law.overdue() * known.crowd * known.wait);
+        let again = (LOOKS_APART * out).max(class.latencies.overdue() * known.crowd * known.wait);
         let ask = Some(again).filter(|at| *at < until);
         gains.into_iter().chain(ask).reduce(f64::min)
     }
@@ -74,26 +74,27 @@
     /// its server is asked.
     pub(crate) fn look_after(&mut self, request: RequestId, out: &mut Vec<Action>) {
         let Some(held) = self.requests.get_mut(&request) else { return };
-        held.look_at = None;
+        held.check_at = None;
         let held = held.clone();
-        let Some((number, this)) = held.tries.iter().enumerate().next_back().filter(|(_, t)| t.out) else {
+        let Some((number, this)) = held.attempts.iter().enumerate().next_back().filter(|(_, t)| t.out) else {
             return;
         };
         let attempt = AttemptNo(number as u32);
         let Some((known, taken)) = self.evidence(request, attempt) else { return };
-        let class = &self.seen.service[held.class.0];
-        let gain = known.gain(&class.law, taken, self.aim_left(&held), class.wait);
-        if gain > self.cost(&held) && self.may_go_on(&held, held.tries.len()) {
-            if let Some(this) = self.requests.get_mut(&request).and_then(|held| held.tries.get_mut(number)) {
-                this.given_up = true;
+        let class = &self.estimates.service[held.class.0];
+        let gain = known.gain(&class.latencies, taken, self.aim_left(&held), class.wait);
+        if gain > self.cost(&held) && self.may_go_on(&held, held.attempts.len()) {
+            if let Some(this) = self.requests.get_mut(&request).and_then(|held| held.attempts.get_mut(number))
+            {
+                this.abandoned = true;
             }
             return out.push(Action::Cancel { request, attempt });
         }
         // Never in the same moment again.
         let look = self.next_look(&held, &known, taken).map(|at| self.now + (at - taken).max(LOOK_AGAIN));
         if let Some(held) = self.requests.get_mut(&request) {
-            held.look_at = look;
-            self.watch.set(request, None, look);
+            held.check_at = look;
+            self.check_schedule.set(request, None, look);
         }
         self.probe(this.upstream, out);
     }
@@ -113,7 +114,7 @@
         this: &OutstandingSend,
     ) -> AttemptEvidence {
         let longer = |sent: &OutstandingSend| {
-            self.seen.service[sent.class.0].law.longer((self.now - sent.sent) / sent.wait)
+            self.estimates.service[sent.class.0].latencies.longer((self.now - sent.sent) / sent.wait)
         };
         // A server answers as many at once as it has cores: of those that wait, so many tell for themselves.
         let kappa = self.kappa(upstream);
@@ -126,13 +127,13 @@
         let others = others.iter().take((kappa as usize).saturating_sub(1)).product();
         // A queue that it has told of since explains what was not foreseen.
         let warmth = upstream.warmth(self.now, &self.settings.slow_start);
-        let queue = (upstream.reported + 1.0) / kappa;
-        let told = (upstream.reported_at > this.sent && self.seen.believes()).then_some(queue.max(1.0));
+        let queue = (upstream.reported_in_flight + 1.0) / kappa;
+        let told = (upstream.reported_at > this.sent && self.estimates.believes()).then_some(queue.max(1.0));
         let now = told.map_or(0.0, |depth| {
-            self.seen.service[this.class.0].time * self.remembered(upstream) / warmth * depth
+            self.estimates.service[this.class.0].time * self.remembered(upstream) / warmth * depth
         });
         let late =
-            |sent: Millis| self.seen.probe_time.is_some_and(|time| self.now - sent > UNANSWERED * time);
+            |sent: Millis| self.estimates.probe_time.is_some_and(|time| self.now - sent > UNANSWERED * time);
         AttemptEvidence {
             wait: this.wait.max(now),
             others,
--- a/crates/decide/src/outlier_ejection.rs
+++ b/crates/decide/src/outlier_ejection.rs
@@ -42,6 +42,6 @@
         }
         Health::Ready | Health::Ejected { .. } => return None,
     };
-    (upstream.health, upstream.on_trial) = (health, false);
+    (upstream.health, upstream.is_half_open) = (health, false);
     said
 }
--- a/crates/decide/src/reports.rs
+++ b/crates/decide/src/reports.rs
@@ -39,7 +39,7 @@
 ) -> f64 {
     // Utilisation is a running mean while in-flight is of the moment: only means of both may be divided.
     let weight = 1.0 - (-(now - upstream.reported_at) / (MEANS_OVER * scale)).exp();
-    let unheard = unheard.unwrap_or((upstream.asked_from, upstream.since_asked));
+    let unheard = unheard.unwrap_or((upstream.first_send_after_probe, upstream.sends_after_probe));
     upstream.reports(in_flight, now, until, unheard);
     upstream.utilisation = utilisation;
     upstream.mean_in_flight += weight * (in_flight - upstream.mean_in_flight);
@@ -49,10 +49,10 @@
 /// Learns its κ from a report that weighs so much and says that it is so busy.
 pub(crate) fn learn_kappa(upstream: &mut Upstream, utilisation: f64, weight: f64) {
     if utilisation < UTILISATION_FLOOR {
-        let (least, known) = (upstream.mean_in_flight / UTILISATION_FLOOR, upstream.kappa.unwrap_or(1.0));
+        let (least, known) = (upstream.mean_in_flight / UTILISATION_FLOOR, upstream.capacity.unwrap_or(1.0));
         if least > known {
-            let step = if upstream.kappa.is_some() { weight * RISE } else { 1.0 };
-            upstream.kappa = Some(known + step * (least - known));
+            let step = if upstream.capacity.is_some() { weight * RISE } else { 1.0 };
+            upstream.capacity = Some(known + step * (least - known));
         }
         return;
     }
@@ -62,12 +62,12 @@
     let sample = (upstream.mean_in_flight / utilisation.min(1.0)).max(1.0);
     // A server that is first heard of in a jam has told nothing of its size: its whole queue would be taken for cores,
     // and every sidecar that hears of it once would send it more. Its kind tells more.
-    if upstream.kappa.is_none() && utilisation >= SATURATED {
+    if upstream.capacity.is_none() && utilisation >= SATURATED {
         return;
     }
-    upstream.readings += 1.0;
-    let known = *upstream.kappa.get_or_insert(sample);
-    upstream.kappa = Some(known + (sample - known) * if sample < known { 1.0 } else { rise });
+    upstream.capacity_samples += 1.0;
+    let known = *upstream.capacity.get_or_insert(sample);
+    upstream.capacity = Some(known + (sample - known) * if sample < known { 1.0 } else { rise });
 }
 
 /// Learns what servers of its kind, and all of them, are like.
--- a/crates/decide/src/slow_start.rs
+++ b/crates/decide/src/slow_start.rs
@@ -44,7 +44,7 @@
     fn cold_capacity(&self, upstream: &Upstream) -> f64 {
         let reported = self.kappa(upstream);
         let sidecars = f64::from(self.settings.sidecars.max(1));
-        let carried = self.seen.carried.capacity(self.now, upstream.weight, sidecars);
+        let carried = self.estimates.observed_capacity.capacity(self.now, upstream.weight, sidecars);
         carried.map_or(reported, |carried| reported.min(carried / (COLD_RATE + COLD_SAVED)))
     }
 
@@ -57,12 +57,12 @@
             return WarmUpStatus::Warm;
         }
         let owners = self.owners(server);
-        WarmUpStatus::Cold { ours: self.order.is_among(owners, self.settings.sidecars, server.key) }
+        WarmUpStatus::Cold { ours: self.ranking.is_among(owners, self.settings.sidecars, server.key) }
     }
 
     /// How many sidecars share a cold server's allowance: so few that a part of it comes to whole requests.
     fn owners(&self, upstream: &Upstream) -> u32 {
-        let classes = &self.seen.service;
+        let classes = &self.estimates.service;
         let mean = classes.iter().map(|class| class.time).sum::<f64>() / classes.len().max(1) as f64;
         let saved = COLD_SAVED * self.allowance(upstream) * self.settings.slow_start.overload_window;
         let whole = (saved / mean.max(1.0)).max(f64::from(OWNERS)).min(f64::from(u32::MAX >> 1));
@@ -80,18 +80,18 @@
         let sharers = match self.settings.identity {
             Identity::Anonymous => sidecars,
             // One that others own is known only where hardly anything is warm, and then perhaps to all.
-            _ if !self.order.is_among(self.owners(upstream), self.settings.sidecars, upstream.key) => {
+            _ if !self.ranking.is_among(self.owners(upstream), self.settings.sidecars, upstream.key) => {
                 2.0 * sidecars
             }
             // In an upgrade there are two of each.
             Identity::Ranked { count, .. } => {
-                self.order.at_most(self.owners(upstream)).min(sidecars)
+                self.ranking.at_most(self.owners(upstream)).min(sidecars)
                     * (sidecars / f64::from(count)).max(1.0)
             }
-            Identity::Named(_) => self.order.at_most(self.owners(upstream)).min(sidecars),
+            Identity::Named(_) => self.ranking.at_most(self.owners(upstream)).min(sidecars),
         };
         let (allowance, cost) =
-            (self.allowance(upstream) / sharers, self.seen.service[class.0].time.max(1.0));
+            (self.allowance(upstream) / sharers, self.estimates.service[class.0].time.max(1.0));
         let saved = COLD_SAVED * allowance * self.settings.slow_start.overload_window;
         Some(Part { rate: COLD_RATE * allowance, saved, cost })
     }
@@ -101,13 +101,14 @@
         let Some(part) = self.part(to, class) else { return false };
         let (now, luck, whole) = (self.now, self.rng.rand_float(), part.is_whole());
         // Owners are few, and count what they send: chance adds nothing to that.
-        let share = if whole && !self.order.is_whole() { 1.0 } else { share };
+        let share = if whole && !self.ranking.is_whole() { 1.0 } else { share };
         let spend = |upstream: &mut Upstream| {
-            let credit = (upstream.cold_credit + part.rate * (now - upstream.cold_at)).min(part.saved);
+            let credit = (upstream.slow_start_credit + part.rate * (now - upstream.slow_start_credit_at))
+                .min(part.saved);
             let chance = share.min(if whole { (credit / part.cost).floor() } else { credit / part.cost });
             let won = luck < chance;
             let spent = if whole { f64::from(u8::from(won)) } else { chance };
-            (upstream.cold_credit, upstream.cold_at) = (credit - spent * part.cost, now);
+            (upstream.slow_start_credit, upstream.slow_start_credit_at) = (credit - spent * part.cost, now);
             won
         };
         self.upstreams.change(to.id, spend).unwrap_or(false)
@@ -119,19 +120,20 @@
     pub(crate) fn cold_one(&mut self, held: &PendingRequest) -> Option<Candidate> {
         let (reach, view) = (self.reach(held)?.inside(), self.view(held));
         let home = CandidateScope::MembersIn(self.settings.zone);
-        let near = (reach == CandidateScope::Members && view.near_limit != 0.0).then_some(home);
+        let near = (reach == CandidateScope::Members && view.same_zone_limit != 0.0).then_some(home);
         for reach in near.into_iter().chain([reach]) {
             let mut looks = CandidateSampler::new(&self.upstreams, reach, false);
             for _ in 0..ASKED {
                 let Some(slot) = looks.next(&mut self.upstreams, &mut self.rng) else { break };
                 let found = self.look(slot, held, &view);
-                let Some(cold) = found.filter(|c| c.healthy && c.warmth < 1.0 && view.has_room(c)) else {
+                let Some(cold) = found.filter(|c| c.healthy && c.warm_up_fraction < 1.0 && view.has_room(c))
+                else {
                     continue;
                 };
                 let counted = self.part(&cold, held.class).is_some_and(|part| part.is_whole());
                 if counted && self.may_cross(held.class, &cold) && self.affords(&cold, held.class, 1.0) {
                     return Some(Candidate {
-                        bend: Some(BudgetExemption::Full).filter(|_| !cold.near),
+                        exemption: Some(BudgetExemption::Full).filter(|_| !cold.same_zone),
                         ..cold
                     });
                 }
--- a/crates/decide/src/snapshot.rs
+++ b/crates/decide/src/snapshot.rs
@@ -123,17 +123,17 @@
 impl ServerSnapshot {
     fn of(upstream: &Upstream, now: Millis) -> ServerSnapshot {
         let age = |at: Millis| at.is_finite().then(|| (now - at).clamp(0.0, MOST));
-        let (since, own) = (upstream.since_counted as f64, upstream.outstanding.len() as f64);
+        let (since, own) = (upstream.unreported_sends as f64, upstream.outstanding.len() as f64);
         let bound = |value: f64| value.clamp(0.0, MOST);
         ServerSnapshot {
-            kappa: upstream.kappa,
+            kappa: upstream.capacity,
             mean_in_flight: bound(upstream.mean_in_flight),
             utilisation: upstream.utilisation.map(bound),
-            in_flight: bound((upstream.reported + since).max(own)),
+            in_flight: bound((upstream.reported_in_flight + since).max(own)),
             reported: age(upstream.reported_at),
-            heard: upstream.is_heard.then(|| bound(upstream.heard_until - now)),
-            slowness: upstream.slowness,
-            learnt: age(upstream.learnt_at),
+            heard: upstream.has_valid_report.then(|| bound(upstream.report_valid_until - now)),
+            slowness: upstream.relative_service_time,
+            learnt: age(upstream.estimated_at),
             answered: age(upstream.answered_at),
             failure_rate: upstream.failure_rate.clamp(0.0, 1.0),
             ejected: match upstream.health {
@@ -156,22 +156,22 @@
 
     fn restore(&self, upstream: &mut Upstream, now: Millis) {
         let at = |age: Option<Millis>| age.map_or(f64::NEG_INFINITY, |age| now - age);
-        upstream.kappa = self.kappa;
-        upstream.readings = self.kappa.map_or(0.0, |_| MOST);
+        upstream.capacity = self.kappa;
+        upstream.capacity_samples = self.kappa.map_or(0.0, |_| MOST);
         upstream.mean_in_flight = self.mean_in_flight;
         upstream.utilisation = self.utilisation;
-        upstream.reported = self.in_flight;
+        upstream.reported_in_flight = self.in_flight;
         upstream.reported_at = at(self.reported);
-        upstream.is_heard = self.heard.is_some();
-        upstream.heard_until = self.heard.map_or(f64::NEG_INFINITY, |left| now + left);
-        upstream.slowness = self.slowness;
-        upstream.learnt_at = at(self.learnt);
+        upstream.has_valid_report = self.heard.is_some();
+        upstream.report_valid_until = self.heard.map_or(f64::NEG_INFINITY, |left| now + left);
+        upstream.relative_service_time = self.slowness;
+        upstream.estimated_at = at(self.learnt);
         upstream.answered_at = at(self.answered);
         upstream.failure_rate = self.failure_rate;
-        upstream.on_trial = false;
+        upstream.is_half_open = false;
         upstream.health =
             self.ejected.map_or(Health::Ready, |(left, wait)| Health::Ejected { until: now + left, wait });
-        (upstream.cold_credit, upstream.cold_at) = (0.0, now);
+        (upstream.slow_start_credit, upstream.slow_start_credit_at) = (0.0, now);
     }
 }
 
@@ -223,7 +223,7 @@
 impl Balancer {
     /// What has been learnt up to now.
     pub fn memory(&self, now: Millis) -> Snapshot {
-        let (seen, now) = (&self.seen, now.max(self.now));
+        let (seen, now) = (&self.estimates, now.max(self.now));
         let age = |at: Millis| (now - at).clamp(0.0, MOST);
         Snapshot {
             servers: self.upstreams.all().map(|(id, u)| (id.0, ServerSnapshot::of(u, now))).collect(),
@@ -234,7 +234,7 @@
                 refused: seen.refused,
                 // Two may retry now, as often as one.
                 retry_tokens: (seen.retry_tokens / 2.0).max(0.0),
-                room_scale: seen.room_scale,
+                room_scale: seen.wait_scale,
                 usual_density: seen.usual_density,
                 tenant_shares: seen.tenant_shares.clone(),
                 lateness: seen.lateness,
@@ -250,13 +250,13 @@
     /// # Errors
     /// It is of other classes or tenants, or a figure in it is absurd: then nothing of it is taken.
     pub fn remember(&mut self, now: Millis, memory: &Snapshot) -> Result<(), SnapshotError> {
-        memory.check(self.seen.service.len(), self.seen.tenant_shares.len())?;
+        memory.check(self.estimates.service.len(), self.estimates.tenant_shares.len())?;
         self.now = self.now.max(now);
         let now = self.now;
         for (id, server) in &memory.servers {
             self.upstreams.change(UpstreamId(*id), |upstream| server.restore(upstream, now));
         }
-        let (all, seen) = (&memory.all, &mut self.seen);
+        let (all, seen) = (&memory.all, &mut self.estimates);
         let service = |(time, samples, refused): &(f64, f64, f64)| ClassEstimates {
             time: *time,
             samples: *samples,
@@ -268,7 +268,7 @@
         seen.fleet = all.fleet.kind();
         seen.refused = all.refused;
         seen.retry_tokens = all.retry_tokens.min(seen.retry_tokens);
-        seen.room_scale = all.room_scale;
+        seen.wait_scale = all.room_scale;
         seen.usual_density = all.usual_density;
         seen.tenant_shares.clone_from(&all.tenant_shares);
         seen.lateness = all.lateness;
--- a/crates/decide/src/state.rs
+++ b/crates/decide/src/state.rs
@@ -14,7 +14,7 @@
     pub out: bool,
     pub may_have_run: bool,
     /// Whether it was this module that called it off.
-    pub given_up: bool,
+    pub abandoned: bool,
 }
 
 impl Attempt {
@@ -27,7 +27,7 @@
             sent,
             out: true,
             may_have_run: true,
-            given_up: false,
+            abandoned: false,
         }
     }
 }
@@ -39,33 +39,33 @@
     pub tenant: TenantId,
     pub arrived: Millis,
     pub deadline: Millis,
-    pub tries: Vec<Attempt>,
+    pub attempts: Vec<Attempt>,
     /// The pair drawn for it while its probes are out, and how often it was held for one.
     pub pair: Option<[UpstreamId; 2]>,
     /// The share of all candidates that it was drawn from.
-    pub odds: f64,
-    pub holds: u32,
+    pub draw_share: f64,
+    pub probe_waits: u32,
     /// Why the pair was drawn across without a budget, if it was.
-    pub bend: Option<BudgetExemption>,
+    pub exemption: Option<BudgetExemption>,
     /// When what is out for it is looked at.
-    pub look_at: Option<Millis>,
+    pub check_at: Option<Millis>,
 }
 
 impl PendingRequest {
     pub fn new(class: ClassId, tenant: TenantId, arrived: Millis, time_left: Millis) -> PendingRequest {
         let deadline = arrived + time_left;
-        let (tries, pair, bend) = (Vec::new(), None, None);
+        let (attempts, pair, exemption) = (Vec::new(), None, None);
         PendingRequest {
             class,
             tenant,
             arrived,
             deadline,
-            tries,
+            attempts,
             pair,
-            odds: 1.0,
-            holds: 0,
-            bend,
-            look_at: None,
+            draw_share: 1.0,
+            probe_waits: 0,
+            exemption,
+            check_at: None,
         }
     }
 }
@@ -98,40 +98,40 @@
     pub serving: bool,
     pub weight: f64,
     pub started: Option<Millis>,
-    pub kappa: Option<f64>,
+    pub capacity: Option<f64>,
     /// How many readings it rests on.
-    pub readings: f64,
+    pub capacity_samples: f64,
     /// Running mean of the reports, and how busy the last one said that it is.
     pub mean_in_flight: f64,
     pub utilisation: Option<f64>,
     /// In flight by the last report, less those of ours that have been answered since.
-    pub reported: f64,
+    pub reported_in_flight: f64,
     pub reported_at: Millis,
     /// Whether that says anything yet, and until when.
-    pub is_heard: bool,
-    pub heard_until: Millis,
+    pub has_valid_report: bool,
+    pub report_valid_until: Millis,
     pub probe_sent: Option<Millis>,
-    /// By the number of the send. Those from `counted_from` on are not in the last report, those from
-    /// `asked_from` on will not be in the next; how many are out of each.
+    /// By the number of the send. Those from `first_unreported_send` on are not in the last report, those
+    /// from `first_send_after_probe` on will not be in the next; how many are out of each.
     pub outstanding: OutstandingSends,
-    pub counted_from: u64,
-    pub asked_from: u64,
-    pub since_counted: usize,
-    pub since_asked: usize,
+    pub first_unreported_send: u64,
+    pub first_send_after_probe: u64,
+    pub unreported_sends: usize,
+    pub sends_after_probe: usize,
     /// Service time relative to the mean of all servers.
-    pub slowness: f64,
-    pub learnt_at: Millis,
+    pub relative_service_time: f64,
+    pub estimated_at: Millis,
     /// How many answers and reports its kind had given when something was last learnt from its own.
-    pub learnt_after: f64,
-    pub reported_after: f64,
+    pub kind_answers_at_estimate: f64,
+    pub kind_reports_at_report: f64,
     pub answered_at: Millis,
     pub failure_rate: f64,
     pub health: Health,
     /// Whether it is ejected, but may be tried.
-    pub on_trial: bool,
+    pub is_half_open: bool,
     /// Work in milliseconds that it may yet be sent while it is cold, as of then.
-    pub cold_credit: f64,
-    pub cold_at: Millis,
+    pub slow_start_credit: f64,
+    pub slow_start_credit_at: Millis,
 }
 
 /// A server as one request sees it.
@@ -139,35 +139,35 @@
 pub(crate) struct Candidate {
     pub id: UpstreamId,
     pub zone: ZoneId,
-    pub near: bool,
+    pub same_zone: bool,
     /// Why it is drawn across without a budget, if it is.
-    pub bend: Option<BudgetExemption>,
+    pub exemption: Option<BudgetExemption>,
     /// Its load is not known of late, and may yet be asked for before the request is placed.
-    pub unsure: bool,
+    pub awaits_probe: bool,
     /// It has told of its load so lately that this still says something.
     pub heard: bool,
     pub healthy: bool,
-    pub warmth: f64,
-    pub projected: f64,
+    pub warm_up_fraction: f64,
+    pub projected_load: f64,
     /// How many times its own service time an answer is expected to take, for the queue before it.
     pub depth: f64,
     pub idle: bool,
     pub wait: Millis,
-    pub failing: f64,
+    pub failure_rate: f64,
 }
 
 /// What one request sees all servers with.
 pub(crate) struct SelectionContext {
     pub service: Millis,
     pub means: FleetMeans,
-    pub may_hold: bool,
+    pub may_wait_for_probe: bool,
     /// Servers outside the subset are looked at: of these only what they told themselves counts.
     pub outside: bool,
     /// Reports older than this make a request wait for another.
-    pub hold_after: Millis,
+    pub max_report_age: Millis,
     /// The longest expected answer time that there is room for, and that keeps it near.
-    pub room: Millis,
-    pub near_limit: Millis,
+    pub max_wait: Millis,
+    pub same_zone_limit: Millis,
     /// A near one that fails more often is no better than one across.
     pub failing: f64,
 }
@@ -178,12 +178,15 @@
             return false;
         }
         // An idle server always has room: else a service time learnt in a jam would lock everyone out.
-        c.unsure || c.idle || c.wait <= self.room
+        c.awaits_probe || c.idle || c.wait <= self.max_wait
     }
 
     /// Asked only where crossing has a fee.
     pub fn suits_near(&self, c: &Candidate) -> bool {
-        c.near && self.has_room(c) && (c.wait <= self.near_limit || c.unsure) && c.failing <= self.failing
+        c.same_zone
+            && self.has_room(c)
+            && (c.wait <= self.same_zone_limit || c.awaits_probe)
+            && c.failure_rate <= self.failing
     }
 }
 
@@ -203,30 +206,30 @@
             serving: entry.lifecycle == Lifecycle::Serving,
             weight: entry.weight,
             started: entry.started,
-            kappa: None,
-            readings: 0.0,
+            capacity: None,
+            capacity_samples: 0.0,
             mean_in_flight: 0.0,
             utilisation: None,
-            reported: 0.0,
+            reported_in_flight: 0.0,
             reported_at: f64::NEG_INFINITY,
-            is_heard: false,
-            heard_until: f64::NEG_INFINITY,
+            has_valid_report: false,
+            report_valid_until: f64::NEG_INFINITY,
             probe_sent: None,
             outstanding: OutstandingSends::default(),
-            counted_from: 0,
-            asked_from: 0,
-            since_counted: 0,
-            since_asked: 0,
-            slowness: 1.0,
-            learnt_at: f64::NEG_INFINITY,
-            learnt_after: 0.0,
-            reported_after: 0.0,
+            first_unreported_send: 0,
+            first_send_after_probe: 0,
+            unreported_sends: 0,
+            sends_after_probe: 0,
+            relative_service_time: 1.0,
+            estimated_at: f64::NEG_INFINITY,
+            kind_answers_at_estimate: 0.0,
+            kind_reports_at_report: 0.0,
             answered_at: f64::NEG_INFINITY,
             failure_rate: 0.0,
             health: Health::Ready,
-            on_trial: false,
-            cold_credit: 0.0,
-            cold_at: f64::NEG_INFINITY,
+            is_half_open: false,
+            slow_start_credit: 0.0,
+            slow_start_credit_at: f64::NEG_INFINITY,
         }
     }
 
@@ -235,7 +238,12 @@
         if entry.started.is_some_and(|at| self.started.is_none_or(|known| at > known)) {
             let outstanding = std::mem::take(&mut self.outstanding);
             let out = outstanding.len();
-            *self = Upstream { outstanding, since_counted: out, since_asked: out, ..Upstream::new(entry) };
+            *self = Upstream {
+                outstanding,
+                unreported_sends: out,
+                sends_after_probe: out,
+                ..Upstream::new(entry)
+            };
         }
         self.zone = entry.zone;
         self.cell = entry.cell;
@@ -259,18 +267,18 @@
     /// Enters a send in the books, under a number that is higher than all before.
     pub fn enter(&mut self, number: u64, sent: OutstandingSend) {
         self.outstanding.push(number, sent);
-        self.since_counted += 1;
-        self.since_asked += 1;
+        self.unreported_sends += 1;
+        self.sends_after_probe += 1;
     }
 
     /// Strikes a send off the books.
     pub fn take(&mut self, number: u64) -> Option<OutstandingSend> {
         let sent = self.outstanding.remove(number)?;
-        match number >= self.counted_from {
-            true => self.since_counted -= 1,
-            false => self.reported = (self.reported - 1.0).max(0.0),
+        match number >= self.first_unreported_send {
+            true => self.unreported_sends -= 1,
+            false => self.reported_in_flight = (self.reported_in_flight - 1.0).max(0.0),
         }
-        self.since_asked -= usize::from(number >= self.asked_from);
+        self.sends_after_probe -= usize::from(number >= self.first_send_after_probe);
         Some(sent)
     }
 
@@ -283,8 +291,8 @@
 
     /// A report has come; the sends that it does not hold are these.
     pub fn reports(&mut self, in_flight: f64, now: Millis, until: Millis, unheard: (u64, usize)) {
-        (self.counted_from, self.since_counted) = unheard;
-        (self.reported, self.reported_at) = (in_flight, now);
-        (self.is_heard, self.heard_until) = (true, until);
+        (self.first_unreported_send, self.unreported_sends) = unheard;
+        (self.reported_in_flight, self.reported_at) = (in_flight, now);
+        (self.has_valid_report, self.report_valid_until) = (true, until);
     }
 }
--- a/crates/decide/src/upload.rs
+++ b/crates/decide/src/upload.rs
@@ -38,7 +38,7 @@
         let Some(held) = self.requests.get_mut(&request) else { return };
         held.arrived += now - since;
         held.deadline += now - since;
-        if let Some(this) = held.tries.get_mut(attempt.0 as usize) {
+        if let Some(this) = held.attempts.get_mut(attempt.0 as usize) {
             this.sent = now;
         }
     }
