--- a/crates/model/src/policy/module.rs
+++ b/crates/model/src/policy/module.rs
@@ -4,9 +4,9 @@
 
 use sagemast_decide::Balancer;
 use sagemast_decide::api::*;
-use sagemast_decide::crossing::CrossZone;
+use sagemast_decide::cross_zone::CrossZone;
 use sagemast_pools::counts::Totals;
-use sagemast_pools::crossing::Plan;
+use sagemast_pools::cross_zone_budget::Plan;
 
 use super::{Policy, Truth};
 
@@ -22,7 +22,7 @@
 
 impl Policy for Module {
     fn handle(&mut self, now: Millis, event: Event, _: &dyn Truth, out: &mut Vec<Action>) {
-        if let (Event::Finished(end), Some(plan)) = (&event, self.0.cross_zone()) {
+        if let (Event::AttemptFinished(end), Some(plan)) = (&event, self.0.cross_zone()) {
             // The model has no bodies.
             plan.ended(now, end.request, end.attempt, end.outcome, [0, 0]);
         }
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -27,18 +27,18 @@
 
 use crate::budget::{Quota, Room};
 use crate::client::Client;
-use crate::closing::{self, Deed, Holds, Reason};
+use crate::connection_activity::Slot;
+use crate::connection_close::{self, Deed, Holds, Reason};
 use crate::headers::end_to_end;
 use crate::lifecycle::{Lifecycle, Stage};
 use crate::log::Log;
 use crate::messages::{Arrival, Final, Forward, FromClients, Outlet};
 use crate::metrics::Metrics;
 use crate::request_bound::{RequestState, bound};
-use crate::slot::Slot;
 use crate::transfer::answer::Payload;
-use crate::transfer::gathered::Gathered;
+use crate::transfer::body_buffer::Gathered;
 use crate::transfer::limits::{HEAD, MOST_BYTES, WHOLE_BYTES};
-use crate::transfer::outgoing::Kept;
+use crate::transfer::request_body::Kept;
 use crate::transfer::upload::Upload;
 
 /// Clients that connect while the sidecar starts or is busy wait here.
@@ -360,7 +360,7 @@
             (Holds::Request, Some(next)) if !life.borrow().closes_after_answer(Some(next)) => Holds::Requests,
             (holds, _) => holds,
         };
-        let deed = match closing::deed(reason, holds) {
+        let deed = match connection_close::deed(reason, holds) {
             // Who has just spoken is neither idle nor quiet; the place of another is asked for next.
             Deed::Shut | Deed::Drop if came && !matches!(reason, Reason::Ends | Reason::EndIsNear) => {
                 Deed::Keep
@@ -523,20 +523,20 @@
     let key = single(headers, "idempotency-key")?;
     let form = &names.classes[class];
     match (request.method(), form.effect) {
-        (&Method::GET, Effect::Repeatable) if !request.body().is_end_stream() => {
+        (&Method::GET, Effect::Idempotent) if !request.body().is_end_stream() => {
             return Err(bad("GET has no body"));
         }
-        (&Method::GET, Effect::Repeatable) => {}
-        (&Method::PUT, Effect::Repeatable) if form.put => {}
+        (&Method::GET, Effect::Idempotent) => {}
+        (&Method::PUT, Effect::Idempotent) if form.put => {}
         // Without its key upstreams could not drop a repeat.
-        (&Method::POST, Effect::ByKey { .. }) if key.is_none_or(str::is_empty) => {
+        (&Method::POST, Effect::IdempotentByKey { .. }) if key.is_none_or(str::is_empty) => {
             return Err(bad("Idempotency-Key is missing"));
         }
         // A key promises that a repeat is dropped; for this class it is not.
-        (&Method::POST, Effect::Once) if key.is_some() => {
+        (&Method::POST, Effect::NonIdempotent) if key.is_some() => {
             return Err(bad("the class takes no Idempotency-Key"));
         }
-        (&Method::POST, Effect::ByKey { .. } | Effect::Once) => {}
+        (&Method::POST, Effect::IdempotentByKey { .. } | Effect::NonIdempotent) => {}
         _ => return Err((StatusCode::METHOD_NOT_ALLOWED, "not the method of this class")),
     }
     let id = single(headers, "x-request-id")?.filter(|id| !id.is_empty() && id.len() <= ID_BYTES);
