--- a/crates/decide/src/balancer.rs
+++ b/crates/decide/src/balancer.rs
@@ -1,8 +1,8 @@
-//! Every decision of the load balancer. The types it speaks in are in `src/api.rs`.
+//! The load balancer: all decisions of the module. Its interface is in `src/api.rs`.
 //!
-//! Ordinary path: per request draw two ready servers at random and send to the one with the smaller projected
-//! utilisation (m+1)/κ. Read on in the order a request meets it: arrival, draw, look, send, outcome; then
-//! reports, health, cold starts, the list.
+//! Ordinary path: for each request, two ready servers are sampled at random, and the one with the smaller
+//! projected utilisation (m+1)/κ gets it, where m is the number of its requests in flight and κ its capacity.
+//! The functions follow a request: arrival, evaluation, sampling, outcome; then reports and the server list.
 
 use std::collections::BTreeSet;
 
@@ -18,100 +18,98 @@
 use crate::latency_outlier::MUTE;
 use crate::outlier_ejection;
 use crate::probe_budget::ProbeBudget;
-use crate::reports::{self, learn_kappa, learn_kind, settled_after, sound_in_flight};
+use crate::reports;
 use crate::staleness::CallSchedule;
 use crate::state::*;
 use crate::subset::{ServerRanking, SubsetSize};
-use crate::throttle::LATE_TARGET;
+use crate::throttle::TARGET_LATE_SHARE;
 use crate::upload::Uploads;
 use crate::zone_outage::ZoneOutages;
 
-/// Times below are for a mean service time of up to this; longer where it is longer, within a bound; and no
-/// shorter for faster servers: probes cost, and servers take their means over a time that we are not told.
-const USUAL_SERVICE: Millis = 40.0;
-const MOST_SCALE: f64 = 25.0;
-/// A report older than this is renewed when its server is drawn: about one service time.
-const FRESH: Millis = 40.0;
-/// A request whose pair has a report older than this many service times waits for the pair's probes,
-const HOLD_AFTER: f64 = 4.0;
-/// for at most this share of its aim,
-const HOLD_FOR: f64 = 0.15;
-/// for no longer than so many probes take of late, and this often.
-const HOLD_PROBES: f64 = 3.0;
-const HOLDS: u32 = 2;
-/// It never waits where a probe takes more than this share of a service time: it could not win as much.
-const HOLD_WORTH: f64 = 0.5;
-/// What was asked for is one pair, not the fleet: a queue that long at the better of two is long everywhere.
-const HELD_ROOM: f64 = 0.6;
-/// A report older than this says nothing any more; the mean of the known servers stands in.
-const STALE: Millis = 1_000.0;
-/// Weight of a new sample in the slowness of one server.
-const SMOOTH: f64 = 0.15;
-/// Weight of a new sample in what all servers or all arrivals feed.
-const SMOOTH_ALL: f64 = 0.02;
-/// The service time assumed at first, as a share of the class's aim.
-const SERVICE_PRIOR: f64 = 0.15;
-/// An unanswered send counts as this share of an answer that took as long: service times spread.
-const AGEING: f64 = 0.5;
-/// A send is accepted while its expected answer takes no more than this share of the time left to its aim.
-const ROOM: f64 = 0.6;
-/// How strongly room depends on what a request earns; 0 is not at all.
-const FAVOUR: f64 = 0.4;
-/// How strongly room makes up for a class that is refused more than the whole.
-const EVEN: f64 = 0.5;
-/// A server this little used, with one request more, counts as idle.
-const IDLE: f64 = 0.5;
-/// One with at most one in flight does so too, while few are refused; this is what refusals weigh.
-const IDLE_CROWDED: f64 = 2.0;
-/// Further attempts, as a share of first ones, and how many may be saved up.
-const RETRY_SHARE: f64 = 0.1;
-const RETRY_BURST: f64 = 10.0;
-/// A refused client is asked to stay away for up to this share of its aim.
-const RETRY_AFTER: f64 = 0.3;
-/// From this chance on that a server was silent it counts as a failure of its.
-const SILENT: f64 = 0.5;
-/// The share of a cold server's allowance that is used: speeds and costs are estimates.
-const COLD_MARGIN: f64 = 0.5;
-/// From so many kinds of machine on, those that no server is of are forgotten.
-const KINDS: usize = 64;
-
-/// So many servers are looked at for a request at most. Up to that many the draw is exact: every pair with
-/// room is as likely as any other. Among more, one is missed where a share `f` has room by (1 - f)^LOOKS.
-const LOOKS: usize = 24;
+/// The times below hold for mean service times up to this and grow with longer ones, by [`MAX_TIME_SCALE`] at
+/// most. They don't shrink with shorter ones: probes cost, and over which time servers average is unknown.
+const BASE_SERVICE_TIME: Millis = 40.0;
+const MAX_TIME_SCALE: f64 = 25.0;
+/// A sampled server is probed if its report is older than this, which is about one service time.
+const PROBE_AFTER: Millis = 40.0;
+/// A request waits for the probes of its pair if a report is older than this many service times.
+const PROBE_WAIT_SERVICE_TIMES: f64 = 4.0;
+/// Limits on such a wait as a share of the aim and in mean probe times, and on the number of waits.
+const PROBE_WAIT_AIM_SHARE: f64 = 0.15;
+const PROBE_WAIT_PROBE_TIMES: f64 = 3.0;
+const MAX_PROBE_WAITS: u32 = 2;
+/// No request waits where a probe takes more than this share of a service time: it could not gain as much.
+const MAX_PROBE_TIME_SHARE: f64 = 0.5;
+/// Factor on the longest acceptable answer time after a wait for probes: only the pair was probed, but a
+/// queue that long at the better of two servers is long everywhere.
+const WAIT_FACTOR_AFTER_PROBES: f64 = 0.6;
+/// Older reports are no longer valid; the mean of the servers with valid reports stands in.
+const REPORT_VALIDITY: Millis = 1_000.0;
+/// Weight of a new sample in the averages of one server, and in those that all servers or arrivals feed.
+const SMOOTHING: f64 = 0.15;
+const FLEET_SMOOTHING: f64 = 0.02;
+/// The service time assumed before the first answers, as a share of the class's aim.
+const INITIAL_SERVICE_TIME_AIM_SHARE: f64 = 0.15;
+/// An unanswered send counts as this share of an answer that took as long, since service times vary.
+const UNANSWERED_WEIGHT: f64 = 0.5;
+/// The longest acceptable answer time, as a share of the time left to the aim.
+const MAX_WAIT_AIM_SHARE: f64 = 0.6;
+/// How strongly that share depends on a request's worth per service time; 0 is not at all.
+const WORTH_EXPONENT: f64 = 0.4;
+/// How strongly it makes up for a class that is refused more often than the average.
+const CLASS_REFUSAL_WEIGHT: f64 = 0.5;
+/// A server is idle if its utilisation with one more request is at most this.
+const IDLE_UTILISATION: f64 = 0.5;
+/// Up to one request in flight a server is idle, too, unless many requests are refused. Weight of refusals.
+const IDLE_REFUSAL_WEIGHT: f64 = 2.0;
+/// Retry budget: tokens earned per request, and the most that are saved up. A further attempt takes one.
+const RETRY_RATIO: f64 = 0.1;
+const MAX_RETRY_TOKENS: f64 = 10.0;
+/// A refused client is asked to wait for up to this share of its aim.
+const RETRY_AFTER_AIM_SHARE: f64 = 0.3;
+/// An unanswered attempt is a failure of its server if that was unresponsive with at least this probability.
+const UNRESPONSIVE_PROBABILITY: f64 = 0.5;
+/// The share of a warming-up server's allowance that is used, since speeds and costs are estimates.
+const WARM_UP_ALLOWANCE_SHARE: f64 = 0.5;
+/// When more kinds of machine than this are known, those without servers are dropped.
+const MAX_KINDS: usize = 64;
+/// The most servers examined in one sample. Of up to that many, all pairs with capacity are equally likely.
+/// Of more, of which a share `f` has capacity, none is found with probability (1 - f)^MAX_EXAMINED.
+const MAX_EXAMINED: usize = 24;
+
 /// The decision module of one sidecar. The same seed, settings and events give the same actions.
 #[derive(Debug)]
 pub struct Balancer {
     pub(crate) settings: Settings,
     pub(crate) rng: Rand64,
     pub(crate) now: Millis,
-    /// What limits traffic that leaves the zone, if anything does.
+    /// Limits traffic that leaves the zone, if there is such a limit.
     pub(crate) cross_zone_budget: Option<Box<dyn CrossZone>>,
     pub(crate) requests: FxHashMap<RequestId, PendingRequest>,
     pub(crate) upstreams: Fleet,
-    /// Sends that have not ended: their number in the books of their server. And the next number.
+    /// Attempts that have not finished, with their number among the sends of the module and their server.
     pub(crate) sends: FxHashMap<(RequestId, AttemptNo), (u64, UpstreamId)>,
     pub(crate) next_send: u64,
     pub(crate) uploads: Uploads,
     pub(crate) check_schedule: CheckSchedule,
     discovery_calls: CallSchedule,
     probe_budget: ProbeBudget,
-    /// Zones that cannot be reached.
     pub(crate) outages: ZoneOutages,
-    /// In which order servers are taken into the subset, and how many.
+    /// The order in which servers are taken into the subset.
     pub(crate) ranking: ServerRanking,
     subset_size: SubsetSize,
-    /// Which requests wait for a server's probe.
+    /// Requests that wait for the probe of a server.
     waiting: BTreeSet<(UpstreamId, RequestId)>,
     pub(crate) estimates: Estimates,
 }
 
 impl Balancer {
-    /// A module that knows nothing yet but its settings.
+    /// A module without servers and with initial estimates.
     pub fn new(settings: Settings, seed: u64) -> Balancer {
-        // Until answers tell, a service time that leaves room for a queue and another try.
-        let service =
-            settings.classes.iter().map(|class| ClassEstimates::new(class.aim * SERVICE_PRIOR)).collect();
-        let estimates = Estimates::new(service, settings.tenants.len(), RETRY_BURST);
+        // Until answers come, the assumed service time leaves time for a queue and another attempt.
+        let initial = |class: &Class| ClassEstimates::new(class.aim * INITIAL_SERVICE_TIME_AIM_SHARE);
+        let service = settings.classes.iter().map(initial).collect();
+        let estimates = Estimates::new(service, settings.tenants.len(), MAX_RETRY_TOKENS);
         let probe_budget = ProbeBudget::new(settings.probe_cost);
         let ranking = ServerRanking::new(settings.identity);
         let home = (settings.cross_zone_cost > 0.0).then_some(settings.zone);
@@ -136,39 +134,41 @@
         }
     }
 
-    /// How many times a server was looked at so far: what draws have cost, the same on any machine.
+    /// How many servers were examined so far: the cost of sampling, the same on any machine.
     pub fn looks(&self) -> u64 {
         self.upstreams.looks
     }
 
-    /// Takes in one event and appends the actions that answer it.
+    /// Processes one event and appends the resulting actions to `out`.
     pub fn handle(&mut self, now: Millis, event: Event, out: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.upstreams.advance(self.now);
         match event {
             Event::RequestArrived { request, class, tenant, time_left } => {
-                self.arrived(request, PendingRequest::new(class, tenant, self.now, time_left.max(0.0)), out)
+                let pending = PendingRequest::new(class, tenant, self.now, time_left.max(0.0));
+                self.request_arrived(request, pending, out);
             }
             Event::UploadProgress { request, attempt, in_progress } => {
                 self.upload(request, attempt, in_progress)
             }
-            Event::AttemptFinished(end) => {
-                self.upload(end.request, end.attempt, false);
-                self.settle(end, out);
-                self.finished(end, out);
+            Event::AttemptFinished(finished) => {
+                self.upload(finished.request, finished.attempt, false);
+                self.record_attempt(finished, out);
+                self.attempt_finished(finished, out);
             }
             Event::ClientDisconnected(request) => {
-                // Who goes once the aim has passed was not served in time; who goes before tells nothing.
-                let held = self.requests.get(&request).filter(|held| held.attempts.iter().any(|t| t.out));
-                if held.is_some_and(|held| self.aim_left(held) <= 0.0) {
-                    self.estimates.throttle.ended(false);
+                // After the aim, the request was not served in time. An earlier disconnect shows nothing.
+                let is_in_flight = |p: &&PendingRequest| p.attempts.iter().any(|t| t.out);
+                let pending = self.requests.get(&request).filter(is_in_flight);
+                if pending.is_some_and(|p| self.aim_left(p) <= 0.0) {
+                    self.estimates.throttle.record_finished(false);
                 }
-                self.abandoned(request, out);
+                self.close(request, out);
             }
             Event::ProbeFinished { upstream, answered, report } => {
-                self.probed(upstream, answered, report, out)
+                self.probe_ended(upstream, answered, report, out)
             }
-            Event::ListReceived(news) => self.listed(news, out),
+            Event::ListReceived(update) => self.list_received(update, out),
             Event::SidecarCountChanged(count) => {
                 self.settings.sidecars = count;
                 self.cross_zone_budget.iter_mut().for_each(|plan| plan.sidecars(self.now, count));
@@ -180,259 +180,264 @@
                     self.look_after(request, out);
                 }
             }
-            Event::TimerFired(token) => self.resume(token, out),
+            Event::TimerFired(token) => self.probe_wait_ended(token, out),
         }
         self.check_schedule.arm(out);
     }
 
-    fn arrived(&mut self, request: RequestId, held: PendingRequest, out: &mut Vec<Action>) {
+    fn request_arrived(&mut self, request: RequestId, pending: PendingRequest, out: &mut Vec<Action>) {
         if self.requests.contains_key(&request) {
             return;
         }
-        if held.class.0 >= self.settings.classes.len() {
+        if pending.class.0 >= self.settings.classes.len() {
             return out.push(Action::Refuse { request, retry_after: 0.0 });
         }
-        self.estimates.retry_tokens = (self.estimates.retry_tokens + RETRY_SHARE).min(RETRY_BURST);
+        self.estimates.retry_tokens = (self.estimates.retry_tokens + RETRY_RATIO).min(MAX_RETRY_TOKENS);
         self.probe_budget.arrived();
         self.subset_size.arrived(self.now);
         for (number, share) in self.estimates.tenant_shares.iter_mut().enumerate() {
-            *share += SMOOTH_ALL * (f64::from(u8::from(number == held.tenant.0)) - *share);
-        }
-        let service = self.estimates.service[held.class.0].time;
-        let mean = self.estimates.usual_service.get_or_insert(service);
-        *mean += SMOOTH_ALL * (service - *mean);
-        let (density, usual) =
-            (self.density(&held), self.estimates.usual_density.unwrap_or(self.density(&held)));
-        self.estimates.usual_density = Some(usual + SMOOTH_ALL * (density - usual));
-        // Where servers tell of their load, room is judged by that.
-        let aim = self.settings.classes[held.class.0].aim;
-        let blind = self.estimates.first_at.is_none();
-        let chance = if blind { self.estimates.throttle.chance(self.now, aim) } else { 0.0 };
-        self.requests.insert(request, held);
-        // Luck is drawn only where it decides something.
-        if chance > 0.0 && self.rng.rand_float() < chance {
-            self.estimates.throttle.turned_away();
-            return self.give_up(request, out);
-        }
-        self.place(request, out);
-    }
-
-    /// Sends a request to the best place there is, or ends it.
-    fn place(&mut self, request: RequestId, out: &mut Vec<Action>) {
-        let Some(held) = self.requests.get(&request).cloned() else { return };
-        let drawn = self.draw(&held, out);
-        let (chosen, again) = (drawn.map(|(pair, _)| pair), drawn.is_some_and(|(_, again)| again));
-        // On old readings, sidecars that send seldom crowd onto the same servers, or refuse what has room.
-        if let Some(pair) = chosen.filter(|pair| pair.iter().any(|c| c.awaits_probe)) {
-            return self.hold(request, pair, again, out);
-        }
-        let refused = f64::from(u8::from(chosen.is_none()));
-        self.estimates.refused += SMOOTH_ALL * (refused - self.estimates.refused);
-        let class = &mut self.estimates.service[held.class.0];
-        class.refused += SMOOTH_ALL * (refused - class.refused);
-        let by_use = chosen.map(|[a, b]| if b.projected_load < a.projected_load { [b, a] } else { [a, b] });
-        let taker = by_use.into_iter().flatten().find(|c| self.admits(c, &held, again));
-        let other = |_| self.warm_one(&held).or_else(|| self.cold_one(&held));
-        match taker.or_else(|| chosen.and_then(other)) {
-            Some(chosen) => self.send(request, chosen, out),
-            None => self.give_up(request, out),
-        }
-    }
-
-    /// Whether a server may be sent one more while it is cold. An equal part of its budget is less than one
-    /// request for each of many sidecars, so chance decides: a server is drawn for at most two of `n`
-    /// requests, and chance leaves it of those what its budget allows, for all sidecars together.
-    ///
-    /// A share of requests bounds nothing in a rush, as when many sidecars start at once beside a server that
-    /// has just started. So what goes to a cold one is kept to an amount as well: an equal part of its
-    /// allowance for each sidecar. A part that never comes to one request is a chance of one instead, spent
-    /// whether or not it wins.
-    fn admits(&mut self, to: &Candidate, held: &PendingRequest, again: bool) -> bool {
+            *share += FLEET_SMOOTHING * (f64::from(u8::from(number == pending.tenant.0)) - *share);
+        }
+        let service_time = self.estimates.service[pending.class.0].time;
+        let usual_service = self.estimates.usual_service.get_or_insert(service_time);
+        *usual_service += FLEET_SMOOTHING * (service_time - *usual_service);
+        let density = self.worth_density(&pending);
+        let usual_density = self.estimates.usual_density.unwrap_or(density);
+        self.estimates.usual_density = Some(usual_density + FLEET_SMOOTHING * (density - usual_density));
+        // The throttle is for servers that don't report their load; otherwise the reports decide.
+        let aim = self.settings.classes[pending.class.0].aim;
+        let (throttle, has_reports) = (&mut self.estimates.throttle, self.estimates.first_at.is_some());
+        let probability = if has_reports { 0.0 } else { throttle.refusal_probability(self.now, aim) };
+        self.requests.insert(request, pending);
+        // A random value is drawn only where it decides something.
+        if probability > 0.0 && self.rng.rand_float() < probability {
+            self.estimates.throttle.record_refused();
+            return self.refuse_or_fail(request, out);
+        }
+        self.dispatch(request, out);
+    }
+
+    /// Sends a request to the best server there is, lets it wait for probes, or ends it.
+    fn dispatch(&mut self, request: RequestId, out: &mut Vec<Action>) {
+        let Some(pending) = self.requests.get(&request).cloned() else { return };
+        let selected = self.select_pair(&pending, out);
+        let (pair, was_probed) = (selected.map(|(pair, _)| pair), selected.is_some_and(|(_, probed)| probed));
+        // With old reports, sidecars that send seldom crowd onto the same servers or refuse without need.
+        if let Some(pair) = pair.filter(|pair| pair.iter().any(|c| c.awaits_probe)) {
+            return self.wait_for_probes(request, pair, was_probed, out);
+        }
+        let refused = f64::from(u8::from(pair.is_none()));
+        self.estimates.refused += FLEET_SMOOTHING * (refused - self.estimates.refused);
+        let class = &mut self.estimates.service[pending.class.0];
+        class.refused += FLEET_SMOOTHING * (refused - class.refused);
+        let by_load = pair.map(|[a, b]| if b.projected_load < a.projected_load { [b, a] } else { [a, b] });
+        let admitting = by_load.into_iter().flatten().find(|c| self.admits(c, &pending, was_probed));
+        let other = |_| self.warm_one(&pending).or_else(|| self.cold_one(&pending));
+        match admitting.or_else(|| pair.and_then(other)) {
+            Some(candidate) => self.send(request, candidate, out),
+            None => self.refuse_or_fail(request, out),
+        }
+    }
+
+    /// Whether a server may get this request. While it warms up, chance gives it a share of requests, since
+    /// one sidecar's part of its budget may be less than one request: it is sampled for at most two of `n`
+    /// requests, and chance leaves those that its budget allows for all sidecars together. As a share bounds
+    /// nothing in a rush, when many sidecars start beside a new server, each sidecar also keeps to an amount
+    /// of work, an equal part of the allowance.
+    fn admits(&mut self, to: &Candidate, pending: &PendingRequest, was_probed: bool) -> bool {
         if to.warm_up_fraction >= 1.0 {
             return true;
         }
-        let odds = if again { held.draw_share } else { self.odds(held) };
-        // Where there is no room elsewhere, more requests come than servers can carry, and more to this one.
+        let draw_share = if was_probed { pending.draw_share } else { self.draw_share(pending) };
+        // While requests are refused, more arrive than servers can carry, and more of them for this server.
         let multiple = self.settings.slow_start.overload_multiple * to.warm_up_fraction;
-        let share = COLD_MARGIN * multiple / 2.0 * odds * (1.0 - self.estimates.refused);
-        self.affords(to, held.class, share)
-    }
-
-    /// Waits for the probes of a pair. Timers are numbered in 63 bits: two requests may share one.
-    fn hold(&mut self, request: RequestId, pair: [Candidate; 2], again: bool, out: &mut Vec<Action>) {
-        let Some(known) = self.requests.get(&request) else { return };
-        // What a cold one was drawn from is told by how things stand at the draw.
-        let odds = match pair.iter().any(|c| c.warm_up_fraction < 1.0) {
-            true if !again => self.odds(&known.clone()),
-            _ => known.draw_share,
+        let probability =
+            WARM_UP_ALLOWANCE_SHARE * multiple / 2.0 * draw_share * (1.0 - self.estimates.refused);
+        self.affords(to, pending.class, probability)
+    }
+
+    /// Lets a request wait for the probes of its pair. A timer token has 63 bits: two requests may share one.
+    fn wait_for_probes(&mut self, request: RequestId, pair: Pair, was_probed: bool, out: &mut Vec<Action>) {
+        let Some(pending) = self.requests.get(&request) else { return };
+        // For a warming-up server, the share is that at the time of the draw.
+        let draw_share = match pair.iter().any(|c| c.warm_up_fraction < 1.0) {
+            true if !was_probed => self.draw_share(&pending.clone()),
+            _ => pending.draw_share,
         };
-        let Some(held) = self.requests.get_mut(&request) else { return };
-        (held.draw_share, held.probe_waits, held.exemption) =
-            (odds, held.probe_waits + 1, pair.iter().find_map(|c| c.exemption));
-        let most = HOLD_FOR * self.settings.classes[held.class.0].aim;
-        let at = self.now + self.estimates.probe_time.map_or(most, |time| most.min(HOLD_PROBES * time));
-        out.push(Action::SetTimer { at: at.min(held.deadline), token: request.0 >> 1 });
-        let before = held.pair.replace(pair.map(|c| c.id));
-        self.wait_no_more(request, before);
+        let Some(pending) = self.requests.get_mut(&request) else { return };
+        (pending.draw_share, pending.probe_waits, pending.exemption) =
+            (draw_share, pending.probe_waits + 1, pair.iter().find_map(|c| c.exemption));
+        let longest = PROBE_WAIT_AIM_SHARE * self.settings.classes[pending.class.0].aim;
+        let by_probes = self.estimates.probe_time.map(|time| PROBE_WAIT_PROBE_TIMES * time);
+        let at = self.now + by_probes.map_or(longest, |time| longest.min(time));
+        out.push(Action::SetTimer { at: at.min(pending.deadline), token: request.0 >> 1 });
+        let replaced = pending.pair.replace(pair.map(|c| c.id));
+        self.stop_waiting(request, replaced);
         self.waiting.extend(pair.map(|c| (c.id, request)));
     }
 
-    /// Goes on with what is held until this timer.
-    fn resume(&mut self, token: u64, out: &mut Vec<Action>) {
+    /// Dispatches the requests that have waited for probes until this timer.
+    fn probe_wait_ended(&mut self, token: u64, out: &mut Vec<Action>) {
         for request in [token << 1, token << 1 | 1].map(RequestId) {
-            if self.requests.get(&request).is_some_and(|held| held.pair.is_some()) {
-                self.place(request, out);
+            if self.requests.get(&request).is_some_and(|pending| pending.pair.is_some()) {
+                self.dispatch(request, out);
             }
         }
     }
 
-    /// The share of the time left to its aim that a request's wait may take. Under overload queues fill up
-    /// to it, so work that earns less for its service time than the usual is the first to be refused.
-    fn room(&self, held: &PendingRequest) -> f64 {
-        let density = self.density(held);
-        let worth = (density / self.estimates.usual_density.unwrap_or(density)).powf(FAVOUR).clamp(0.5, 1.5);
-        // By worth alone one class would bear all refusals.
-        let even =
-            (1.0 + EVEN * (self.estimates.service[held.class.0].refused - self.estimates.refused)).max(0.5);
-        self.estimates.wait_scale * ROOM * worth * even
+    /// The longest acceptable answer time, as a share of the time left to the aim. Under overload queues grow
+    /// up to it, so requests that earn less than usual for their service time are refused first.
+    fn max_wait_share(&self, pending: &PendingRequest) -> f64 {
+        let density = self.worth_density(pending);
+        let usual_density = self.estimates.usual_density.unwrap_or(density);
+        let by_worth = (density / usual_density).powf(WORTH_EXPONENT).clamp(0.5, 1.5);
+        // By worth alone, one class would bear all refusals.
+        let excess_refused = self.estimates.service[pending.class.0].refused - self.estimates.refused;
+        let by_refusals = (1.0 + CLASS_REFUSAL_WEIGHT * excess_refused).max(0.5);
+        self.estimates.wait_scale * MAX_WAIT_AIM_SHARE * by_worth * by_refusals
     }
 
-    /// What a request earns for its service time. No sidecar can know which tenants are over their share;
-    /// those with more of our arrivals than of all quotas are the likeliest.
-    fn density(&self, held: &PendingRequest) -> f64 {
+    /// Worth of a request per millisecond of service time. No sidecar can know which tenants exceed their
+    /// quotas. The likeliest are those whose share of our arrivals exceeds their share of all quotas.
+    fn worth_density(&self, pending: &PendingRequest) -> f64 {
         let quotas: f64 = self.settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
-        let quota = self.settings.tenants.get(held.tenant.0).map_or(0.0, |tenant| tenant.quota_per_s);
-        let share = self.estimates.tenant_shares.get(held.tenant.0).copied().unwrap_or(0.0);
+        let quota = self.settings.tenants.get(pending.tenant.0).map_or(0.0, |tenant| tenant.quota_per_s);
+        let share = self.estimates.tenant_shares.get(pending.tenant.0).copied().unwrap_or(0.0);
         let within = if quota > 0.0 && share > 0.0 { (quota / quotas / share).min(1.0) } else { 1.0 };
-        let worth = self.settings.classes[held.class.0].worth;
+        let worth = self.settings.classes[pending.class.0].worth;
         worth * (within + (1.0 - within) * self.settings.over_quota_worth)
-            / self.estimates.service[held.class.0].time.max(1.0)
+            / self.estimates.service[pending.class.0].time.max(1.0)
     }
 
-    /// Time until the answer loses its worth.
-    pub(crate) fn aim_left(&self, held: &PendingRequest) -> Millis {
-        held.deadline.min(held.arrived + self.settings.classes[held.class.0].aim) - self.now
+    /// Time until an answer loses its full worth, or the client stops waiting.
+    pub(crate) fn aim_left(&self, pending: &PendingRequest) -> Millis {
+        pending.deadline.min(pending.arrived + self.settings.classes[pending.class.0].aim) - self.now
     }
 
-    /// Ends a request: refused where that is safe to say, else failed.
-    fn give_up(&mut self, request: RequestId, out: &mut Vec<Action>) {
-        let Some(held) = self.end(request) else { return };
-        let safe = match self.settings.classes[held.class.0].effect {
+    /// Ends a request: refused if a repeat by the client is certainly harmless, else failed.
+    fn refuse_or_fail(&mut self, request: RequestId, out: &mut Vec<Action>) {
+        let Some(pending) = self.remove_request(request) else { return };
+        let may_repeat = match self.settings.classes[pending.class.0].effect {
             Effect::Idempotent | Effect::IdempotentByKey { scope: KeyScope::All, .. } => true,
             Effect::IdempotentByKey { .. } | Effect::NonIdempotent => {
-                !held.attempts.iter().any(|t| t.may_have_run)
+                !pending.attempts.iter().any(|t| t.may_have_run)
             }
         };
-        if safe {
-            // Soon enough to make its aim yet, and spread: all that were refused together come back.
-            let soon = RETRY_AFTER * self.settings.classes[held.class.0].aim * self.rng.rand_float();
-            out.push(Action::Refuse { request, retry_after: soon.min(self.settings.limits.max_retry_after) });
+        if may_repeat {
+            // Early enough to meet the aim yet, and spread, since all that were refused together come back.
+            let aim = self.settings.classes[pending.class.0].aim;
+            let wait = RETRY_AFTER_AIM_SHARE * aim * self.rng.rand_float();
+            let retry_after = wait.min(self.settings.limits.max_retry_after);
+            out.push(Action::Refuse { request, retry_after });
         } else {
             out.push(Action::Fail(request));
         }
     }
 
-    /// Takes a request off the books.
-    fn end(&mut self, request: RequestId) -> Option<PendingRequest> {
+    fn remove_request(&mut self, request: RequestId) -> Option<PendingRequest> {
         self.watch_no_more(request);
-        let held = self.requests.remove(&request)?;
-        self.wait_no_more(request, held.pair);
-        Some(held)
+        let pending = self.requests.remove(&request)?;
+        self.stop_waiting(request, pending.pair);
+        Some(pending)
     }
 
     pub(crate) fn watch_no_more(&mut self, request: RequestId) {
-        if let Some(held) = self.requests.get_mut(&request) {
-            self.check_schedule.set(request, held.check_at.take(), None);
+        if let Some(pending) = self.requests.get_mut(&request) {
+            self.check_schedule.set(request, pending.check_at.take(), None);
         }
     }
 
-    fn wait_no_more(&mut self, request: RequestId, pair: Option<[UpstreamId; 2]>) {
+    fn stop_waiting(&mut self, request: RequestId, pair: Option<[UpstreamId; 2]>) {
         for id in pair.into_iter().flatten() {
             self.waiting.remove(&(id, request));
         }
     }
 
-    // --- The survey of servers ---------------------------------------------------------------
+    // --- Evaluation of servers ---------------------------------------------------------------
 
-    /// How much longer times are here than where the mean service time is the usual.
-    fn scale(&self) -> f64 {
-        (self.estimates.usual_service.unwrap_or(USUAL_SERVICE) / USUAL_SERVICE).clamp(1.0, MOST_SCALE)
+    /// Factor on the constant times, for service times longer than [`BASE_SERVICE_TIME`].
+    fn time_scale(&self) -> f64 {
+        let usual_service = self.estimates.usual_service.unwrap_or(BASE_SERVICE_TIME);
+        (usual_service / BASE_SERVICE_TIME).clamp(1.0, MAX_TIME_SCALE)
     }
 
-    /// What all servers are looked at with.
-    pub(crate) fn view(&self, held: &PendingRequest) -> SelectionContext {
-        let aim_left = self.aim_left(held);
-        let spare = aim_left > 2.0 * HOLD_FOR * self.settings.classes[held.class.0].aim;
-        // With roughly exponential answer times one expected at `wait` misses its aim with probability
-        // exp(-aim/wait): while that is below the fee, crossing does not pay.
-        let terms = self.cross_zone_budget.as_ref().map(|plan| plan.terms(self.now, held.class));
-        let limit = |fee: f64| if fee > 0.0 { aim_left / (1.0 / fee).ln().max(1.0) } else { 0.0 };
-        let service = self.estimates.service[held.class.0].time;
-        let soon = self.estimates.probe_time.is_none_or(|time| time <= HOLD_WORTH * service);
+    /// The terms on which a request evaluates all servers.
+    pub(crate) fn view(&self, pending: &PendingRequest) -> SelectionContext {
+        let aim_left = self.aim_left(pending);
+        let has_time = aim_left > 2.0 * PROBE_WAIT_AIM_SHARE * self.settings.classes[pending.class.0].aim;
+        // With roughly exponential answer times, one expected at `wait` misses the aim with probability
+        // exp(-aim/wait). While that is below the cost of crossing, crossing does not pay.
+        let terms = self.cross_zone_budget.as_ref().map(|plan| plan.terms(self.now, pending.class));
+        let limit = |cost: f64| if cost > 0.0 { aim_left / (1.0 / cost).ln().max(1.0) } else { 0.0 };
+        let service_time = self.estimates.service[pending.class.0].time;
+        let longest_probe = MAX_PROBE_TIME_SHARE * service_time;
+        let wait_factor = if pending.probe_waits > 0 { WAIT_FACTOR_AFTER_PROBES } else { 1.0 };
         SelectionContext {
-            service,
-            outside: false,
-            // Older than what is renewed: there is a probe to wait for.
-            max_report_age: (HOLD_AFTER * service).max(FRESH * self.scale()),
+            service_time,
+            outside_subset: false,
+            // No less than the age from which servers are probed, else there would be no probe to wait for.
+            max_report_age: (PROBE_WAIT_SERVICE_TIMES * service_time).max(PROBE_AFTER * self.time_scale()),
             means: self.upstreams.means(),
             may_wait_for_probe: self.settings.limits.probes
                 && self.probe_budget.can(2.0)
-                && held.probe_waits < HOLDS
-                && spare
-                && soon,
-            max_wait: self.room(held) * aim_left * if held.probe_waits > 0 { HELD_ROOM } else { 1.0 },
+                && pending.probe_waits < MAX_PROBE_WAITS
+                && has_time
+                && self.estimates.probe_time.is_none_or(|time| time <= longest_probe),
+            max_wait: self.max_wait_share(pending) * aim_left * wait_factor,
             same_zone_limit: limit(terms.map_or(self.settings.cross_zone_cost, |terms| terms.fee)),
-            failing: terms.map_or(1.0, |terms| terms.bend_at),
+            max_failure_rate: terms.map_or(1.0, |terms| terms.bend_at),
         }
     }
 
-    /// A server as a request sees it now, with its projected utilisation and expected answer time.
+    /// Evaluates a server for a request, with its projected utilisation and expected answer time.
     pub(crate) fn look(
         &self,
         slot: Slot,
-        held: &PendingRequest,
-        view: &SelectionContext,
+        pending: &PendingRequest,
+        context: &SelectionContext,
     ) -> Option<Candidate> {
-        let (id, upstream) = self.upstreams.at(slot)?;
-        let (in_flight, kappa) = (self.in_flight(upstream, &view.means), self.kappa(upstream));
-        let warm_up_fraction = upstream.warmth(self.now, &self.settings.slow_start);
-        let slowness = self.slowness(upstream) / warm_up_fraction;
-        let depth = ((in_flight + 1.0) / kappa).max(1.0);
+        let (id, server) = self.upstreams.at(slot)?;
+        let in_flight = self.estimated_in_flight(server, &context.means);
+        let capacity = self.kappa(server);
+        let warm_up_fraction = server.warmth(self.now, &self.settings.slow_start);
+        let slowness = self.current_slowness(server) / warm_up_fraction;
+        let depth = ((in_flight + 1.0) / capacity).max(1.0);
+        // An empty server is idle whatever its estimated capacity: only answers can correct the estimate.
+        let few = (2.5 - IDLE_REFUSAL_WEIGHT * self.estimates.refused).max(1.0);
+        let is_little_used = in_flight + 1.0 <= (IDLE_UTILISATION * capacity).max(few);
+        let report_age = self.now - server.reported_at;
         Some(Candidate {
             id,
-            zone: upstream.zone,
-            same_zone: upstream.zone == self.settings.zone,
+            zone: server.zone,
+            same_zone: server.zone == self.settings.zone,
             exemption: None,
-            heard: upstream.has_valid_report,
-            awaits_probe: view.may_wait_for_probe && self.now - upstream.reported_at > view.max_report_age,
-            // One that has just failed this request is the likeliest to fail it again.
-            healthy: self.takes_part(upstream)
-                && !self.outages.is_out(upstream.zone)
-                && held.attempts.iter().all(|t| t.upstream != id),
-            projected_load: (in_flight + 1.0) / kappa * slowness,
+            has_valid_report: server.has_valid_report,
+            awaits_probe: context.may_wait_for_probe && report_age > context.max_report_age,
+            // A server that has just failed this request is the likeliest to fail it again.
+            healthy: self.is_available(server)
+                && !self.outages.is_out(server.zone)
+                && pending.attempts.iter().all(|t| t.upstream != id),
+            projected_load: (in_flight + 1.0) / capacity * slowness,
             depth,
-            // An empty one is idle whatever its size: else nothing could ever correct what was learnt.
-            idle: self.says_idle(upstream)
-                || in_flight + 1.0
-                    <= (IDLE * kappa).max((2.5 - IDLE_CROWDED * self.estimates.refused).max(1.0)),
-            wait: view.service * slowness * depth,
-            failure_rate: upstream.failure_rate,
+            idle: self.reports_idle(server) || is_little_used,
+            wait: context.service_time * slowness * depth,
+            failure_rate: server.failure_rate,
             warm_up_fraction,
         })
     }
 
-    /// Where a further send may go, by what may have run already.
-    pub(crate) fn reach(&self, held: &PendingRequest) -> Option<CandidateScope> {
-        let Some(first) = held.attempts.iter().find(|t| t.out || t.may_have_run) else {
+    /// The servers that may get a further attempt, given the attempts that may have run; `None` if none may.
+    pub(crate) fn reach(&self, pending: &PendingRequest) -> Option<CandidateScope> {
+        let Some(first) = pending.attempts.iter().find(|t| t.out || t.may_have_run) else {
             return Some(CandidateScope::All);
         };
-        match self.settings.classes[held.class.0].effect {
+        match self.settings.classes[pending.class.0].effect {
             Effect::Idempotent => Some(CandidateScope::All),
             Effect::NonIdempotent => None,
-            // The window counts from the first send that may have run; a tick is kept in hand.
+            // The window counts from the first send that may have run; one tick is kept as a margin.
             Effect::IdempotentByKey { scope, window } => {
-                let in_time = self.now + self.settings.limits.tick < first.sent + window;
-                in_time.then_some(match scope {
+                let is_in_window = self.now + self.settings.limits.tick < first.sent + window;
+                is_in_window.then_some(match scope {
                     KeyScope::All => CandidateScope::All,
                     KeyScope::Zone => CandidateScope::Zone(first.zone),
                     KeyScope::Cell => CandidateScope::Cell(first.cell),
@@ -441,88 +446,88 @@
         }
     }
 
-    pub(crate) fn kappa(&self, upstream: &Upstream) -> f64 {
-        self.estimates.kappa(upstream, self.upstreams.known_of(upstream.kind), self.now, self.scale())
+    pub(crate) fn kappa(&self, server: &Upstream) -> f64 {
+        self.estimates.kappa(server, self.upstreams.known_of(server.kind), self.now, self.time_scale())
     }
 
-    /// m: the last report and our sends since; an unheard server takes the mean m of the known ones.
-    fn in_flight(&self, upstream: &Upstream, means: &FleetMeans) -> f64 {
-        let own = upstream.outstanding.len() as f64;
-        if !upstream.has_valid_report || !self.estimates.believes() {
-            // What all send to a cold one is kept to what it surely does: others' queues are not its.
-            let cold = upstream.warmth(self.now, &self.settings.slow_start) < 1.0;
-            return own + if cold { 0.0 } else { means.in_flight };
+    /// m: the last report and our sends since. Without a valid report, our sends and the mean of others'
+    /// sends.
+    fn estimated_in_flight(&self, server: &Upstream, means: &FleetMeans) -> f64 {
+        let own = server.outstanding.len() as f64;
+        if !server.has_valid_report || !self.estimates.believes() {
+            // All sidecars together keep a warming-up server within its capacity: others queue nothing there.
+            let is_warming_up = server.warmth(self.now, &self.settings.slow_start) < 1.0;
+            return own + if is_warming_up { 0.0 } else { means.in_flight };
         }
-        // A report below what we ourselves have out there is old, whatever it says.
-        (upstream.reported_in_flight + upstream.unreported_sends as f64).max(own)
+        // A report with fewer requests than we have outstanding there is out of date.
+        (server.reported_in_flight + server.unreported_sends as f64).max(own)
     }
 
-    /// Whether one of unknown size says itself that it is little used, and has not been sent twice as much
-    /// since.
-    fn says_idle(&self, upstream: &Upstream) -> bool {
-        let sent = upstream.unreported_sends as f64;
-        let believed = upstream.has_valid_report
+    /// Whether a server of unknown capacity reports a low utilisation and has at most doubled its load since.
+    fn reports_idle(&self, server: &Upstream) -> bool {
+        let is_believed = server.has_valid_report
             && self.estimates.believes()
-            && sent <= upstream.reported_in_flight + 1.0;
-        upstream.capacity.is_none() && believed && upstream.utilisation.is_some_and(|u| u < IDLE)
+            && server.unreported_sends as f64 <= server.reported_in_flight + 1.0;
+        let is_low = server.utilisation.is_some_and(|utilisation| utilisation < IDLE_UTILISATION);
+        server.capacity.is_none() && is_believed && is_low
     }
 
-    /// Service time relative to the mean server, from answers and from sends that are long unanswered.
-    fn slowness(&self, upstream: &Upstream) -> f64 {
-        let learnt = self.remembered(upstream);
-        // A server that hangs gives no answers to learn from: the time since its last one tells.
-        let ageing = upstream.outstanding.oldest().map_or(0.0, |(_, oldest)| {
-            AGEING * (self.now - oldest.sent.max(upstream.answered_at))
+    /// Service time relative to the mean server's, from answers and from sends that are long unanswered.
+    fn current_slowness(&self, server: &Upstream) -> f64 {
+        let estimated = self.remembered(server);
+        // An unresponsive server gives no answers to learn from; the time since its last one counts instead.
+        let by_unanswered = server.outstanding.oldest().map_or(0.0, |(_, oldest)| {
+            UNANSWERED_WEIGHT * (self.now - oldest.sent.max(server.answered_at))
                 / (oldest.depth * self.estimates.service[oldest.class.0].time)
         });
-        learnt.max(ageing).max(0.05)
+        estimated.max(by_unanswered).max(0.05)
     }
 
-    pub(crate) fn remembered(&self, upstream: &Upstream) -> f64 {
-        self.estimates.slowness(upstream, self.upstreams.known_of(upstream.kind), self.now, self.scale())
+    pub(crate) fn remembered(&self, server: &Upstream) -> f64 {
+        let known_of_kind = self.upstreams.known_of(server.kind);
+        self.estimates.slowness(server, known_of_kind, self.now, self.time_scale())
     }
 
-    fn takes_part(&self, upstream: &Upstream) -> bool {
-        match upstream.health {
+    fn is_available(&self, server: &Upstream) -> bool {
+        match server.health {
             Health::Ready => true,
-            // Half-open after a while: one trial at a time.
-            Health::Ejected { until, .. } => self.now >= until && upstream.outstanding.is_empty(),
+            // Half-open after its ejection: one trial at a time.
+            Health::Ejected { until, .. } => self.now >= until && server.outstanding.is_empty(),
         }
     }
 
-    // --- The draw ----------------------------------------------------------------------------
+    // --- Sampling ----------------------------------------------------------------------------
 
-    /// Two random servers among those with room, near ones first; the smaller projected utilisation wins.
-    /// They are looked at in random order until two have room, or [`LOOKS`] have been. Also whether it is the
-    /// pair that was drawn before.
-    fn draw(&mut self, held: &PendingRequest, out: &mut Vec<Action>) -> Option<([Candidate; 2], bool)> {
-        self.know();
+    /// Two random servers with capacity, and whether they are the pair whose probes the request has waited
+    /// for.
+    fn select_pair(&mut self, pending: &PendingRequest, out: &mut Vec<Action>) -> Option<(Pair, bool)> {
+        self.update_subset();
         self.ask_zones(out);
-        let reach = self.reach(held)?;
-        let view = self.view(held);
-        let before = self.asked_for(held, &view);
-        let inside = reach.inside();
-        let near =
-            if before.is_none() && held.probe_waits == 0 { self.near(inside, held, &view) } else { None };
-        let mut pair = before.or(near).or_else(|| self.open(inside, held, &view));
-        if pair.is_none() && inside != reach && self.upstreams.size(reach) != self.upstreams.size(inside) {
-            // A refusal is honest only after a look outside; what is found there widens the subset.
-            pair = self.open(reach, held, &SelectionContext { outside: true, ..view });
+        let scope = self.reach(pending)?;
+        let context = self.view(pending);
+        let probed = self.probed_pair(pending, &context);
+        let subset = scope.inside();
+        let is_new = probed.is_none() && pending.probe_waits == 0;
+        let same_zone = if is_new { self.same_zone_pair(subset, pending, &context) } else { None };
+        let mut pair = probed.or(same_zone).or_else(|| self.open(subset, pending, &context));
+        if pair.is_none() && subset != scope && self.upstreams.size(scope) != self.upstreams.size(subset) {
+            // Before a refusal, servers outside the subset are examined, too. A pair found there widens it.
+            pair = self.open(scope, pending, &SelectionContext { outside_subset: true, ..context });
             if pair.is_some() {
                 self.subset_size.widen();
             }
         }
         let Some(pair) = pair else {
-            let view = self.view(held);
-            self.ask_anyone(reach, &view, out);
+            let context = self.view(pending);
+            self.probe_at_random(scope, &context, out);
             return None;
         };
-        pair.iter().for_each(|drawn| self.probe(drawn.id, out));
-        Some((pair, before.is_some()))
+        pair.iter().for_each(|candidate| self.probe(candidate.id, out));
+        Some((pair, probed.is_some()))
     }
 
-    /// Brings the subset into line with the traffic and with what has become of its members.
-    fn know(&mut self) {
+    /// Adapts the subset to the traffic and to changes of its members.
+    fn update_subset(&mut self) {
         if self.estimates.observed_capacity.is_due(self.now) {
             let warm = self.upstreams.warm_servers(self.now, &self.settings.slow_start);
             self.estimates.observed_capacity.review(self.now, warm);
@@ -536,151 +541,153 @@
         self.upstreams = fleet;
     }
 
-    /// Who is refused leaves something to learn from: else nothing would tell that there is room again.
-    fn ask_anyone(&mut self, reach: CandidateScope, view: &SelectionContext, out: &mut Vec<Action>) {
-        let mut looks = CandidateSampler::new(&self.upstreams, reach, true);
+    /// Probes two servers after a refusal: otherwise nothing would show that there is capacity again.
+    fn probe_at_random(&mut self, scope: CandidateScope, context: &SelectionContext, out: &mut Vec<Action>) {
+        let mut sampler = CandidateSampler::new(&self.upstreams, scope, true);
         for _ in 0..2 {
-            let slot = looks.next(&mut self.upstreams, &mut self.rng);
-            let Some((id, upstream)) = slot.and_then(|slot| self.upstreams.at(slot)) else { return };
-            if self.now - upstream.reported_at > view.max_report_age {
+            let slot = sampler.next(&mut self.upstreams, &mut self.rng);
+            let Some((id, server)) = slot.and_then(|slot| self.upstreams.at(slot)) else { return };
+            if self.now - server.reported_at > context.max_report_age {
                 self.probe(id, out);
             }
         }
     }
 
-    /// Of the pair that was drawn before and asked since, those that still suit.
-    fn asked_for(&self, held: &PendingRequest, view: &SelectionContext) -> Option<[Candidate; 2]> {
-        let limit = |c: &Candidate| {
-            if held.probe_waits == 1 && c.same_zone {
-                view.same_zone_limit.min(view.max_wait)
-            } else {
-                view.max_wait
-            }
-        };
-        let fits = |c: &Candidate| c.healthy && view.has_room(c) && c.wait <= limit(c);
-        let suits = |c: &Candidate| fits(c) && self.still_pays(held, c);
-        let again = |id| {
-            self.look(self.upstreams.slot(id)?, held, view).filter(|c| self.is_serving(c.id) && suits(c))
+    /// The pair whose probes the request has waited for, if acceptable; one server twice if the other is not.
+    fn probed_pair(&self, pending: &PendingRequest, context: &SelectionContext) -> Option<Pair> {
+        let limit = |c: &Candidate| match pending.probe_waits == 1 && c.same_zone {
+            true => context.same_zone_limit.min(context.max_wait),
+            false => context.max_wait,
         };
-        let [a, b] = held.pair?.map(again);
+        let is_usable = |c: &Candidate| c.healthy && context.has_room(c) && c.wait <= limit(c);
+        let is_allowed = |c: &Candidate| self.is_serving(c.id) && self.still_pays(pending, c);
+        let [a, b] = pending.pair?.map(|id| {
+            let candidate = self.look(self.upstreams.slot(id)?, pending, context);
+            candidate.filter(|c| is_usable(c) && is_allowed(c))
+        });
         Some([a.or(b)?, b.or(a)?])
     }
 
-    /// Two near ones with so much room that crossing does not pay.
-    fn near(
+    /// Two servers of the same zone whose expected answer times are so short that crossing would not pay.
+    fn same_zone_pair(
         &mut self,
-        reach: CandidateScope,
-        held: &PendingRequest,
-        view: &SelectionContext,
-    ) -> Option<[Candidate; 2]> {
-        if view.same_zone_limit == 0.0 {
+        scope: CandidateScope,
+        pending: &PendingRequest,
+        context: &SelectionContext,
+    ) -> Option<Pair> {
+        if context.same_zone_limit == 0.0 {
             return None;
         }
-        let reach = if reach == CandidateScope::Members {
-            CandidateScope::MembersIn(self.settings.zone)
-        } else {
-            reach
+        let scope = match scope {
+            CandidateScope::Members => CandidateScope::MembersIn(self.settings.zone),
+            _ => scope,
         };
-        self.two(reach, held, view, false, |c| c.healthy && view.suits_near(c))
+        self.two(scope, pending, context, false, |c| c.healthy && context.suits_near(c))
     }
 
-    /// Two with room that may be sent to, wherever they are.
+    /// Two servers in scope with capacity that are `allowed`: healthy ones if there are any.
     pub(crate) fn anywhere(
         &mut self,
-        reach: CandidateScope,
-        held: &PendingRequest,
-        view: &SelectionContext,
-        may: impl Fn(&Candidate) -> bool,
-    ) -> Option<[Candidate; 2]> {
-        let mut healthy = false;
-        let found = self.two(reach, held, view, false, |c| {
-            healthy |= c.healthy;
-            c.healthy && view.has_room(c) && may(c)
+        scope: CandidateScope,
+        pending: &PendingRequest,
+        context: &SelectionContext,
+        allowed: impl Fn(&Candidate) -> bool,
+    ) -> Option<Pair> {
+        let is_usable = |c: &Candidate| context.has_room(c) && allowed(c);
+        let mut any_healthy = false;
+        let healthy = self.two(scope, pending, context, false, |candidate| {
+            any_healthy |= candidate.healthy;
+            candidate.healthy && is_usable(candidate)
         });
-        // Everyone looks bad: rather ask someone than no one.
-        if healthy { found } else { self.two(reach, held, view, true, |c| view.has_room(c) && may(c)) }
+        // An unhealthy server is better than none.
+        if any_healthy { healthy } else { self.two(scope, pending, context, true, is_usable) }
     }
 
-    /// The first two that are wanted, in a random order; the one there is, twice, where there is only one.
+    /// The first two `wanted` servers in random order, or the only one twice. Ejected ones if `with_ejected`.
     pub(crate) fn two(
         &mut self,
-        reach: CandidateScope,
-        held: &PendingRequest,
-        view: &SelectionContext,
-        all: bool,
+        scope: CandidateScope,
+        pending: &PendingRequest,
+        context: &SelectionContext,
+        with_ejected: bool,
         mut wanted: impl FnMut(&Candidate) -> bool,
-    ) -> Option<[Candidate; 2]> {
-        let mut looks = CandidateSampler::new(&self.upstreams, reach, all);
+    ) -> Option<Pair> {
+        let mut sampler = CandidateSampler::new(&self.upstreams, scope, with_ejected);
         let mut first = None;
-        for _ in 0..LOOKS {
-            let Some(slot) = looks.next(&mut self.upstreams, &mut self.rng) else { break };
-            let Some(found) = self.look(slot, held, view).filter(|c| wanted(c)) else { continue };
+        for _ in 0..MAX_EXAMINED {
+            let Some(slot) = sampler.next(&mut self.upstreams, &mut self.rng) else { break };
+            let Some(found) = self.look(slot, pending, context).filter(|c| wanted(c)) else { continue };
             match first {
                 None => first = Some(found),
                 Some(first) => return Some([first, found]),
             }
         }
-        first.map(|one| [one, one])
+        first.map(|only| [only, only])
     }
 
-    /// The share of the servers within reach that a pair is drawn from. Only asked where one of it is cold.
-    fn odds(&mut self, held: &PendingRequest) -> f64 {
-        let Some(reach) = self.reach(held).map(CandidateScope::inside) else { return 1.0 };
-        let view = self.view(held);
-        let whole = self.upstreams.size(reach).1.max(1) as f64;
-        let zone = if reach == CandidateScope::Members {
-            CandidateScope::MembersIn(self.settings.zone)
-        } else {
-            reach
+    /// The share of the servers in scope that a pair is drawn from. Needed only if one of them is warming up.
+    fn draw_share(&mut self, pending: &PendingRequest) -> f64 {
+        let Some(scope) = self.reach(pending).map(CandidateScope::inside) else { return 1.0 };
+        let context = self.view(pending);
+        let size = self.upstreams.size(scope).1.max(1) as f64;
+        let has_capacity = |c: &Candidate| context.has_room(c);
+        let zone = match scope {
+            CandidateScope::Members => CandidateScope::MembersIn(self.settings.zone),
+            _ => scope,
         };
-        let near = if view.same_zone_limit != 0.0 {
-            // Where nothing pays for a crossing, the near ones are drawn from as long as one has room.
-            let stays = self.stays(held.class);
-            self.count(zone, held, &view, |c| view.suits_near(c) || stays && c.same_zone && view.has_room(c))
+        let same_zone = if context.same_zone_limit != 0.0 {
+            // Where no budget pays for crossing, pairs are from the zone while a server there has capacity.
+            let stays = self.stays(pending.class);
+            let suits = |c: &Candidate| context.suits_near(c) || stays && c.same_zone && has_capacity(c);
+            self.estimate_count(zone, pending, &context, suits)
         } else {
             0.0
         };
-        let open = if near > 0.0 { near } else { self.count(reach, held, &view, |c| view.has_room(c)) };
-        if open > 0.0 { open / whole } else { 1.0 }
+        let drawn_from = match same_zone > 0.0 {
+            true => same_zone,
+            false => self.estimate_count(scope, pending, &context, has_capacity),
+        };
+        if drawn_from > 0.0 { drawn_from / size } else { 1.0 }
     }
 
-    /// How many of a group are healthy and wanted, by those that are looked at.
-    fn count(
+    /// The number of healthy servers in scope that are `wanted`, estimated from a sample.
+    fn estimate_count(
         &mut self,
-        reach: CandidateScope,
-        held: &PendingRequest,
-        view: &SelectionContext,
+        scope: CandidateScope,
+        pending: &PendingRequest,
+        context: &SelectionContext,
         wanted: impl Fn(&Candidate) -> bool,
     ) -> f64 {
-        let mut looks = CandidateSampler::new(&self.upstreams, reach, false);
-        let (mut seen, mut found) = (0.0, 0.0);
-        for _ in 0..LOOKS {
-            let Some(slot) = looks.next(&mut self.upstreams, &mut self.rng) else { break };
-            seen += 1.0;
-            let suits = self.look(slot, held, view).is_some_and(|c| c.healthy && wanted(&c));
-            found += f64::from(u8::from(suits));
+        let mut sampler = CandidateSampler::new(&self.upstreams, scope, false);
+        let (mut examined, mut found) = (0.0, 0.0);
+        for _ in 0..MAX_EXAMINED {
+            let Some(slot) = sampler.next(&mut self.upstreams, &mut self.rng) else { break };
+            examined += 1.0;
+            let is_wanted = self.look(slot, pending, context).is_some_and(|c| c.healthy && wanted(&c));
+            found += f64::from(u8::from(is_wanted));
         }
-        found / f64::max(seen, 1.0) * self.upstreams.size(reach).0 as f64
+        found / f64::max(examined, 1.0) * self.upstreams.size(scope).0 as f64
     }
 
     fn is_serving(&self, id: UpstreamId) -> bool {
-        self.upstreams.get(id).is_some_and(|upstream| upstream.serving)
+        self.upstreams.get(id).is_some_and(|server| server.serving)
     }
 
+    /// Probes a server unless its report is recent, another probe is under way or the budget is used up.
     pub(crate) fn probe(&mut self, id: UpstreamId, out: &mut Vec<Action>) {
         let may_probe = self.settings.limits.probes && self.probe_budget.can(1.0);
-        let (now, next) = (self.now, self.next_send);
-        let (fresh, lost) = (FRESH * self.scale(), STALE * self.scale());
-        let ask = |upstream: &mut Upstream| {
-            let waiting = upstream.probe_sent.is_some_and(|sent| now - sent < lost);
-            let due = may_probe && !waiting && now - upstream.reported_at > fresh;
-            if due {
-                upstream.probe_sent = Some(now);
-                (upstream.first_send_after_probe, upstream.sends_after_probe) = upstream.unheard(next, now);
+        let (now, next_send) = (self.now, self.next_send);
+        let (min_age, lost_after) = (PROBE_AFTER * self.time_scale(), REPORT_VALIDITY * self.time_scale());
+        let start_if_due = |server: &mut Upstream| {
+            let is_probed = server.probe_sent.is_some_and(|sent| now - sent < lost_after);
+            let is_due = may_probe && !is_probed && now - server.reported_at > min_age;
+            if is_due {
+                server.probe_sent = Some(now);
+                (server.first_send_after_probe, server.sends_after_probe) = server.unheard(next_send, now);
             }
-            due
+            is_due
         };
-        if self.upstreams.change(id, ask) == Some(true) {
+        if self.upstreams.change(id, start_if_due) == Some(true) {
             self.tell_probed(id);
             self.probe_budget.spend();
             out.push(Action::Probe(id));
@@ -688,269 +695,269 @@
     }
 
     fn send(&mut self, request: RequestId, to: Candidate, out: &mut Vec<Action>) {
-        let Some(held) = self.requests.get(&request) else { return };
-        let left = (held.deadline - self.now).max(0.0);
-        let first = AttemptEvidence { wait: to.wait, failing: to.failure_rate, ..self.no_evidence() };
-        let look = self
-            .may_go_on(held, held.attempts.len() + 1)
-            .then(|| self.next_look(held, &first, 0.0))
-            .flatten();
-        // Who may not call an attempt off has to know beforehand.
-        let (timeout, look) = match self.settings.limits.cancel {
-            true => (left, look),
-            false if self.may_go_on(held, held.attempts.len() + 1) => {
-                (self.timeout(held, to).min(left), None)
-            }
+        let Some(pending) = self.requests.get(&request) else { return };
+        let left = (pending.deadline - self.now).max(0.0);
+        let evidence = AttemptEvidence { wait: to.wait, failing: to.failure_rate, ..self.no_evidence() };
+        let may_retry = self.may_go_on(pending, pending.attempts.len() + 1);
+        let check_after = may_retry.then(|| self.next_look(pending, &evidence, 0.0)).flatten();
+        // Where attempts cannot be cancelled, the time-out has to be decided beforehand.
+        let (timeout, check_after) = match self.settings.limits.cancel {
+            true => (left, check_after),
+            false if may_retry => (self.timeout(pending, to).min(left), None),
             false => (left, None),
         };
-        let usual = &mut self.estimates.service[held.class.0].wait;
-        *usual += SMOOTH_ALL * (to.wait - *usual);
-        let (class, attempt, held_bend) = (held.class, AttemptNo(held.attempts.len() as u32), held.exemption);
+        let mean_wait = &mut self.estimates.service[pending.class.0].wait;
+        *mean_wait += FLEET_SMOOTHING * (to.wait - *mean_wait);
+        let (class, attempt) = (pending.class, AttemptNo(pending.attempts.len() as u32));
+        let bend = to.exemption.or(pending.exemption);
         let (sent, number) = (self.now, self.next_send);
-        let Candidate { depth, wait, zone, .. } = to;
-        let enter = |upstream: &mut Upstream| {
-            upstream.enter(number, OutstandingSend { class, sent, depth, wait });
-            Attempt::new(to.id, upstream, sent)
+        let add_send = |server: &mut Upstream| {
+            server.enter(number, OutstandingSend { class, sent, depth: to.depth, wait: to.wait });
+            Attempt::new(to.id, server, sent)
         };
-        let Some(this) = self.upstreams.change(to.id, enter) else { return };
+        let Some(started) = self.upstreams.change(to.id, add_send) else { return };
         self.next_send += 1;
         self.sends.insert((request, attempt), (number, to.id));
-        if let Some(held) = self.requests.get_mut(&request) {
-            held.attempts.push(this);
-            let pair = held.pair.take();
-            held.check_at = look.map(|after| sent + after);
-            self.check_schedule.set(request, None, held.check_at);
-            self.wait_no_more(request, pair);
-        }
-        self.tell_sent(CrossZoneAttempt {
-            request,
-            number: attempt,
-            class,
-            to: zone,
-            bend: to.exemption.or(held_bend),
-        });
+        if let Some(pending) = self.requests.get_mut(&request) {
+            pending.attempts.push(started);
+            let pair = pending.pair.take();
+            pending.check_at = check_after.map(|after| sent + after);
+            self.check_schedule.set(request, None, pending.check_at);
+            self.stop_waiting(request, pair);
+        }
+        self.tell_sent(CrossZoneAttempt { request, number: attempt, class, to: to.zone, bend });
         out.push(Action::Send { request, upstream: to.id, timeout });
     }
 
-    /// Goes on with the request after an attempt has ended.
-    fn finished(&mut self, end: FinishedAttempt, out: &mut Vec<Action>) {
-        let (request, outcome) = (end.request, end.outcome);
-        let Some(held) = self.requests.get_mut(&request) else { return };
-        let Some(this) = held.attempts.get_mut(end.attempt.0 as usize).filter(|t| t.out) else { return };
-        this.out = false;
-        self.check_schedule.set(request, held.check_at.take(), None);
-        // A jam once fed itself: answers that servers were full came soon, and made room as if in time.
-        let full = outcome == Outcome::Full;
-        let late = full || self.now > held.arrived + self.settings.classes[held.class.0].aim;
-        let step = if full { SMOOTH } else { SMOOTH_ALL } * (LATE_TARGET - f64::from(u8::from(late)));
+    // --- Outcomes ----------------------------------------------------------------------------
+
+    /// After an attempt has finished, closes its request, tries again, or refuses or fails the request.
+    fn attempt_finished(&mut self, finished: FinishedAttempt, out: &mut Vec<Action>) {
+        let FinishedAttempt { request, outcome, .. } = finished;
+        let number = finished.attempt.0 as usize;
+        let Some(pending) = self.requests.get_mut(&request) else { return };
+        let Some(attempt) = pending.attempts.get_mut(number).filter(|t| t.out) else { return };
+        attempt.out = false;
+        self.check_schedule.set(request, pending.check_at.take(), None);
+        // Full servers answer soon. Counted as in time, their answers let in more requests and fed overload.
+        let is_full = outcome == Outcome::Full;
+        let is_late = is_full || self.now > pending.arrived + self.settings.classes[pending.class.0].aim;
+        let smoothing = if is_full { SMOOTHING } else { FLEET_SMOOTHING };
+        let step = smoothing * (TARGET_LATE_SHARE - f64::from(u8::from(is_late)));
         self.estimates.wait_scale = (self.estimates.wait_scale * (1.0 + step)).clamp(0.25, 1.0);
-        // Failures are those of one server; a jam shows in what comes late.
+        // Failures are those of one server; an overload shows in late answers.
         if matches!(outcome, Outcome::Ok | Outcome::TimedOut) {
-            self.estimates.throttle.ended(outcome == Outcome::Ok && !late);
+            self.estimates.throttle.record_finished(outcome == Outcome::Ok && !is_late);
         }
-        this.may_have_run = outcome.may_have_run();
-        if end.client_answered || outcome == Outcome::Ok {
-            return self.abandoned(request, out);
+        attempt.may_have_run = outcome.may_have_run();
+        if finished.client_answered || outcome == Outcome::Ok {
+            return self.close(request, out);
         }
-        let held = held.clone();
-        let attempts_left = (held.attempts.len() as u32) < self.settings.limits.max_attempts;
-        let given_up = held.attempts[end.attempt.0 as usize].abandoned;
-        let worth_it = self.aim_left(&held) > 0.0 && (outcome != Outcome::NotSent || given_up);
-        if attempts_left && worth_it && self.estimates.retry_tokens >= 1.0 {
+        let pending = pending.clone();
+        let has_attempts_left = (pending.attempts.len() as u32) < self.settings.limits.max_attempts;
+        let was_abandoned = pending.attempts[number].abandoned;
+        let is_worth_it = self.aim_left(&pending) > 0.0 && (outcome != Outcome::NotSent || was_abandoned);
+        if has_attempts_left && is_worth_it && self.estimates.retry_tokens >= 1.0 {
             self.estimates.retry_tokens -= 1.0;
-            self.place(request, out);
+            self.dispatch(request, out);
         } else {
-            self.give_up(request, out);
+            self.refuse_or_fail(request, out);
         }
     }
 
-    /// Forgets a request that has its answer, and stops what is still out for it.
-    fn abandoned(&mut self, request: RequestId, out: &mut Vec<Action>) {
-        let Some(held) = self.end(request) else { return };
+    /// Removes a request that needs no answer any more and cancels its attempts in flight.
+    fn close(&mut self, request: RequestId, out: &mut Vec<Action>) {
+        let Some(pending) = self.remove_request(request) else { return };
         let cancel = self.settings.limits.cancel;
-        for (number, _) in held.attempts.iter().enumerate().filter(|(_, t)| t.out && cancel) {
+        for (number, _) in pending.attempts.iter().enumerate().filter(|(_, t)| t.out && cancel) {
             out.push(Action::Cancel { request, attempt: AttemptNo(number as u32) });
         }
     }
 
-    /// Learns from an attempt's end, whether or not its request is still held.
-    fn settle(&mut self, end: FinishedAttempt, out: &mut Vec<Action>) {
-        let FinishedAttempt { upstream: id, outcome, latency, .. } = end;
-        let key = (end.request, end.attempt);
+    /// Updates estimates and health by a finished attempt, whether or not its request is still pending.
+    fn record_attempt(&mut self, finished: FinishedAttempt, out: &mut Vec<Action>) {
+        let FinishedAttempt { request, attempt, upstream: id, outcome, latency, .. } = finished;
+        let key = (request, attempt);
         let Some(&(number, _)) = self.sends.get(&key).filter(|(_, to)| *to == id) else { return };
         self.sends.remove(&key);
-        let given_up =
-            self.requests.get(&end.request).and_then(|held| held.attempts.get(end.attempt.0 as usize));
-        let given_up = given_up.is_some_and(|this| this.abandoned) && outcome == Outcome::Cancelled;
-        let unanswered = given_up || outcome == Outcome::TimedOut;
-        let known = self.upstreams.get(id).filter(|_| unanswered).and_then(|upstream| {
-            Some(self.evidence_of(upstream, number, &upstream.outstanding.get(number)?))
-        });
-        let Some(sent) = self.upstreams.change(id, |upstream| upstream.take(number)).flatten() else {
-            return;
-        };
+        let attempts = self.requests.get(&request).map(|pending| &pending.attempts);
+        let attempt = attempts.and_then(|attempts| attempts.get(attempt.0 as usize));
+        let was_abandoned = attempt.is_some_and(|t| t.abandoned) && outcome == Outcome::Cancelled;
+        let is_unanswered = was_abandoned || outcome == Outcome::TimedOut;
+        let server = self.upstreams.get(id).filter(|_| is_unanswered);
+        let outstanding = server.and_then(|server| Some((server, server.outstanding.get(number)?)));
+        let evidence = outstanding.map(|(server, sent)| self.evidence_of(server, number, &sent));
+        let sent = self.upstreams.change(id, |server| server.take(number)).flatten();
+        let Some(sent) = sent else { return };
         self.tell_of_zone(id, outcome);
-        self.carried(id, &sent, outcome);
-        let law = &mut self.estimates.service[sent.class.0].latencies;
-        let silent = known.map_or(0.0, |known| known.silent(law, latency));
-        let mute = known.is_some_and(|known| !known.answers && latency >= MUTE * known.crowd * known.wait);
+        self.update_observed_capacity(id, &sent, outcome);
+        let latencies = &mut self.estimates.service[sent.class.0].latencies;
+        let relative_latency = latency / sent.wait;
+        let unresponsive = evidence.map_or(0.0, |evidence| evidence.silent(latencies, latency));
+        let is_mute = evidence.is_some_and(|e| !e.answers && latency >= MUTE * e.crowd * e.wait);
         match outcome {
             Outcome::Ok => {
-                law.answered(latency / sent.wait);
-                self.estimates.unresponsive.took(latency / sent.wait);
+                latencies.answered(relative_latency);
+                self.estimates.unresponsive.took(relative_latency);
                 self.estimates.unresponsive.met(0.0);
-                self.learn(id, sent, latency, true);
+                self.record_latency(id, sent, latency, true);
             }
-            Outcome::Cancelled if !given_up => {}
+            Outcome::Cancelled if !was_abandoned => {}
             Outcome::TimedOut | Outcome::Cancelled => {
-                law.given_up(latency / sent.wait, 1.0 - silent);
-                if silent < SILENT {
-                    self.estimates.unresponsive.took(latency / sent.wait);
+                latencies.given_up(relative_latency, 1.0 - unresponsive);
+                if unresponsive < UNRESPONSIVE_PROBABILITY {
+                    self.estimates.unresponsive.took(relative_latency);
                 }
-                self.estimates.unresponsive.met(silent);
-                self.learn(id, sent, latency, false);
+                self.estimates.unresponsive.met(unresponsive);
+                self.record_latency(id, sent, latency, false);
             }
             _ => {}
         }
-        if let Some(report) = end.report {
-            let unheard = self.upstreams.get(id).map(|upstream| upstream.unheard(self.next_send, self.now));
-            self.take_report(id, report, unheard);
+        if let Some(report) = finished.report {
+            let (next_send, now) = (self.next_send, self.now);
+            let unreported = self.upstreams.get(id).map(|server| server.unheard(next_send, now));
+            self.record_report(id, report, unreported);
         }
         let failed = match outcome {
             Outcome::Ok => false,
             Outcome::Error | Outcome::Unreachable | Outcome::Reset => true,
-            // Under overload good servers time out too.
-            Outcome::TimedOut if silent >= SILENT || mute => true,
-            Outcome::Cancelled if given_up && silent >= SILENT => true,
+            // Under overload, attempts at responsive servers time out, too.
+            Outcome::TimedOut if unresponsive >= UNRESPONSIVE_PROBABILITY || is_mute => true,
+            Outcome::Cancelled if was_abandoned && unresponsive >= UNRESPONSIVE_PROBABILITY => true,
             _ => return self.upstreams.forget_gone(id),
         };
-        self.judge(id, failed, outcome == Outcome::Unreachable, out);
+        self.update_health(id, failed, outcome == Outcome::Unreachable, out);
         self.upstreams.forget_gone(id);
     }
 
-    /// Counts what a warm server has done of an attempt that has ended.
-    fn carried(&mut self, id: UpstreamId, sent: &OutstandingSend, outcome: Outcome) {
-        let warm =
-            self.upstreams.get(id).is_some_and(|u| u.warmth(self.now, &self.settings.slow_start) >= 1.0);
-        if warm {
+    /// Adds the work of a finished attempt to that of the servers that have warmed up.
+    fn update_observed_capacity(&mut self, id: UpstreamId, sent: &OutstandingSend, outcome: Outcome) {
+        let (now, slow_start) = (self.now, &self.settings.slow_start);
+        if self.upstreams.get(id).is_some_and(|u| u.warmth(now, slow_start) >= 1.0) {
             let answered = f64::from(u8::from(outcome == Outcome::Ok));
-            self.estimates
-                .observed_capacity
-                .ended(self.now, answered * self.estimates.service[sent.class.0].time);
+            let work = answered * self.estimates.service[sent.class.0].time;
+            self.estimates.observed_capacity.ended(now, work);
         }
     }
 
-    /// An answer tells the class's service time and this server's pace, with the queue taken out; a time-out
-    /// tells that the server is at least this slow.
-    fn learn(&mut self, id: UpstreamId, sent: OutstandingSend, latency: Millis, answered: bool) {
-        // What a cold server takes longer is no sign of crowding, nor of the speed it will have.
+    /// Updates the service time of a class and the relative service time of a server from a latency without
+    /// its share of queueing. A time-out shows that the server is at least this slow.
+    fn record_latency(&mut self, id: UpstreamId, sent: OutstandingSend, latency: Millis, answered: bool) {
         let Some(server) = self.upstreams.get(id).filter(|_| latency > 0.0) else { return };
-        let (known, warmth) = (self.remembered(server), server.warmth(self.now, &self.settings.slow_start));
-        let kind = server.kind;
-        let alone = latency * warmth / sent.depth;
+        let estimated = self.remembered(server);
+        // What a warming-up server takes longer shows neither crowding nor the speed that it will have.
+        let warm_up_fraction = server.warmth(self.now, &self.settings.slow_start);
+        let (now, kind) = (self.now, server.kind);
+        let without_queue = latency * warm_up_fraction / sent.depth;
         let service = &mut self.estimates.service[sent.class.0];
-        let pace = alone / service.time;
-        let (seen, weight) = if answered { (pace, SMOOTH) } else { (known.max(AGEING * pace), 1.0) };
-        let now = self.now;
-        let answers = self.estimates.kinds.get(&kind).map_or(0.0, |kind| kind.answers);
-        self.upstreams.change(id, |upstream| {
-            upstream.relative_service_time = known + weight * (seen - known);
-            (upstream.estimated_at, upstream.kind_answers_at_estimate) = (now, answers);
-            upstream.answered_at = if answered { now } else { upstream.answered_at };
+        let relative = without_queue / service.time;
+        let (sample, weight) = match answered {
+            true => (relative, SMOOTHING),
+            false => (estimated.max(UNANSWERED_WEIGHT * relative), 1.0),
+        };
+        let kind_answers = self.estimates.kinds.get(&kind).map_or(0.0, |kind| kind.answers);
+        self.upstreams.change(id, |server| {
+            server.relative_service_time = estimated + weight * (sample - estimated);
+            (server.estimated_at, server.kind_answers_at_estimate) = (now, kind_answers);
+            server.answered_at = if answered { now } else { server.answered_at };
         });
-        self.estimates.kinds.entry(kind).or_default().answered(seen, SMOOTH_ALL);
-        self.estimates.fleet.answered(seen, SMOOTH_ALL);
-        // The median of sends that met no queue tells the service time: behind one that we underrate, answers
-        // are late, and a service time learnt from them would have us refuse work that there is room for.
+        self.estimates.kinds.entry(kind).or_default().answered(sample, FLEET_SMOOTHING);
+        self.estimates.fleet.answered(sample, FLEET_SMOOTHING);
+        // Only sends that met no queue show the service time. Behind an underestimated queue answers are
+        // late; a service time learnt from them would cause refusals although there is capacity.
         if answered && sent.depth <= 1.0 {
-            service.add(alone, SMOOTH_ALL);
+            service.add(without_queue, FLEET_SMOOTHING);
         }
     }
 
-    fn probed(&mut self, id: UpstreamId, answered: bool, report: Option<Report>, out: &mut Vec<Action>) {
-        self.heard(id, answered, report);
+    // --- Reports and health ------------------------------------------------------------------
+
+    fn probe_ended(&mut self, id: UpstreamId, answered: bool, report: Option<Report>, out: &mut Vec<Action>) {
+        self.record_probe(id, answered, report);
         if answered {
             self.hear_from(id);
         }
-        let heard = |id: &UpstreamId| self.upstreams.get(*id).is_none_or(|u| u.probe_sent.is_none());
-        let ready = |request: &RequestId| {
-            self.requests.get(request).and_then(|held| held.pair).is_some_and(|pair| pair.iter().all(heard))
+        let is_probed = |id: &UpstreamId| self.upstreams.get(*id).is_none_or(|u| u.probe_sent.is_none());
+        let is_ready = |request: &RequestId| {
+            let pair = self.requests.get(request).and_then(|pending| pending.pair);
+            pair.is_some_and(|pair| pair.iter().all(is_probed))
         };
         let waiting = self.waiting.range((id, RequestId(0))..=(id, RequestId(u64::MAX)));
-        let held: Vec<_> = waiting.map(|(_, request)| *request).filter(ready).collect();
-        held.into_iter().for_each(|request| self.place(request, out));
+        let ready: Vec<_> = waiting.map(|(_, request)| *request).filter(is_ready).collect();
+        ready.into_iter().for_each(|request| self.dispatch(request, out));
     }
 
-    fn heard(&mut self, id: UpstreamId, answered: bool, report: Option<Report>) {
-        let (next, now) = (self.next_send, self.now);
-        let take = |upstream: &mut Upstream| {
-            // One that nobody asked for holds all that was sent.
-            let asked_at = upstream.probe_sent.take();
-            if asked_at.is_none() {
-                (upstream.first_send_after_probe, upstream.sends_after_probe) = upstream.unheard(next, now);
+    fn record_probe(&mut self, id: UpstreamId, answered: bool, report: Option<Report>) {
+        let (next_send, now) = (self.next_send, self.now);
+        let end_probe = |server: &mut Upstream| {
+            let probe_sent = server.probe_sent.take();
+            // A report without a probe includes all sends.
+            if probe_sent.is_none() {
+                (server.first_send_after_probe, server.sends_after_probe) = server.unheard(next_send, now);
             }
-            (upstream.outstanding.len() - upstream.sends_after_probe, asked_at)
+            (server.outstanding.len() - server.sends_after_probe, probe_sent)
         };
-        let Some((ours, asked_at)) = self.upstreams.change(id, take) else { return };
-        if let Some(time) = asked_at.map(|at| now - at) {
+        let Some((own, probe_sent)) = self.upstreams.change(id, end_probe) else { return };
+        if let Some(time) = probe_sent.map(|sent| now - sent) {
             let mean = self.estimates.probe_time.get_or_insert(time);
-            *mean += SMOOTH * (time - *mean);
+            *mean += SMOOTHING * (time - *mean);
         }
-        let ours = ours as f64;
+        let own = own as f64;
         let (Some(report), true) = (report, answered) else { return };
-        // Reports carry no age. One that lacks what we had out there when we asked is late, and
-        // when many are, none is believed: each server then counts as unheard.
-        if let Some(in_flight) = report.in_flight.filter(|_| ours > 1.0) {
-            let late = f64::from(u8::from(in_flight + 1.0 < ours));
-            self.estimates.lateness += SMOOTH_ALL * (late - self.estimates.lateness);
-        }
-        self.take_report(id, report, None);
-    }
-
-    /// Takes in a server's own figures, which hold what was sent until it was asked, or all but these.
-    fn take_report(&mut self, id: UpstreamId, report: Report, unheard: Option<(u64, usize)>) {
-        let Some(in_flight) = sound_in_flight(&report) else { return };
-        let (now, scale) = (self.now, self.scale());
-        let (until, utilisation) = (now + STALE * scale, report.utilisation.filter(|u| *u >= 0.0));
-        let early = now < *self.estimates.first_at.get_or_insert(now) + settled_after(scale);
+        // Reports carry no age. A report that lacks sends from before its probe is late. When many are late,
+        // none is believed: each server then counts as one without a valid report.
+        if let Some(in_flight) = report.in_flight.filter(|_| own > 1.0) {
+            let is_late = f64::from(u8::from(in_flight + 1.0 < own));
+            self.estimates.lateness += FLEET_SMOOTHING * (is_late - self.estimates.lateness);
+        }
+        self.record_report(id, report, None);
+    }
+
+    /// Records a report. It lacks the sends in `unreported`, by default those since the probe was sent.
+    fn record_report(&mut self, id: UpstreamId, report: Report, unreported: Option<(u64, usize)>) {
+        let Some(in_flight) = reports::valid_in_flight(&report) else { return };
+        let (now, scale) = (self.now, self.time_scale());
+        let (until, utilisation) = (now + REPORT_VALIDITY * scale, report.utilisation.filter(|u| *u >= 0.0));
+        let first_at = *self.estimates.first_at.get_or_insert(now);
+        let utilisation = utilisation.filter(|_| now >= first_at + reports::settling_time(scale));
         let kinds = &self.estimates.kinds;
-        let take = |upstream: &mut Upstream| {
-            let weight =
-                reports::enter(upstream, (in_flight, report.utilisation), (now, until, scale), unheard);
-            if let Some(utilisation) = utilisation.filter(|_| !early) {
-                learn_kappa(upstream, utilisation, weight);
+        let record = |server: &mut Upstream| {
+            let load = (in_flight, report.utilisation);
+            let weight = reports::record_load(server, load, (now, until, scale), unreported);
+            if let Some(utilisation) = utilisation {
+                reports::update_capacity(server, utilisation, weight);
             }
-            upstream.kind_reports_at_report = kinds.get(&upstream.kind).map_or(0.0, |kind| kind.reports);
-            upstream.kind
+            server.kind_reports_at_report = kinds.get(&server.kind).map_or(0.0, |kind| kind.reports);
+            server.kind
         };
-        let Some(kind) = self.upstreams.change(id, take) else { return };
-        if let Some(utilisation) = utilisation.filter(|_| !early) {
-            learn_kind(&mut self.estimates, kind, in_flight, utilisation);
+        let Some(kind) = self.upstreams.change(id, record) else { return };
+        if let Some(utilisation) = utilisation {
+            reports::update_kind_capacity(&mut self.estimates, kind, in_flight, utilisation);
         }
     }
 
-    /// Counts an outcome for or against a server.
-    fn judge(&mut self, id: UpstreamId, failed: bool, lost: bool, out: &mut Vec<Action>) {
-        // Of those that it knows: if more look bad, others are known in their place.
-        let known = self.upstreams.size(CandidateScope::Members).1;
-        let may_eject = lost || outlier_ejection::may_eject(self.upstreams.ejected(), known);
-        let (peers, luck) = (self.upstreams.failure_rate(), self.rng.rand_float());
-        let how = (self.now, peers, may_eject, luck);
-        let weigh = |u: &mut Upstream| outlier_ejection::weigh(u, failed, lost, how);
-        if let Some(said) = self.upstreams.change(id, weigh).flatten() {
-            out.push(Action::Log(format!("server {} is {said}", id.0)));
+    /// Counts an outcome for or against a server, which may eject it or end its ejection.
+    fn update_health(&mut self, id: UpstreamId, failed: bool, unreachable: bool, out: &mut Vec<Action>) {
+        // The limit is a share of the subset: if more of its members fail, others take their place.
+        let members = self.upstreams.size(CandidateScope::Members).1;
+        let may_eject = unreachable || outlier_ejection::may_eject(self.upstreams.ejected(), members);
+        let (peers, random) = (self.upstreams.failure_rate(), self.rng.rand_float());
+        let terms = (self.now, peers, may_eject, random);
+        let record = |server: &mut Upstream| outlier_ejection::record(server, failed, unreachable, terms);
+        if let Some(change) = self.upstreams.change(id, record).flatten() {
+            out.push(Action::Log(format!("server {} is {change}", id.0)));
         }
     }
 
     // --- The server list ---------------------------------------------------------------------
 
-    fn listed(&mut self, news: ListUpdate, out: &mut Vec<Action>) {
-        let must_ask = matches!(news, ListUpdate::Unavailable | ListUpdate::Restored(_));
-        if !must_ask {
+    fn list_received(&mut self, update: ListUpdate, out: &mut Vec<Action>) {
+        let must_call = matches!(update, ListUpdate::Unavailable | ListUpdate::Restored(_));
+        if !must_call {
             self.discovery_calls.answered();
         }
-        match news {
-            // Who is missing from a complete list is gone.
+        match update {
+            // Servers that a complete list lacks are gone.
             ListUpdate::Restored(list) | ListUpdate::Complete(list) => {
                 self.upstreams.begin_list();
                 list.iter().for_each(|entry| self.list(entry));
@@ -959,13 +966,13 @@
             ListUpdate::Changed(list) => list.iter().for_each(|entry| self.list(entry)),
             ListUpdate::Unavailable => out.push(Action::Log("server list unavailable".to_owned())),
         }
-        if self.estimates.kinds.len() > KINDS {
+        if self.estimates.kinds.len() > MAX_KINDS {
             self.estimates.kinds.retain(|kind, _| self.upstreams.has_kind(*kind));
         }
         let Discovery::Subscribed { must_ask_in } = self.settings.discovery else { return };
-        if must_ask {
-            let luck = self.rng.rand_float();
-            let at = self.discovery_calls.next_call(self.now, must_ask_in, luck);
+        if must_call {
+            let random = self.rng.rand_float();
+            let at = self.discovery_calls.next_call(self.now, must_ask_in, random);
             out.extend(at.map(|at| Action::SetTimer { at, token: 0 }));
         }
     }
--- a/crates/decide/src/outlier_ejection.rs
+++ b/crates/decide/src/outlier_ejection.rs
@@ -21,7 +21,7 @@
 /// Counts an outcome for or against a server, among peers that fail as often. What is to be said of it, if its health
 /// changes. One that is `lost`, for no connection to it comes up, is ejected at once: that is no matter of chance, and one
 /// more request would only wait for it again. `luck` is between 0 and 1.
-pub(crate) fn weigh(
+pub(crate) fn record(
     upstream: &mut Upstream,
     failed: bool,
     lost: bool,
--- a/crates/decide/src/reports.rs
+++ b/crates/decide/src/reports.rs
@@ -19,19 +19,19 @@
 const MOST_IN_FLIGHT: f64 = 1e9;
 
 /// The requests that a report says, if they can be.
-pub(crate) fn sound_in_flight(report: &Report) -> Option<f64> {
+pub(crate) fn valid_in_flight(report: &Report) -> Option<f64> {
     report.in_flight.filter(|m| (0.0..=MOST_IN_FLIGHT).contains(m))
 }
 
 /// How long after the first report of all means are worth dividing: servers that start with us begin theirs at 0, and early
 /// ratios would call them huge.
-pub(crate) fn settled_after(scale: f64) -> Millis {
+pub(crate) fn settling_time(scale: f64) -> Millis {
     2.0 * MEANS_OVER * scale
 }
 
 /// Enters a report with so many in flight that still says something `until` then; the sends that it does not hold are these,
 /// or those since it was asked for. Gives the weight of it in the means.
-pub(crate) fn enter(
+pub(crate) fn record_load(
     upstream: &mut Upstream,
     (in_flight, utilisation): (f64, Option<f64>),
     (now, until, scale): (Millis, Millis, f64),
@@ -47,7 +47,7 @@
 }
 
 /// Learns its κ from a report that weighs so much and says that it is so busy.
-pub(crate) fn learn_kappa(upstream: &mut Upstream, utilisation: f64, weight: f64) {
+pub(crate) fn update_capacity(upstream: &mut Upstream, utilisation: f64, weight: f64) {
     if utilisation < UTILISATION_FLOOR {
         let (least, known) = (upstream.mean_in_flight / UTILISATION_FLOOR, upstream.capacity.unwrap_or(1.0));
         if least > known {
@@ -71,7 +71,7 @@
 }
 
 /// Learns what servers of its kind, and all of them, are like.
-pub(crate) fn learn_kind(seen: &mut Estimates, kind: KindId, in_flight: f64, utilisation: f64) {
+pub(crate) fn update_kind_capacity(seen: &mut Estimates, kind: KindId, in_flight: f64, utilisation: f64) {
     if (UTILISATION_FLOOR..SATURATED).contains(&utilisation) {
         seen.kinds.entry(kind).or_default().reported(in_flight, utilisation, SMOOTH_ALL);
         seen.fleet.reported(in_flight, utilisation, SMOOTH_ALL);
--- a/crates/decide/src/state.rs
+++ b/crates/decide/src/state.rs
@@ -1,10 +1,10 @@
-//! The records that the decision module keeps. Nothing is decided here.
+//! The records that the decision module keeps. Decisions are made in `src/balancer.rs`.
 
 use crate::api::*;
 use crate::cross_zone::BudgetExemption;
 use crate::outstanding_sends::OutstandingSends;
 
-/// One send of a request.
+/// One attempt of a request.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Attempt {
     pub upstream: UpstreamId,
@@ -13,12 +13,11 @@
     pub sent: Millis,
     pub out: bool,
     pub may_have_run: bool,
-    /// Whether it was this module that called it off.
+    /// Whether this module cancelled it for taking too long.
     pub abandoned: bool,
 }
 
 impl Attempt {
-    /// A send that has just gone out to this server.
     pub fn new(id: UpstreamId, to: &Upstream, sent: Millis) -> Attempt {
         Attempt {
             upstream: id,
@@ -32,7 +31,7 @@
     }
 }
 
-/// A request that is owed an answer.
+/// A request that has no final answer yet.
 #[derive(Debug, Clone)]
 pub(crate) struct PendingRequest {
     pub class: ClassId,
@@ -40,57 +39,56 @@
     pub arrived: Millis,
     pub deadline: Millis,
     pub attempts: Vec<Attempt>,
-    /// The pair drawn for it while its probes are out, and how often it was held for one.
+    /// The pair whose probes the request waits for.
     pub pair: Option<[UpstreamId; 2]>,
-    /// The share of all candidates that it was drawn from.
+    /// The share of all candidates that the pair was drawn from.
     pub draw_share: f64,
+    /// How often the request has waited for probes.
     pub probe_waits: u32,
-    /// Why the pair was drawn across without a budget, if it was.
+    /// Why the pair was drawn from other zones although no budget pays for it, if so.
     pub exemption: Option<BudgetExemption>,
-    /// When what is out for it is looked at.
+    /// The next check of the attempt in flight.
     pub check_at: Option<Millis>,
 }
 
 impl PendingRequest {
     pub fn new(class: ClassId, tenant: TenantId, arrived: Millis, time_left: Millis) -> PendingRequest {
-        let deadline = arrived + time_left;
-        let (attempts, pair, exemption) = (Vec::new(), None, None);
         PendingRequest {
             class,
             tenant,
             arrived,
-            deadline,
-            attempts,
-            pair,
+            deadline: arrived + time_left,
+            attempts: Vec::new(),
+            pair: None,
             draw_share: 1.0,
             probe_waits: 0,
-            exemption,
+            exemption: None,
             check_at: None,
         }
     }
 }
 
-/// One of our sends that a server has not answered.
+/// An attempt that its server has not answered.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct OutstandingSend {
     pub class: ClassId,
     pub sent: Millis,
-    /// How the server looked then: [`Candidate::depth`] and [`Candidate::wait`].
+    /// [`Candidate::depth`] and [`Candidate::wait`] of the server when it was sent.
     pub depth: f64,
     pub wait: Millis,
 }
 
-/// Whether a server takes part in the draw.
+/// Whether a server is sampled. The `wait` of an ejection is its length before jitter.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Health {
     Ready,
     Ejected { until: Millis, wait: Millis },
 }
 
-/// What is known of one server.
+/// A server and the estimates about it.
 #[derive(Debug, Clone)]
 pub(crate) struct Upstream {
-    /// Drawn from its name.
+    /// A hash of its name.
     pub key: u64,
     pub zone: ZoneId,
     pub cell: CellId,
@@ -98,101 +96,103 @@
     pub serving: bool,
     pub weight: f64,
     pub started: Option<Millis>,
+    /// κ, estimated from its own reports, and the number of reports that the estimate rests on.
     pub capacity: Option<f64>,
-    /// How many readings it rests on.
     pub capacity_samples: f64,
-    /// Running mean of the reports, and how busy the last one said that it is.
+    /// Running mean over its reports, and the utilisation in the last one.
     pub mean_in_flight: f64,
     pub utilisation: Option<f64>,
-    /// In flight by the last report, less those of ours that have been answered since.
+    /// In flight as last reported, less those of our sends that have ended since.
     pub reported_in_flight: f64,
     pub reported_at: Millis,
-    /// Whether that says anything yet, and until when.
     pub has_valid_report: bool,
     pub report_valid_until: Millis,
     pub probe_sent: Option<Millis>,
-    /// By the number of the send. Those from `first_unreported_send` on are not in the last report, those
-    /// from `first_send_after_probe` on will not be in the next; how many are out of each.
     pub outstanding: OutstandingSends,
+    /// The last report includes the sends with lower numbers; the report of the next probe, likewise.
     pub first_unreported_send: u64,
     pub first_send_after_probe: u64,
+    /// How many sends from these numbers on are outstanding.
     pub unreported_sends: usize,
     pub sends_after_probe: usize,
-    /// Service time relative to the mean of all servers.
+    /// Relative to the mean of all servers.
     pub relative_service_time: f64,
     pub estimated_at: Millis,
-    /// How many answers and reports its kind had given when something was last learnt from its own.
+    /// Answers and reports from servers of its kind when one of its own was last used for an estimate.
     pub kind_answers_at_estimate: f64,
     pub kind_reports_at_report: f64,
     pub answered_at: Millis,
     pub failure_rate: f64,
     pub health: Health,
-    /// Whether it is ejected, but may be tried.
+    /// Whether it is ejected but may get a trial.
     pub is_half_open: bool,
-    /// Work in milliseconds that it may yet be sent while it is cold, as of then.
+    /// Milliseconds of work that it may get while it warms up, as of the time below.
     pub slow_start_credit: f64,
     pub slow_start_credit_at: Millis,
 }
 
-/// A server as one request sees it.
+/// A server as evaluated for one request.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Candidate {
     pub id: UpstreamId,
     pub zone: ZoneId,
     pub same_zone: bool,
-    /// Why it is drawn across without a budget, if it is.
+    /// Why a server in another zone is a candidate although no budget pays for it, if so.
     pub exemption: Option<BudgetExemption>,
-    /// Its load is not known of late, and may yet be asked for before the request is placed.
+    /// Its last report is old, and the request may wait for a probe.
     pub awaits_probe: bool,
-    /// It has told of its load so lately that this still says something.
-    pub heard: bool,
+    pub has_valid_report: bool,
     pub healthy: bool,
     pub warm_up_fraction: f64,
     pub projected_load: f64,
-    /// How many times its own service time an answer is expected to take, for the queue before it.
+    /// Expected answer time in service times of this server; above 1 if there is a queue.
     pub depth: f64,
     pub idle: bool,
+    /// Expected answer time.
     pub wait: Millis,
     pub failure_rate: f64,
 }
 
-/// What one request sees all servers with.
+/// Two candidates to choose from; the same one twice if there is only one.
+pub(crate) type Pair = [Candidate; 2];
+
+/// The terms on which one request evaluates all servers.
 pub(crate) struct SelectionContext {
-    pub service: Millis,
+    pub service_time: Millis,
     pub means: FleetMeans,
     pub may_wait_for_probe: bool,
-    /// Servers outside the subset are looked at: of these only what they told themselves counts.
-    pub outside: bool,
-    /// Reports older than this make a request wait for another.
+    /// Servers outside the subset are evaluated: only those with valid reports count as having capacity.
+    pub outside_subset: bool,
+    /// A server with an older report makes the request wait for its probe.
     pub max_report_age: Millis,
-    /// The longest expected answer time that there is room for, and that keeps it near.
+    /// The longest acceptable answer time, and the longest one that keeps a request in its zone.
     pub max_wait: Millis,
     pub same_zone_limit: Millis,
-    /// A near one that fails more often is no better than one across.
-    pub failing: f64,
+    /// Servers of the same zone that fail more often are no better than those of other zones.
+    pub max_failure_rate: f64,
 }
 
 impl SelectionContext {
-    pub fn has_room(&self, c: &Candidate) -> bool {
-        if self.outside && !c.heard {
+    pub fn has_room(&self, candidate: &Candidate) -> bool {
+        if self.outside_subset && !candidate.has_valid_report {
             return false;
         }
-        // An idle server always has room: else a service time learnt in a jam would lock everyone out.
-        c.awaits_probe || c.idle || c.wait <= self.max_wait
+        // An idle server always has capacity, else a service time learnt under overload would refuse all.
+        candidate.awaits_probe || candidate.idle || candidate.wait <= self.max_wait
     }
 
-    /// Asked only where crossing has a fee.
-    pub fn suits_near(&self, c: &Candidate) -> bool {
-        c.same_zone
-            && self.has_room(c)
-            && (c.wait <= self.same_zone_limit || c.awaits_probe)
-            && c.failure_rate <= self.failing
+    /// Whether a server keeps a request in its zone. Called only where crossing has a cost.
+    pub fn suits_near(&self, candidate: &Candidate) -> bool {
+        candidate.same_zone
+            && self.has_room(candidate)
+            && (candidate.wait <= self.same_zone_limit || candidate.awaits_probe)
+            && candidate.failure_rate <= self.max_failure_rate
     }
 }
 
-/// Means over the known servers, which stand in for what is not known of others.
+/// Means over the servers with valid reports, which stand in for those without.
 pub(crate) struct FleetMeans {
-    /// Of others.
+    /// Requests in flight that other sidecars have sent to a server.
     pub in_flight: f64,
 }
 
@@ -233,15 +233,15 @@
         }
     }
 
-    /// Takes over what discovery says. A new life under the same id leaves nothing known but what is out.
+    /// Takes over a list entry. A new incarnation under the same id keeps the outstanding sends only.
     pub fn relist(&mut self, entry: &Listing) {
-        if entry.started.is_some_and(|at| self.started.is_none_or(|known| at > known)) {
+        if entry.started.is_some_and(|new| self.started.is_none_or(|old| new > old)) {
             let outstanding = std::mem::take(&mut self.outstanding);
-            let out = outstanding.len();
+            let count = outstanding.len();
             *self = Upstream {
                 outstanding,
-                unreported_sends: out,
-                sends_after_probe: out,
+                unreported_sends: count,
+                sends_after_probe: count,
                 ..Upstream::new(entry)
             };
         }
@@ -252,26 +252,26 @@
         self.weight = if entry.weight.is_finite() && entry.weight > 0.0 { entry.weight } else { 1.0 };
     }
 
-    /// The share of its capacity that a server surely has: a line from the cold share to all of it.
-    pub fn warmth(&self, now: Millis, safety: &SlowStartLimits) -> f64 {
+    /// The share of its full capacity that the server is sure to have. Grows linearly from the initial share.
+    pub fn warmth(&self, now: Millis, limits: &SlowStartLimits) -> f64 {
         match self.started {
-            Some(started) if now < started + safety.warm_up => {
+            Some(started) if now < started + limits.warm_up => {
                 let age = (now - started).max(0.0);
-                (safety.initial_capacity_share + (1.0 - safety.initial_capacity_share) * age / safety.warm_up)
+                (limits.initial_capacity_share + (1.0 - limits.initial_capacity_share) * age / limits.warm_up)
                     .max(0.01)
             }
             _ => 1.0,
         }
     }
 
-    /// Enters a send in the books, under a number that is higher than all before.
+    /// Adds an outstanding send; its number is higher than those of all earlier sends.
     pub fn enter(&mut self, number: u64, sent: OutstandingSend) {
         self.outstanding.push(number, sent);
         self.unreported_sends += 1;
         self.sends_after_probe += 1;
     }
 
-    /// Strikes a send off the books.
+    /// Removes a send that has ended.
     pub fn take(&mut self, number: u64) -> Option<OutstandingSend> {
         let sent = self.outstanding.remove(number)?;
         match number >= self.first_unreported_send {
@@ -282,16 +282,16 @@
         Some(sent)
     }
 
-    /// The sends that a load asked for now does not surely hold, where `next` is the number of the next one:
-    /// the first of them, and how many they are. What goes out in the same moment is one of them.
-    pub fn unheard(&self, next: u64, now: Millis) -> (u64, usize) {
-        let late = self.outstanding.latest().take_while(|(_, sent)| sent.sent >= now);
-        late.fold((next, 0), |(_, count), (number, _)| (number, count + 1))
+    /// The outstanding sends that a report requested now may lack, which are those sent at the same time: the
+    /// number of the first, or `next_send` if there is none, and their count.
+    pub fn unheard(&self, next_send: u64, now: Millis) -> (u64, usize) {
+        let latest = self.outstanding.latest().take_while(|(_, sent)| sent.sent >= now);
+        latest.fold((next_send, 0), |(_, count), (number, _)| (number, count + 1))
     }
 
-    /// A report has come; the sends that it does not hold are these.
-    pub fn reports(&mut self, in_flight: f64, now: Millis, until: Millis, unheard: (u64, usize)) {
-        (self.first_unreported_send, self.unreported_sends) = unheard;
+    /// Records the load of a report that is valid until then and lacks the sends in `unreported`.
+    pub fn reports(&mut self, in_flight: f64, now: Millis, until: Millis, unreported: (u64, usize)) {
+        (self.first_unreported_send, self.unreported_sends) = unreported;
         (self.reported_in_flight, self.reported_at) = (in_flight, now);
         (self.has_valid_report, self.report_valid_until) = (true, until);
     }
--- a/crates/decide/src/throttle.rs
+++ b/crates/decide/src/throttle.rs
@@ -9,9 +9,9 @@
 use crate::api::Millis;
 
 /// While more than this share comes late, less is sent than was asked for: the share that room for requests is steered by, too.
-pub(crate) const LATE_TARGET: f64 = 0.15;
+pub(crate) const TARGET_LATE_SHARE: f64 = 0.15;
 /// So many times what was answered in time may be sent.
-const ALLOW: f64 = 1.0 / (1.0 - LATE_TARGET);
+const ALLOW: f64 = 1.0 / (1.0 - TARGET_LATE_SHARE);
 /// What counts fades over so many aims: what comes too late is known to after one, and a jam is over or there after two.
 const SPAN: f64 = 2.0;
 /// So many are taken for answered in time beside those that were: who sends hardly anything turns nobody away.
@@ -28,20 +28,20 @@
 
 impl Throttle {
     /// The chance with which a request with this aim is to be turned away.
-    pub fn chance(&mut self, now: Millis, aim: Millis) -> f64 {
+    pub fn refusal_probability(&mut self, now: Millis, aim: Millis) -> f64 {
         let keep = (-(now - self.at).max(0.0) / (SPAN * aim.max(1.0))).exp();
         (self.asked, self.in_time, self.at) = (self.asked * keep, self.in_time * keep, now);
         ((self.asked - ALLOW * (self.in_time + GRACE)) / (self.asked + 1.0)).max(0.0)
     }
 
     /// One was turned away.
-    pub fn turned_away(&mut self) {
+    pub fn record_refused(&mut self) {
         self.asked += 1.0;
     }
 
     /// One that was sent has ended, in time or not. What failed, was called off or never left says nothing of how crowded servers
     /// are, and is not told.
-    pub fn ended(&mut self, in_time: bool) {
+    pub fn record_finished(&mut self, in_time: bool) {
         self.asked += 1.0;
         self.in_time += f64::from(u8::from(in_time));
     }
--- a/crates/decide/src/throttle/tests.rs
+++ b/crates/decide/src/throttle/tests.rs
@@ -8,11 +8,11 @@
     let (mut turned, all) = (0, seconds * 20);
     for _ in 0..all {
         *now += 50.0;
-        if rng.rand_float() < throttle.chance(*now, 600.0) {
-            throttle.turned_away();
+        if rng.rand_float() < throttle.refusal_probability(*now, 600.0) {
+            throttle.record_refused();
             turned += 1;
         } else {
-            throttle.ended(rng.rand_float() < in_time);
+            throttle.record_finished(rng.rand_float() < in_time);
         }
     }
     f64::from(turned) / f64::from(all)
@@ -25,7 +25,7 @@
         assert!(turned < 0.005, "{share}: {turned}");
     }
     // At the share that is aimed at it is a matter of chance, and no more than that.
-    let turned = turned_away(&mut Throttle::default(), &mut 0.0, 200, 1.0 - LATE_TARGET);
+    let turned = turned_away(&mut Throttle::default(), &mut 0.0, 200, 1.0 - TARGET_LATE_SHARE);
     assert!(turned < 0.06, "{turned}");
 }
 
@@ -44,7 +44,7 @@
     let (mut throttle, mut now) = (Throttle::default(), 0.0);
     for _ in 0..500 {
         now += 1_000.0;
-        assert_eq!(throttle.chance(now, 600.0), 0.0, "one a second, and none in time");
-        throttle.ended(false);
+        assert_eq!(throttle.refusal_probability(now, 600.0), 0.0, "one a second, and none in time");
+        throttle.record_finished(false);
     }
 }
