--- a/crates/cli/src/bin/sagemast-simhost/main.rs
+++ b/crates/cli/src/bin/sagemast-simhost/main.rs
@@ -8,7 +8,7 @@
 
 use sagemast_decide::Balancer;
 use sagemast_decide::api::*;
-use sagemast_decide::settings::{Column, report};
+use sagemast_decide::settings::{Column, report_from_columns};
 use wire::*;
 
 /// One sidecar's module, and how its load reports are laid out.
@@ -108,7 +108,7 @@
         WireEvent::Pong { upstream, disposition, server_stats } => Event::ProbeFinished {
             upstream: UpstreamId(upstream),
             answered: Outcome::from(disposition) == Outcome::Ok,
-            report: server_stats.map(|stats| report(columns, &stats)),
+            report: server_stats.map(|stats| report_from_columns(columns, &stats)),
         },
         WireEvent::Ring { token } => Event::TimerFired(token),
         WireEvent::Lapsed { xid } => Event::ClientDisconnected(RequestId(xid.0)),
@@ -120,7 +120,7 @@
                 outcome: disposition.into(),
                 latency,
                 client_answered: ended,
-                report: server_stats.map(|stats| report(columns, &stats)),
+                report: server_stats.map(|stats| report_from_columns(columns, &stats)),
             })
         }
         WireEvent::Heard {} | WireEvent::UnderWay {} => return Ok(None),
--- a/crates/daemon/src/fleet_file.rs
+++ b/crates/daemon/src/fleet_file.rs
@@ -547,7 +547,7 @@
                 Ok(settings) => {
                     let file = path.display().to_string();
                     let at = |(key, text)| Fault { file: file.clone(), line: 0, key, text };
-                    reader.faults.extend(settings.faults().into_iter().map(at));
+                    reader.faults.extend(settings.validation_errors().into_iter().map(at));
                     Some(Arc::new(settings))
                 }
                 Err(error) => {
@@ -590,7 +590,7 @@
     }
     match read {
         Ok(settings) => {
-            for (path, text) in settings.faults() {
+            for (path, text) in settings.validation_errors() {
                 let (layer, span) = locate(&path);
                 faults.push(layer.doc.fault(span, format!("{}.{path}", layer.key("settings")), text));
             }
--- a/crates/daemon/src/supervisor.rs
+++ b/crates/daemon/src/supervisor.rs
@@ -541,7 +541,7 @@
             listening: Outlet::to(move |told| notes.send(Note::Told(generation, told)).is_ok()),
             standby,
             // Instances come and go, so that numbers among them would change: names do not.
-            settings: (*spec.settings).clone().named(&name),
+            settings: (*spec.settings).clone().with_identity_from_name(&name),
         });
         control.set_sidecars(sidecars);
         let word = LastWord { generation, notes: self.notes.clone(), said: false };
--- a/crates/decide/src/balancer.rs
+++ b/crates/decide/src/balancer.rs
@@ -135,7 +135,7 @@
     }
 
     /// How many servers were examined so far: the cost of sampling, the same on any machine.
-    pub fn looks(&self) -> u64 {
+    pub fn servers_examined(&self) -> u64 {
         self.upstreams.looks
     }
 
@@ -158,7 +158,7 @@
             }
             Event::ClientDisconnected(request) => {
                 // After the aim, the request was not served in time. An earlier disconnect shows nothing.
-                let is_in_flight = |p: &&PendingRequest| p.attempts.iter().any(|t| t.out);
+                let is_in_flight = |p: &&PendingRequest| p.attempts.iter().any(|t| t.in_flight);
                 let pending = self.requests.get(&request).filter(is_in_flight);
                 if pending.is_some_and(|p| self.aim_left(p) <= 0.0) {
                     self.estimates.throttle.record_finished(false);
@@ -335,13 +335,13 @@
     }
 
     fn remove_request(&mut self, request: RequestId) -> Option<PendingRequest> {
-        self.watch_no_more(request);
+        self.cancel_check(request);
         let pending = self.requests.remove(&request)?;
         self.stop_waiting(request, pending.pair);
         Some(pending)
     }
 
-    pub(crate) fn watch_no_more(&mut self, request: RequestId) {
+    pub(crate) fn cancel_check(&mut self, request: RequestId) {
         if let Some(pending) = self.requests.get_mut(&request) {
             self.check_schedule.set(request, pending.check_at.take(), None);
         }
@@ -362,7 +362,7 @@
     }
 
     /// The terms on which a request evaluates all servers.
-    pub(crate) fn view(&self, pending: &PendingRequest) -> SelectionContext {
+    pub(crate) fn selection_context(&self, pending: &PendingRequest) -> SelectionContext {
         let aim_left = self.aim_left(pending);
         let has_time = aim_left > 2.0 * PROBE_WAIT_AIM_SHARE * self.settings.classes[pending.class.0].aim;
         // With roughly exponential answer times, one expected at `wait` misses the aim with probability
@@ -390,7 +390,7 @@
     }
 
     /// Evaluates a server for a request, with its projected utilisation and expected answer time.
-    pub(crate) fn look(
+    pub(crate) fn examine(
         &self,
         slot: Slot,
         pending: &PendingRequest,
@@ -398,8 +398,8 @@
     ) -> Option<Candidate> {
         let (id, server) = self.upstreams.at(slot)?;
         let in_flight = self.estimated_in_flight(server, &context.means);
-        let capacity = self.kappa(server);
-        let warm_up_fraction = server.warmth(self.now, &self.settings.slow_start);
+        let capacity = self.estimated_capacity(server);
+        let warm_up_fraction = server.warm_up_fraction(self.now, &self.settings.slow_start);
         let slowness = self.current_slowness(server) / warm_up_fraction;
         let depth = ((in_flight + 1.0) / capacity).max(1.0);
         // An empty server is idle whatever its estimated capacity: only answers can correct the estimate.
@@ -427,8 +427,8 @@
     }
 
     /// The servers that may get a further attempt, given the attempts that may have run; `None` if none may.
-    pub(crate) fn reach(&self, pending: &PendingRequest) -> Option<CandidateScope> {
-        let Some(first) = pending.attempts.iter().find(|t| t.out || t.may_have_run) else {
+    pub(crate) fn candidate_scope(&self, pending: &PendingRequest) -> Option<CandidateScope> {
+        let Some(first) = pending.attempts.iter().find(|t| t.in_flight || t.may_have_run) else {
             return Some(CandidateScope::All);
         };
         match self.settings.classes[pending.class.0].effect {
@@ -446,7 +446,7 @@
         }
     }
 
-    pub(crate) fn kappa(&self, server: &Upstream) -> f64 {
+    pub(crate) fn estimated_capacity(&self, server: &Upstream) -> f64 {
         self.estimates.kappa(server, self.upstreams.known_of(server.kind), self.now, self.time_scale())
     }
 
@@ -456,8 +456,8 @@
         let own = server.outstanding.len() as f64;
         if !server.has_valid_report || !self.estimates.believes() {
             // All sidecars together keep a warming-up server within its capacity: others queue nothing there.
-            let is_warming_up = server.warmth(self.now, &self.settings.slow_start) < 1.0;
-            return own + if is_warming_up { 0.0 } else { means.in_flight };
+            let is_warming_up = server.warm_up_fraction(self.now, &self.settings.slow_start) < 1.0;
+            return own + if is_warming_up { 0.0 } else { means.in_flight_from_others };
         }
         // A report with fewer requests than we have outstanding there is out of date.
         (server.reported_in_flight + server.unreported_sends as f64).max(own)
@@ -474,7 +474,7 @@
 
     /// Service time relative to the mean server's, from answers and from sends that are long unanswered.
     fn current_slowness(&self, server: &Upstream) -> f64 {
-        let estimated = self.remembered(server);
+        let estimated = self.estimated_slowness(server);
         // An unresponsive server gives no answers to learn from; the time since its last one counts instead.
         let by_unanswered = server.outstanding.oldest().map_or(0.0, |(_, oldest)| {
             UNANSWERED_WEIGHT * (self.now - oldest.sent.max(server.answered_at))
@@ -483,7 +483,7 @@
         estimated.max(by_unanswered).max(0.05)
     }
 
-    pub(crate) fn remembered(&self, server: &Upstream) -> f64 {
+    pub(crate) fn estimated_slowness(&self, server: &Upstream) -> f64 {
         let known_of_kind = self.upstreams.known_of(server.kind);
         self.estimates.slowness(server, known_of_kind, self.now, self.time_scale())
     }
@@ -503,8 +503,8 @@
     fn select_pair(&mut self, pending: &PendingRequest, out: &mut Vec<Action>) -> Option<(Pair, bool)> {
         self.update_subset();
         self.ask_zones(out);
-        let scope = self.reach(pending)?;
-        let context = self.view(pending);
+        let scope = self.candidate_scope(pending)?;
+        let context = self.selection_context(pending);
         let probed = self.probed_pair(pending, &context);
         let subset = scope.inside();
         let is_new = probed.is_none() && pending.probe_waits == 0;
@@ -518,11 +518,11 @@
             }
         }
         let Some(pair) = pair else {
-            let context = self.view(pending);
+            let context = self.selection_context(pending);
             self.probe_at_random(scope, &context, out);
             return None;
         };
-        pair.iter().for_each(|candidate| self.probe(candidate.id, out));
+        pair.iter().for_each(|candidate| self.probe_if_due(candidate.id, out));
         Some((pair, probed.is_some()))
     }
 
@@ -548,7 +548,7 @@
             let slot = sampler.next(&mut self.upstreams, &mut self.rng);
             let Some((id, server)) = slot.and_then(|slot| self.upstreams.at(slot)) else { return };
             if self.now - server.reported_at > context.max_report_age {
-                self.probe(id, out);
+                self.probe_if_due(id, out);
             }
         }
     }
@@ -559,10 +559,10 @@
             true => context.same_zone_limit.min(context.max_wait),
             false => context.max_wait,
         };
-        let is_usable = |c: &Candidate| c.healthy && context.has_room(c) && c.wait <= limit(c);
+        let is_usable = |c: &Candidate| c.healthy && context.has_capacity(c) && c.wait <= limit(c);
         let is_allowed = |c: &Candidate| self.is_serving(c.id) && self.still_pays(pending, c);
         let [a, b] = pending.pair?.map(|id| {
-            let candidate = self.look(self.upstreams.slot(id)?, pending, context);
+            let candidate = self.examine(self.upstreams.slot(id)?, pending, context);
             candidate.filter(|c| is_usable(c) && is_allowed(c))
         });
         Some([a.or(b)?, b.or(a)?])
@@ -582,29 +582,29 @@
             CandidateScope::Members => CandidateScope::MembersIn(self.settings.zone),
             _ => scope,
         };
-        self.two(scope, pending, context, false, |c| c.healthy && context.suits_near(c))
+        self.sample_pair(scope, pending, context, false, |c| c.healthy && context.suits_same_zone(c))
     }
 
     /// Two servers in scope with capacity that are `allowed`: healthy ones if there are any.
-    pub(crate) fn anywhere(
+    pub(crate) fn sample_pair_preferring_healthy(
         &mut self,
         scope: CandidateScope,
         pending: &PendingRequest,
         context: &SelectionContext,
         allowed: impl Fn(&Candidate) -> bool,
     ) -> Option<Pair> {
-        let is_usable = |c: &Candidate| context.has_room(c) && allowed(c);
+        let is_usable = |c: &Candidate| context.has_capacity(c) && allowed(c);
         let mut any_healthy = false;
-        let healthy = self.two(scope, pending, context, false, |candidate| {
+        let healthy = self.sample_pair(scope, pending, context, false, |candidate| {
             any_healthy |= candidate.healthy;
             candidate.healthy && is_usable(candidate)
         });
         // An unhealthy server is better than none.
-        if any_healthy { healthy } else { self.two(scope, pending, context, true, is_usable) }
+        if any_healthy { healthy } else { self.sample_pair(scope, pending, context, true, is_usable) }
     }
 
     /// The first two `wanted` servers in random order, or the only one twice. Ejected ones if `with_ejected`.
-    pub(crate) fn two(
+    pub(crate) fn sample_pair(
         &mut self,
         scope: CandidateScope,
         pending: &PendingRequest,
@@ -616,7 +616,7 @@
         let mut first = None;
         for _ in 0..MAX_EXAMINED {
             let Some(slot) = sampler.next(&mut self.upstreams, &mut self.rng) else { break };
-            let Some(found) = self.look(slot, pending, context).filter(|c| wanted(c)) else { continue };
+            let Some(found) = self.examine(slot, pending, context).filter(|c| wanted(c)) else { continue };
             match first {
                 None => first = Some(found),
                 Some(first) => return Some([first, found]),
@@ -627,10 +627,10 @@
 
     /// The share of the servers in scope that a pair is drawn from. Needed only if one of them is warming up.
     fn draw_share(&mut self, pending: &PendingRequest) -> f64 {
-        let Some(scope) = self.reach(pending).map(CandidateScope::inside) else { return 1.0 };
-        let context = self.view(pending);
+        let Some(scope) = self.candidate_scope(pending).map(CandidateScope::inside) else { return 1.0 };
+        let context = self.selection_context(pending);
         let size = self.upstreams.size(scope).1.max(1) as f64;
-        let has_capacity = |c: &Candidate| context.has_room(c);
+        let has_capacity = |c: &Candidate| context.has_capacity(c);
         let zone = match scope {
             CandidateScope::Members => CandidateScope::MembersIn(self.settings.zone),
             _ => scope,
@@ -638,7 +638,7 @@
         let same_zone = if context.same_zone_limit != 0.0 {
             // Where no budget pays for crossing, pairs are from the zone while a server there has capacity.
             let stays = self.stays(pending.class);
-            let suits = |c: &Candidate| context.suits_near(c) || stays && c.same_zone && has_capacity(c);
+            let suits = |c: &Candidate| context.suits_same_zone(c) || stays && c.same_zone && has_capacity(c);
             self.estimate_count(zone, pending, &context, suits)
         } else {
             0.0
@@ -663,7 +663,7 @@
         for _ in 0..MAX_EXAMINED {
             let Some(slot) = sampler.next(&mut self.upstreams, &mut self.rng) else { break };
             examined += 1.0;
-            let is_wanted = self.look(slot, pending, context).is_some_and(|c| c.healthy && wanted(&c));
+            let is_wanted = self.examine(slot, pending, context).is_some_and(|c| c.healthy && wanted(&c));
             found += f64::from(u8::from(is_wanted));
         }
         found / f64::max(examined, 1.0) * self.upstreams.size(scope).0 as f64
@@ -674,7 +674,7 @@
     }
 
     /// Probes a server unless its report is recent, another probe is under way or the budget is used up.
-    pub(crate) fn probe(&mut self, id: UpstreamId, out: &mut Vec<Action>) {
+    pub(crate) fn probe_if_due(&mut self, id: UpstreamId, out: &mut Vec<Action>) {
         let may_probe = self.settings.limits.probes && self.probe_budget.can(1.0);
         let (now, next_send) = (self.now, self.next_send);
         let (min_age, lost_after) = (PROBE_AFTER * self.time_scale(), REPORT_VALIDITY * self.time_scale());
@@ -683,7 +683,7 @@
             let is_due = may_probe && !is_probed && now - server.reported_at > min_age;
             if is_due {
                 server.probe_sent = Some(now);
-                (server.first_send_after_probe, server.sends_after_probe) = server.unheard(next_send, now);
+                (server.first_send_after_probe, server.sends_after_probe) = server.unreported(next_send, now);
             }
             is_due
         };
@@ -712,7 +712,7 @@
         let bend = to.exemption.or(pending.exemption);
         let (sent, number) = (self.now, self.next_send);
         let add_send = |server: &mut Upstream| {
-            server.enter(number, OutstandingSend { class, sent, depth: to.depth, wait: to.wait });
+            server.add_send(number, OutstandingSend { class, sent, depth: to.depth, wait: to.wait });
             Attempt::new(to.id, server, sent)
         };
         let Some(started) = self.upstreams.change(to.id, add_send) else { return };
@@ -736,8 +736,8 @@
         let FinishedAttempt { request, outcome, .. } = finished;
         let number = finished.attempt.0 as usize;
         let Some(pending) = self.requests.get_mut(&request) else { return };
-        let Some(attempt) = pending.attempts.get_mut(number).filter(|t| t.out) else { return };
-        attempt.out = false;
+        let Some(attempt) = pending.attempts.get_mut(number).filter(|t| t.in_flight) else { return };
+        attempt.in_flight = false;
         self.check_schedule.set(request, pending.check_at.take(), None);
         // Full servers answer soon. Counted as in time, their answers let in more requests and fed overload.
         let is_full = outcome == Outcome::Full;
@@ -769,7 +769,7 @@
     fn close(&mut self, request: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.remove_request(request) else { return };
         let cancel = self.settings.limits.cancel;
-        for (number, _) in pending.attempts.iter().enumerate().filter(|(_, t)| t.out && cancel) {
+        for (number, _) in pending.attempts.iter().enumerate().filter(|(_, t)| t.in_flight && cancel) {
             out.push(Action::Cancel { request, attempt: AttemptNo(number as u32) });
         }
     }
@@ -787,7 +787,7 @@
         let server = self.upstreams.get(id).filter(|_| is_unanswered);
         let outstanding = server.and_then(|server| Some((server, server.outstanding.get(number)?)));
         let evidence = outstanding.map(|(server, sent)| self.evidence_of(server, number, &sent));
-        let sent = self.upstreams.change(id, |server| server.take(number)).flatten();
+        let sent = self.upstreams.change(id, |server| server.remove_send(number)).flatten();
         let Some(sent) = sent else { return };
         self.tell_of_zone(id, outcome);
         self.update_observed_capacity(id, &sent, outcome);
@@ -815,7 +815,7 @@
         }
         if let Some(report) = finished.report {
             let (next_send, now) = (self.next_send, self.now);
-            let unreported = self.upstreams.get(id).map(|server| server.unheard(next_send, now));
+            let unreported = self.upstreams.get(id).map(|server| server.unreported(next_send, now));
             self.record_report(id, report, unreported);
         }
         let failed = match outcome {
@@ -833,7 +833,7 @@
     /// Adds the work of a finished attempt to that of the servers that have warmed up.
     fn update_observed_capacity(&mut self, id: UpstreamId, sent: &OutstandingSend, outcome: Outcome) {
         let (now, slow_start) = (self.now, &self.settings.slow_start);
-        if self.upstreams.get(id).is_some_and(|u| u.warmth(now, slow_start) >= 1.0) {
+        if self.upstreams.get(id).is_some_and(|u| u.warm_up_fraction(now, slow_start) >= 1.0) {
             let answered = f64::from(u8::from(outcome == Outcome::Ok));
             let work = answered * self.estimates.service[sent.class.0].time;
             self.estimates.observed_capacity.ended(now, work);
@@ -844,9 +844,9 @@
     /// its share of queueing. A time-out shows that the server is at least this slow.
     fn record_latency(&mut self, id: UpstreamId, sent: OutstandingSend, latency: Millis, answered: bool) {
         let Some(server) = self.upstreams.get(id).filter(|_| latency > 0.0) else { return };
-        let estimated = self.remembered(server);
+        let estimated = self.estimated_slowness(server);
         // What a warming-up server takes longer shows neither crowding nor the speed that it will have.
-        let warm_up_fraction = server.warmth(self.now, &self.settings.slow_start);
+        let warm_up_fraction = server.warm_up_fraction(self.now, &self.settings.slow_start);
         let (now, kind) = (self.now, server.kind);
         let without_queue = latency * warm_up_fraction / sent.depth;
         let service = &mut self.estimates.service[sent.class.0];
@@ -893,7 +893,7 @@
             let probe_sent = server.probe_sent.take();
             // A report without a probe includes all sends.
             if probe_sent.is_none() {
-                (server.first_send_after_probe, server.sends_after_probe) = server.unheard(next_send, now);
+                (server.first_send_after_probe, server.sends_after_probe) = server.unreported(next_send, now);
             }
             (server.outstanding.len() - server.sends_after_probe, probe_sent)
         };
--- a/crates/decide/src/cross_zone.rs
+++ b/crates/decide/src/cross_zone.rs
@@ -126,7 +126,7 @@
     ) -> Option<[Candidate; 2]> {
         // It is asked while servers are looked at, which takes hold of all the rest.
         let Some(plan) = self.cross_zone_budget.take() else {
-            return self.anywhere(reach, held, view, |_| true);
+            return self.sample_pair_preferring_healthy(reach, held, view, |_| true);
         };
         let pair = self.under_plan(&*plan, reach, held, view);
         self.cross_zone_budget = Some(plan);
@@ -152,15 +152,15 @@
             let may = |c: &Candidate| {
                 if c.same_zone { loss(c, left) <= bend_at } else { plan.pays(now, class, Some(c.zone)) }
             };
-            if let Some(pair) = self.anywhere(reach, held, view, may) {
+            if let Some(pair) = self.sample_pair_preferring_healthy(reach, held, view, may) {
                 return Some(pair);
             }
         }
         let (mut near, mut healthy) = (false, false);
-        let stay = self.two(home, held, view, false, |c| {
+        let stay = self.sample_pair(home, held, view, false, |c| {
             near |= c.same_zone;
             healthy |= c.same_zone && c.healthy;
-            c.same_zone && c.healthy && view.has_room(c)
+            c.same_zone && c.healthy && view.has_capacity(c)
         });
         let least = |[a, b]: &[Candidate; 2]| loss(a, left).min(loss(b, left));
         let why = match &stay {
@@ -175,10 +175,10 @@
         };
         if !plan.bends(why) {
             // Rather one that looks bad than no one.
-            let any = |c: &Candidate| c.same_zone && view.has_room(c);
-            return stay.or_else(|| self.two(home, held, view, true, any));
+            let any = |c: &Candidate| c.same_zone && view.has_capacity(c);
+            return stay.or_else(|| self.sample_pair(home, held, view, true, any));
         }
-        let across = self.anywhere(reach, held, view, |_| true);
+        let across = self.sample_pair_preferring_healthy(reach, held, view, |_| true);
         if let (Some(here), Some(there)) = (&stay, &across) {
             // Where all crawl nothing is won across.
             if least(here) - least(there) < bend_at {
@@ -192,12 +192,12 @@
     /// The better of two warm servers with room, where a pair was cold and neither may be sent more: others may well
     /// have room, near or, where a budget pays or bends, across.
     pub(crate) fn warm_one(&mut self, held: &PendingRequest) -> Option<Candidate> {
-        let (reach, view) = (self.reach(held)?.inside(), self.view(held));
+        let (reach, view) = (self.candidate_scope(held)?.inside(), self.selection_context(held));
         let (now, class, plan) = (self.now, held.class, self.cross_zone_budget.take());
         let across =
             |to| plan.as_ref().is_none_or(|p| p.pays(now, class, Some(to)) || p.bends(BudgetExemption::Full));
         let may = |c: &Candidate| c.warm_up_fraction >= 1.0 && (c.same_zone || across(c.zone));
-        let pair = self.anywhere(reach, held, &view, may);
+        let pair = self.sample_pair_preferring_healthy(reach, held, &view, may);
         self.cross_zone_budget = plan;
         let [a, b] = pair?;
         let best = if b.projected_load < a.projected_load { b } else { a };
--- a/crates/decide/src/fleet.rs
+++ b/crates/decide/src/fleet.rs
@@ -305,7 +305,7 @@
     /// Means over those that were heard of late: geometric, so that they tell what a server is likely to hold.
     pub fn means(&self) -> FleetMeans {
         let mean = if self.heard > 0 { self.others / self.heard as f64 } else { 0.0 };
-        FleetMeans { in_flight: mean.max(0.0).exp_m1() }
+        FleetMeans { in_flight_from_others: mean.max(0.0).exp_m1() }
     }
 
     /// How many servers of a kind this sidecar hears from, as far as members are spread as all are.
@@ -323,7 +323,7 @@
     pub fn warm_servers(&self, now: Millis, safety: &SlowStartLimits) -> WarmServers {
         let serving = self.entries.iter().flatten().filter(|entry| entry.server.serving);
         let ready = serving.filter(|entry| entry.server.health == Health::Ready);
-        let warm = ready.filter(|entry| entry.server.warmth(now, safety) >= 1.0);
+        let warm = ready.filter(|entry| entry.server.warm_up_fraction(now, safety) >= 1.0);
         let (mut weight, mut reports, mut utilisations) = (0.0, 0.0, 0.0);
         for entry in warm {
             weight += entry.server.weight;
@@ -353,7 +353,7 @@
         entry.list = self.lists;
         let before = entry.server.kind;
         self.changed |= entry.server.started != listing.started;
-        entry.server.relist(listing);
+        entry.server.update_from_listing(listing);
         if entry.side != side {
             self.sides[entry.side].remove(&(entry.depth, slot));
             entry.side = side;
@@ -697,19 +697,19 @@
                     let sent = OutstandingSend { class: ClassId(0), sent: now, depth: 1.0, wait: 1.0 };
                     let serving = fleet.get(id).is_some_and(|server| server.serving);
                     if serving {
-                        fleet.change(id, |server| server.enter(number, sent));
+                        fleet.change(id, |server| server.add_send(number, sent));
                     }
                 }
                 5 | 6 => {
                     fleet.change(id, |server| {
                         let oldest = server.outstanding.oldest().map(|(number, _)| number);
-                        oldest.and_then(|number| server.take(number))
+                        oldest.and_then(|number| server.remove_send(number))
                     });
                     fleet.forget_gone(id);
                 }
                 7 => {
                     let (in_flight, unheard) = (rng.rand_float() * 20.0, (number + 1, 0));
-                    fleet.change(id, |server| server.reports(in_flight, now, now + 300.0, unheard));
+                    fleet.change(id, |server| server.record_report(in_flight, now, now + 300.0, unheard));
                 }
                 8 => {
                     let until = now + rng.rand_float() * 500.0;
--- a/crates/decide/src/latency_outlier.rs
+++ b/crates/decide/src/latency_outlier.rs
@@ -45,7 +45,7 @@
         (attempts as u32) < self.settings.limits.max_attempts
             && class.effect != Effect::NonIdempotent
             && self.estimates.retry_tokens >= 1.0
-            && self.reach(held).is_some_and(|reach| self.upstreams.size(reach).1 > 1)
+            && self.candidate_scope(held).is_some_and(|reach| self.upstreams.size(reach).1 > 1)
     }
 
     /// What giving up an attempt of a request has to win.
@@ -76,7 +76,8 @@
         let Some(held) = self.requests.get_mut(&request) else { return };
         held.check_at = None;
         let held = held.clone();
-        let Some((number, this)) = held.attempts.iter().enumerate().next_back().filter(|(_, t)| t.out) else {
+        let Some((number, this)) = held.attempts.iter().enumerate().next_back().filter(|(_, t)| t.in_flight)
+        else {
             return;
         };
         let attempt = AttemptNo(number as u32);
@@ -96,7 +97,7 @@
             held.check_at = look;
             self.check_schedule.set(request, None, look);
         }
-        self.probe(this.upstream, out);
+        self.probe_if_due(this.upstream, out);
     }
 
     /// What is known of an attempt that is out, and for how long it has been.
@@ -117,7 +118,7 @@
             self.estimates.service[sent.class.0].latencies.longer((self.now - sent.sent) / sent.wait)
         };
         // A server answers as many at once as it has cores: of those that wait, so many tell for themselves.
-        let kappa = self.kappa(upstream);
+        let kappa = self.estimated_capacity(upstream);
         let since = upstream
             .outstanding
             .latest()
@@ -126,11 +127,11 @@
         others.sort_by(f64::total_cmp);
         let others = others.iter().take((kappa as usize).saturating_sub(1)).product();
         // A queue that it has told of since explains what was not foreseen.
-        let warmth = upstream.warmth(self.now, &self.settings.slow_start);
+        let warmth = upstream.warm_up_fraction(self.now, &self.settings.slow_start);
         let queue = (upstream.reported_in_flight + 1.0) / kappa;
         let told = (upstream.reported_at > this.sent && self.estimates.believes()).then_some(queue.max(1.0));
         let now = told.map_or(0.0, |depth| {
-            self.estimates.service[this.class.0].time * self.remembered(upstream) / warmth * depth
+            self.estimates.service[this.class.0].time * self.estimated_slowness(upstream) / warmth * depth
         });
         let late =
             |sent: Millis| self.estimates.probe_time.is_some_and(|time| self.now - sent > UNANSWERED * time);
--- a/crates/decide/src/query.rs
+++ b/crates/decide/src/query.rs
@@ -6,7 +6,7 @@
 
 impl Balancer {
     /// How many serving servers take no part in the draw now, for their failures.
-    pub fn avoided(&self) -> usize {
+    pub fn ejected_count(&self) -> usize {
         let (ready, all) = self.upstreams.size(CandidateScope::All);
         all - ready
     }
--- a/crates/decide/src/reports.rs
+++ b/crates/decide/src/reports.rs
@@ -40,7 +40,7 @@
     // Utilisation is a running mean while in-flight is of the moment: only means of both may be divided.
     let weight = 1.0 - (-(now - upstream.reported_at) / (MEANS_OVER * scale)).exp();
     let unheard = unheard.unwrap_or((upstream.first_send_after_probe, upstream.sends_after_probe));
-    upstream.reports(in_flight, now, until, unheard);
+    upstream.record_report(in_flight, now, until, unheard);
     upstream.utilisation = utilisation;
     upstream.mean_in_flight += weight * (in_flight - upstream.mean_in_flight);
     weight
--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -197,13 +197,13 @@
     }
 
     /// Tells sidecars apart by their names: this is the one of this name, whatever number it may have.
-    pub fn named(mut self, name: &str) -> Config {
+    pub fn with_identity_from_name(mut self, name: &str) -> Config {
         self.named = Some(subset::key(name));
         self
     }
 
     /// Tells all that no sidecar could work with, each as key and fault; the simulator's own settings always pass.
-    pub fn faults(&self) -> Vec<(String, String)> {
+    pub fn validation_errors(&self) -> Vec<(String, String)> {
         let mut faults = Vec::new();
         let mut fault = |key: String, text: String| faults.push((key, text));
         if self.classes.is_empty() {
@@ -277,12 +277,12 @@
     }
 
     /// The number of a zone. One that the settings do not name gets a number that no other has.
-    pub fn zone_named(&self, name: &str) -> u64 {
+    pub fn zone_id(&self, name: &str) -> u64 {
         number_of(&self.azs, name)
     }
 
     /// The number of a kind of machine, likewise.
-    pub fn kind_named(&self, name: &str) -> u64 {
+    pub fn kind_id(&self, name: &str) -> u64 {
         number_of(&self.kinds, name)
     }
 
@@ -370,7 +370,7 @@
 }
 
 /// Puts the figures of a report in their places.
-pub fn report(columns: &[Column], stats: &[f64]) -> Report {
+pub fn report_from_columns(columns: &[Column], stats: &[f64]) -> Report {
     let mut report = Report::default();
     for (column, value) in columns.iter().zip(stats) {
         match column {
@@ -404,7 +404,7 @@
             stats.push(value);
         }
     }
-    (!used.is_empty()).then(|| report(&used, &stats))
+    (!used.is_empty()).then(|| report_from_columns(&used, &stats))
 }
 
 /// No figure of a load report is larger in earnest.
--- a/crates/decide/src/slow_start.rs
+++ b/crates/decide/src/slow_start.rs
@@ -36,13 +36,13 @@
     /// What all sidecars together may send a server while it is cold, in cores.
     fn allowance(&self, upstream: &Upstream) -> f64 {
         let safety = &self.settings.slow_start;
-        safety.overload_multiple * upstream.warmth(self.now, safety) * self.cold_capacity(upstream)
+        safety.overload_multiple * upstream.warm_up_fraction(self.now, safety) * self.cold_capacity(upstream)
     }
 
     /// The capacity that a cold server will have, in cores: what its reports and those of its kind say, but no more than lets
     /// all that may be sent in one window come to what warm servers are known to carry for their weight.
     fn cold_capacity(&self, upstream: &Upstream) -> f64 {
-        let reported = self.kappa(upstream);
+        let reported = self.estimated_capacity(upstream);
         let sidecars = f64::from(self.settings.sidecars.max(1));
         let carried = self.estimates.observed_capacity.capacity(self.now, upstream.weight, sidecars);
         carried.map_or(reported, |carried| reported.min(carried / (COLD_RATE + COLD_SAVED)))
@@ -53,7 +53,7 @@
         if self.outages.is_out(server.zone) {
             return WarmUpStatus::Out;
         }
-        if server.warmth(self.now, &self.settings.slow_start) >= 1.0 {
+        if server.warm_up_fraction(self.now, &self.settings.slow_start) >= 1.0 {
             return WarmUpStatus::Warm;
         }
         let owners = self.owners(server);
@@ -118,15 +118,16 @@
     /// ones first where crossing has a fee, in random order. Only where parts come to whole requests: what is counted
     /// keeps to the allowance however many come, what is left to chance does not.
     pub(crate) fn cold_one(&mut self, held: &PendingRequest) -> Option<Candidate> {
-        let (reach, view) = (self.reach(held)?.inside(), self.view(held));
+        let (reach, view) = (self.candidate_scope(held)?.inside(), self.selection_context(held));
         let home = CandidateScope::MembersIn(self.settings.zone);
         let near = (reach == CandidateScope::Members && view.same_zone_limit != 0.0).then_some(home);
         for reach in near.into_iter().chain([reach]) {
             let mut looks = CandidateSampler::new(&self.upstreams, reach, false);
             for _ in 0..ASKED {
                 let Some(slot) = looks.next(&mut self.upstreams, &mut self.rng) else { break };
-                let found = self.look(slot, held, &view);
-                let Some(cold) = found.filter(|c| c.healthy && c.warm_up_fraction < 1.0 && view.has_room(c))
+                let found = self.examine(slot, held, &view);
+                let Some(cold) =
+                    found.filter(|c| c.healthy && c.warm_up_fraction < 1.0 && view.has_capacity(c))
                 else {
                     continue;
                 };
--- a/crates/decide/src/state.rs
+++ b/crates/decide/src/state.rs
@@ -11,7 +11,7 @@
     pub zone: ZoneId,
     pub cell: CellId,
     pub sent: Millis,
-    pub out: bool,
+    pub in_flight: bool,
     pub may_have_run: bool,
     /// Whether this module cancelled it for taking too long.
     pub abandoned: bool,
@@ -24,7 +24,7 @@
             zone: to.zone,
             cell: to.cell,
             sent,
-            out: true,
+            in_flight: true,
             may_have_run: true,
             abandoned: false,
         }
@@ -173,7 +173,7 @@
 }
 
 impl SelectionContext {
-    pub fn has_room(&self, candidate: &Candidate) -> bool {
+    pub fn has_capacity(&self, candidate: &Candidate) -> bool {
         if self.outside_subset && !candidate.has_valid_report {
             return false;
         }
@@ -182,9 +182,9 @@
     }
 
     /// Whether a server keeps a request in its zone. Called only where crossing has a cost.
-    pub fn suits_near(&self, candidate: &Candidate) -> bool {
+    pub fn suits_same_zone(&self, candidate: &Candidate) -> bool {
         candidate.same_zone
-            && self.has_room(candidate)
+            && self.has_capacity(candidate)
             && (candidate.wait <= self.same_zone_limit || candidate.awaits_probe)
             && candidate.failure_rate <= self.max_failure_rate
     }
@@ -193,7 +193,7 @@
 /// Means over the servers with valid reports, which stand in for those without.
 pub(crate) struct FleetMeans {
     /// Requests in flight that other sidecars have sent to a server.
-    pub in_flight: f64,
+    pub in_flight_from_others: f64,
 }
 
 impl Upstream {
@@ -234,7 +234,7 @@
     }
 
     /// Takes over a list entry. A new incarnation under the same id keeps the outstanding sends only.
-    pub fn relist(&mut self, entry: &Listing) {
+    pub fn update_from_listing(&mut self, entry: &Listing) {
         if entry.started.is_some_and(|new| self.started.is_none_or(|old| new > old)) {
             let outstanding = std::mem::take(&mut self.outstanding);
             let count = outstanding.len();
@@ -253,7 +253,7 @@
     }
 
     /// The share of its full capacity that the server is sure to have. Grows linearly from the initial share.
-    pub fn warmth(&self, now: Millis, limits: &SlowStartLimits) -> f64 {
+    pub fn warm_up_fraction(&self, now: Millis, limits: &SlowStartLimits) -> f64 {
         match self.started {
             Some(started) if now < started + limits.warm_up => {
                 let age = (now - started).max(0.0);
@@ -265,14 +265,14 @@
     }
 
     /// Adds an outstanding send; its number is higher than those of all earlier sends.
-    pub fn enter(&mut self, number: u64, sent: OutstandingSend) {
+    pub fn add_send(&mut self, number: u64, sent: OutstandingSend) {
         self.outstanding.push(number, sent);
         self.unreported_sends += 1;
         self.sends_after_probe += 1;
     }
 
     /// Removes a send that has ended.
-    pub fn take(&mut self, number: u64) -> Option<OutstandingSend> {
+    pub fn remove_send(&mut self, number: u64) -> Option<OutstandingSend> {
         let sent = self.outstanding.remove(number)?;
         match number >= self.first_unreported_send {
             true => self.unreported_sends -= 1,
@@ -284,13 +284,13 @@
 
     /// The outstanding sends that a report requested now may lack, which are those sent at the same time: the
     /// number of the first, or `next_send` if there is none, and their count.
-    pub fn unheard(&self, next_send: u64, now: Millis) -> (u64, usize) {
+    pub fn unreported(&self, next_send: u64, now: Millis) -> (u64, usize) {
         let latest = self.outstanding.latest().take_while(|(_, sent)| sent.sent >= now);
         latest.fold((next_send, 0), |(_, count), (number, _)| (number, count + 1))
     }
 
     /// Records the load of a report that is valid until then and lacks the sends in `unreported`.
-    pub fn reports(&mut self, in_flight: f64, now: Millis, until: Millis, unreported: (u64, usize)) {
+    pub fn record_report(&mut self, in_flight: f64, now: Millis, until: Millis, unreported: (u64, usize)) {
         (self.first_unreported_send, self.unreported_sends) = unreported;
         (self.reported_in_flight, self.reported_at) = (in_flight, now);
         (self.has_valid_report, self.report_valid_until) = (true, until);
--- a/crates/decide/src/upload.rs
+++ b/crates/decide/src/upload.rs
@@ -18,8 +18,8 @@
         let now = self.now;
         if in_progress {
             // What has passed cannot be sent again, so that nothing is won by giving it up.
-            self.watch_no_more(request);
-            let sent = self.upstreams.change(id, |upstream| upstream.take(number)).flatten();
+            self.cancel_check(request);
+            let sent = self.upstreams.change(id, |upstream| upstream.remove_send(number)).flatten();
             // Twice is once.
             self.uploads.extend(sent.map(|sent| (key, (sent, now))));
             return;
@@ -29,7 +29,7 @@
         self.next_send += 1;
         let entered = self
             .upstreams
-            .change(id, |upstream| upstream.enter(number, OutstandingSend { sent: now, ..sent }));
+            .change(id, |upstream| upstream.add_send(number, OutstandingSend { sent: now, ..sent }));
         match entered {
             Some(()) => drop(self.sends.insert(key, (number, id))),
             // It was forgotten meanwhile, as gone.
--- a/crates/decide/src/zone_outage.rs
+++ b/crates/decide/src/zone_outage.rs
@@ -87,7 +87,7 @@
             let mut looks = CandidateSampler::new(&self.upstreams, CandidateScope::Zone(zone), true);
             let slot = looks.next(&mut self.upstreams, &mut self.rng);
             match slot.and_then(|slot| self.upstreams.at(slot)) {
-                Some((id, _)) if self.settings.limits.probes => self.probe(id, out),
+                Some((id, _)) if self.settings.limits.probes => self.probe_if_due(id, out),
                 // Nobody is left to ask, or requests have to ask.
                 _ => self.zone_lives(zone),
             }
--- a/crates/decide/tests/cold.rs
+++ b/crates/decide/tests/cold.rs
@@ -67,7 +67,7 @@
         let (who, request) = (rng.rand_range(0..u64::from(sidecars)) as usize, RequestId(number));
         let mut out = Vec::new();
         let event =
-            Event::RequestArrived { request, class: REPEATABLE, tenant: TenantId(0), time_left: 4_000.0 };
+            Event::RequestArrived { request, class: IDEMPOTENT, tenant: TenantId(0), time_left: 4_000.0 };
         modules[who].handle(now, event, &mut out);
         for action in out {
             match action {
@@ -120,15 +120,15 @@
 #[test]
 fn a_new_server_is_not_taken_for_as_crowded_as_the_old_ones() {
     let settings = Settings { probe_cost: 1e9, ..settings() };
-    let mut stage = Stage::new(settings, (1..=4).map(listing).collect());
-    stage.settle(&[1, 2, 3, 4], 3.0, 0.75);
+    let mut stage = Harness::new(settings, (1..=4).map(listing).collect());
+    stage.report_steadily(&[1, 2, 3, 4], 3.0, 0.75);
     [1, 2, 3, 4].iter().for_each(|id| stage.report(*id, 40.0, 1.0));
     let new = (5..=12).map(|id| Listing { started: Some(stage.now), ..listing(id) }).collect();
     stage.event(Event::ListReceived(ListUpdate::Changed(new)));
     let mut used = 0;
     for _ in 0..40 {
         stage.now += 5.0;
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         if let Some(to) = sent_to(&actions) {
             assert!(to.0 > 4, "it has no room");
             used += 1;
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -4,11 +4,11 @@
 use sagemast_decide::Balancer;
 use sagemast_decide::api::*;
 
-pub const REPEATABLE: ClassId = ClassId(0);
-pub const BY_CELL: ClassId = ClassId(1);
-pub const ONCE: ClassId = ClassId(2);
-pub const BY_ZONE: ClassId = ClassId(3);
-pub const BY_ALL: ClassId = ClassId(4);
+pub const IDEMPOTENT: ClassId = ClassId(0);
+pub const KEYED_BY_CELL: ClassId = ClassId(1);
+pub const NON_IDEMPOTENT: ClassId = ClassId(2);
+pub const KEYED_BY_ZONE: ClassId = ClassId(3);
+pub const KEYED_BY_ALL: ClassId = ClassId(4);
 
 pub fn class(effect: Effect) -> Class {
     Class { aim: 200.0, worth: 1.0, late_worth: 0.0, effect }
@@ -67,25 +67,25 @@
 }
 
 /// Drives one module and keeps what it did last.
-pub struct Stage {
+pub struct Harness {
     pub balancer: Balancer,
     pub now: Millis,
     next: u64,
 }
 
-impl Stage {
-    pub fn new(settings: Settings, servers: Vec<Listing>) -> Stage {
-        Stage::seeded(settings, servers, 7)
+impl Harness {
+    pub fn new(settings: Settings, servers: Vec<Listing>) -> Harness {
+        Harness::seeded(settings, servers, 7)
     }
 
-    pub fn seeded(settings: Settings, servers: Vec<Listing>, seed: u64) -> Stage {
-        let mut stage = Stage { balancer: Balancer::new(settings, seed), now: 1_000.0, next: 0 };
+    pub fn seeded(settings: Settings, servers: Vec<Listing>, seed: u64) -> Harness {
+        let mut stage = Harness { balancer: Balancer::new(settings, seed), now: 1_000.0, next: 0 };
         stage.event(Event::ListReceived(ListUpdate::Restored(servers)));
         stage
     }
 
     /// Reports the same from all these servers for long enough to be believed.
-    pub fn settle(&mut self, ids: &[u64], in_flight: f64, utilisation: f64) {
+    pub fn report_steadily(&mut self, ids: &[u64], in_flight: f64, utilisation: f64) {
         for _ in 0..40 {
             self.now += 50.0;
             ids.iter().for_each(|id| self.report(*id, in_flight, utilisation));
@@ -132,11 +132,11 @@
     }
 
     pub fn report(&mut self, id: u64, in_flight: f64, utilisation: f64) {
-        self.probed(id, in_flight, utilisation);
+        self.answer_probe(id, in_flight, utilisation);
     }
 
     /// The same, with what was done upon it.
-    pub fn probed(&mut self, id: u64, in_flight: f64, utilisation: f64) -> Vec<Action> {
+    pub fn answer_probe(&mut self, id: u64, in_flight: f64, utilisation: f64) -> Vec<Action> {
         let report =
             Report { in_flight: Some(in_flight), utilisation: Some(utilisation), ..Report::default() };
         self.event(Event::ProbeFinished { upstream: UpstreamId(id), answered: true, report: Some(report) })
--- a/crates/decide/tests/crossing.rs
+++ b/crates/decide/tests/crossing.rs
@@ -41,24 +41,24 @@
 }
 
 /// Servers 0 and 1 are near, 10 and 11 are not.
-fn stage(pays: bool, bends: &[BudgetExemption]) -> Stage {
+fn stage(pays: bool, bends: &[BudgetExemption]) -> Harness {
     let far = |id| Listing { zone: ZoneId(1), ..listing(id) };
-    let mut stage = Stage::new(settings(), vec![listing(0), listing(1), far(10), far(11)]);
+    let mut stage = Harness::new(settings(), vec![listing(0), listing(1), far(10), far(11)]);
     let terms = CrossZoneCost { fee: 0.03, bend_at: 0.2 };
     let made = Made { terms, pays, bends: bends.to_vec(), sent: Vec::new() };
     stage.balancer.set_cross_zone(Some(Box::new(made)));
-    stage.settle(&[0, 1, 10, 11], 2.0, 0.2);
+    stage.report_steadily(&[0, 1, 10, 11], 2.0, 0.2);
     stage
 }
 
-fn plan(stage: &mut Stage) -> &mut Made {
+fn plan(stage: &mut Harness) -> &mut Made {
     (stage.balancer.cross_zone().expect("there is one") as &mut dyn Any)
         .downcast_mut()
         .expect("the one made here")
 }
 
 /// Where so many requests go, and what bent; each is served at once.
-fn place(stage: &mut Stage, class: ClassId, count: usize) -> (usize, usize, usize) {
+fn place(stage: &mut Harness, class: ClassId, count: usize) -> (usize, usize, usize) {
     let (mut near, mut far, mut none) = (0, 0, 0);
     for _ in 0..count {
         stage.now += 1.0;
@@ -76,7 +76,7 @@
 }
 
 /// The near ones are full for good: in flight is ten times what they can hold.
-fn fill(stage: &mut Stage) {
+fn fill(stage: &mut Harness) {
     for _ in 0..40 {
         stage.now += 50.0;
         [0, 1].into_iter().for_each(|id| stage.report(id, 200.0, 1.0));
@@ -87,7 +87,7 @@
 #[test]
 fn near_ones_with_room_are_stayed_with() {
     for pays in [true, false] {
-        assert_eq!(place(&mut stage(pays, &BudgetExemption::ALL), REPEATABLE, 50), (50, 0, 0));
+        assert_eq!(place(&mut stage(pays, &BudgetExemption::ALL), IDEMPOTENT, 50), (50, 0, 0));
     }
 }
 
@@ -98,7 +98,7 @@
     {
         let mut stage = stage(pays, bends);
         fill(&mut stage);
-        assert_eq!(place(&mut stage, ONCE, 20), (0, 20, 0), "{bends:?}");
+        assert_eq!(place(&mut stage, NON_IDEMPOTENT, 20), (0, 20, 0), "{bends:?}");
         assert!(plan(&mut stage).sent.iter().all(|attempt| attempt.bend == bent), "{bent:?}");
     }
     let mut stage = stage(
@@ -106,7 +106,7 @@
         &[BudgetExemption::Down, BudgetExemption::Late, BudgetExemption::Failing, BudgetExemption::Bound],
     );
     fill(&mut stage);
-    assert_eq!(place(&mut stage, ONCE, 20), (0, 0, 20));
+    assert_eq!(place(&mut stage, NON_IDEMPOTENT, 20), (0, 0, 20));
     assert!(plan(&mut stage).sent.is_empty());
 }
 
@@ -115,15 +115,15 @@
     let mut stage = stage(false, &[BudgetExemption::Down]);
     let leaving = |id| Listing { lifecycle: Lifecycle::Draining, ..listing(id) };
     stage.event(Event::ListReceived(ListUpdate::Changed(vec![leaving(0), leaving(1)])));
-    assert_eq!(place(&mut stage, ONCE, 10), (0, 10, 0));
+    assert_eq!(place(&mut stage, NON_IDEMPOTENT, 10), (0, 10, 0));
     assert!(plan(&mut stage).sent.iter().all(|attempt| attempt.bend == Some(BudgetExemption::Down)));
 }
 
 /// Has what goes to near servers reset: one of them is ejected, the other is not, since too many would be.
-fn fail(stage: &mut Stage) {
+fn fail(stage: &mut Harness) {
     for _ in 0..20 {
         stage.now += 1.0;
-        let (request, actions) = stage.arrive(ONCE);
+        let (request, actions) = stage.arrive(NON_IDEMPOTENT);
         if let Some(to) = sent_to(&actions) {
             stage.finish(request, 0, to, Outcome::Reset, 20.0);
         }
@@ -139,7 +139,7 @@
         (plan(&mut stage).pays, plan(&mut stage).bends) =
             (pays, vec![BudgetExemption::Failing, BudgetExemption::Down]);
         plan(&mut stage).sent.clear();
-        let (near, far, none) = place(&mut stage, ONCE, 20);
+        let (near, far, none) = place(&mut stage, NON_IDEMPOTENT, 20);
         assert!(far >= 15 && none == 0, "{near} {far} {none}");
         let bent = plan(&mut stage).sent.iter().filter(|attempt| attempt.bend.is_some()).count();
         assert_eq!(bent, if pays { 0 } else { far });
@@ -152,7 +152,7 @@
     // Answers of idle servers take 160 ms of an aim of 200: late in two of seven, which is more than is given up.
     for _ in 0..400 {
         stage.now += 5.0;
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         if let Some(to) = sent_to(&actions) {
             stage.now += 160.0;
             stage.finish(request, 0, to, Outcome::Ok, 160.0);
@@ -171,7 +171,7 @@
     // Reports grow old, so that the pair is asked before the request goes.
     stage.now += 900.0;
     [0, 1].into_iter().for_each(|id| stage.report(id, 200.0, 1.0));
-    let (request, class, tenant) = (RequestId(77_777), REPEATABLE, TenantId(0));
+    let (request, class, tenant) = (RequestId(77_777), IDEMPOTENT, TenantId(0));
     let actions = stage.event(Event::RequestArrived { request, class, tenant, time_left: 500.0 });
     let probes: Vec<u64> =
         actions.iter().filter_map(|a| if let Action::Probe(id) = a { Some(id.0) } else { None }).collect();
@@ -181,14 +181,14 @@
     );
     plan(&mut stage).pays = false;
     stage.now += 2.0;
-    let after: Vec<Action> = probes.into_iter().flat_map(|id| stage.probed(id, 2.0, 0.2)).collect();
+    let after: Vec<Action> = probes.into_iter().flat_map(|id| stage.answer_probe(id, 2.0, 0.2)).collect();
     assert!(sent_to(&after).is_none() && refused(&after), "{after:?}");
 }
 
 #[test]
 fn what_may_have_run_goes_where_its_effect_allows_and_a_plan_only_narrows_that() {
     // Bound to the cell or zone that may have run it: not across, whatever is paid.
-    for class in [BY_CELL, BY_ZONE, ONCE] {
+    for class in [KEYED_BY_CELL, KEYED_BY_ZONE, NON_IDEMPOTENT] {
         for pays in [true, false] {
             let mut stage = stage(pays, &BudgetExemption::ALL);
             let (request, actions) = stage.arrive(class);
@@ -196,7 +196,7 @@
             stage.now += 10.0;
             let again = stage.finish(request, 0, first, Outcome::Reset, 10.0);
             match (class, sent_to(&again)) {
-                (ONCE, to) => assert!(to.is_none() && failed(&again), "{again:?}"),
+                (NON_IDEMPOTENT, to) => assert!(to.is_none() && failed(&again), "{again:?}"),
                 (_, to) => assert!(to.is_some_and(|to| to.0 < 10 && to != first), "{again:?}"),
             }
         }
@@ -207,7 +207,7 @@
     {
         let mut stage = stage(false, bends);
         fill(&mut stage);
-        let (request, actions) = stage.arrive(BY_ZONE);
+        let (request, actions) = stage.arrive(KEYED_BY_ZONE);
         let first = sent_to(&actions).expect("it bends");
         stage.now += 10.0;
         let again = stage.finish(request, 0, first, Outcome::Reset, 10.0);
--- a/crates/decide/tests/deployments.rs
+++ b/crates/decide/tests/deployments.rs
@@ -7,11 +7,11 @@
 
 /// Serves 300 requests, answering each send after `took`; how many were served.
 fn serve(settings: Settings, servers: Vec<Listing>, piggyback: bool) -> (usize, usize) {
-    let mut stage = Stage::new(settings, servers);
+    let mut stage = Harness::new(settings, servers);
     let (mut served, mut probes) = (0, 0);
     for _ in 0..300 {
         stage.now += 30.0;
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         probes += actions.iter().filter(|action| matches!(action, Action::Probe(_))).count();
         let Some(upstream) = sent_to(&actions) else { continue };
         let report = Report { in_flight: Some(2.0), utilisation: Some(0.5), ..Report::default() };
@@ -56,8 +56,8 @@
     let mut settings = settings();
     settings.classes.clear();
     settings.sidecars = 0;
-    let mut stage = Stage::new(settings, vec![listing(1)]);
-    assert!(refused(&stage.arrive(REPEATABLE).1), "answered, whatever it is");
+    let mut stage = Harness::new(settings, vec![listing(1)]);
+    assert!(refused(&stage.arrive(IDEMPOTENT).1), "answered, whatever it is");
 }
 
 #[test]
--- a/crates/decide/tests/health.rs
+++ b/crates/decide/tests/health.rs
@@ -6,11 +6,11 @@
 use sagemast_decide::api::*;
 
 /// Answers every send at once: server 1 fails as `bad` says, the others serve in 30 ms.
-fn play(stage: &mut Stage, rounds: usize, bad: Outcome, all_bad: bool) -> usize {
+fn play(stage: &mut Harness, rounds: usize, bad: Outcome, all_bad: bool) -> usize {
     let mut to_bad = 0;
     for _ in 0..rounds {
         stage.now += 10.0;
-        let (request, mut actions) = stage.arrive(REPEATABLE);
+        let (request, mut actions) = stage.arrive(IDEMPOTENT);
         let mut attempt = 0;
         while let Some(to) = sent_to(&actions) {
             let is_bad = all_bad || to.0 == 1;
@@ -27,7 +27,7 @@
 #[test]
 fn a_fast_failer_is_ejected() {
     for bad in [Outcome::Error, Outcome::Unreachable, Outcome::Reset] {
-        let mut stage = Stage::new(settings(), (1..=5).map(listing).collect());
+        let mut stage = Harness::new(settings(), (1..=5).map(listing).collect());
         play(&mut stage, 50, bad, false);
         let later = play(&mut stage, 500, bad, false);
         assert!(later < 10, "{bad:?}: {later} of 500 still went to the failing server");
@@ -36,7 +36,7 @@
 
 #[test]
 fn an_ejected_server_comes_back_by_trials() {
-    let mut stage = Stage::new(settings(), (1..=5).map(listing).collect());
+    let mut stage = Harness::new(settings(), (1..=5).map(listing).collect());
     play(&mut stage, 100, Outcome::Error, false);
     let back = play(&mut stage, 2_000, Outcome::Ok, false);
     assert!(back > 100, "{back} of 2,000 after it had recovered");
@@ -45,11 +45,11 @@
 /// Guards against ejecting everyone when the network or we ourselves are at fault.
 #[test]
 fn not_all_are_ejected() {
-    let mut stage = Stage::new(settings(), (1..=5).map(listing).collect());
+    let mut stage = Harness::new(settings(), (1..=5).map(listing).collect());
     play(&mut stage, 200, Outcome::Error, true);
     let mut used = std::collections::BTreeSet::new();
     for _ in 0..40 {
-        let (request, actions) = stage.arrive(ONCE);
+        let (request, actions) = stage.arrive(NON_IDEMPOTENT);
         let to = sent_to(&actions).expect("someone is asked");
         used.insert(to);
         stage.finish(request, 0, to, Outcome::Ok, 30.0);
@@ -60,11 +60,11 @@
 /// Guards against hung servers: nothing comes back from them, not even a failure, until the time-outs.
 #[test]
 fn unanswered_sends_count_before_they_time_out() {
-    let mut stage = Stage::new(settings(), (1..=4).map(listing).collect());
+    let mut stage = Harness::new(settings(), (1..=4).map(listing).collect());
     let mut hung = 0;
     for round in 0..200 {
         stage.now += 5.0;
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         for action in &actions {
             // It answers probes, and always looks as if it had just finished everything.
             if let Action::Probe(upstream) = action {
@@ -84,11 +84,11 @@
 /// "Full" tells of load, which the counts show already; ejecting for it would take capacity away under overload.
 #[test]
 fn full_is_not_a_failure() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
     for _ in 0..60 {
         stage.now += 50.0;
         stage.report(2, 3.0, 0.5);
-        let (request, mut actions) = stage.arrive(ONCE);
+        let (request, mut actions) = stage.arrive(NON_IDEMPOTENT);
         for attempt in 0.. {
             assert!(actions.iter().all(|action| !matches!(action, Action::Log(_))), "ejected for being full");
             let Some(to) = sent_to(&actions) else { break };
@@ -98,27 +98,27 @@
     }
     stage.report(1, 0.0, 0.0);
     stage.report(2, 5.0, 0.9);
-    assert_eq!(sent_to(&stage.arrive(ONCE).1), Some(UpstreamId(1)));
+    assert_eq!(sent_to(&stage.arrive(NON_IDEMPOTENT).1), Some(UpstreamId(1)));
 }
 
 #[test]
 fn work_is_refused_when_no_server_can_answer_in_time() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
     for id in [1, 2] {
         stage.report(id, 1.0, 0.5);
         stage.report(id, 60.0, 1.0);
     }
-    let (_, actions) = stage.arrive(REPEATABLE);
+    let (_, actions) = stage.arrive(IDEMPOTENT);
     assert!(refused(&actions));
 }
 
 /// Guards against a lock-out: a service time learnt in a jam must not refuse everything on idle servers for good.
 #[test]
 fn an_idle_server_has_room_whatever_was_learnt() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
     for _ in 0..300 {
         stage.now += 400.0;
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         for id in [1, 2] {
             stage.report(id, 1.0, 0.25);
         }
@@ -129,7 +129,7 @@
     for id in [1, 2] {
         stage.report(id, 0.0, 0.0);
     }
-    assert!(sent_to(&stage.arrive(REPEATABLE).1).is_some());
+    assert!(sent_to(&stage.arrive(IDEMPOTENT).1).is_some());
 }
 
 /// Guards against shedding at random: under overload what earns least for its work goes first, and then what
@@ -137,13 +137,13 @@
 #[test]
 fn the_least_worth_is_refused_first() {
     let mut settings = settings();
-    settings.classes[REPEATABLE.0].worth = 0.2;
-    settings.classes[BY_ALL.0].worth = 4.0;
+    settings.classes[IDEMPOTENT.0].worth = 0.2;
+    settings.classes[KEYED_BY_ALL.0].worth = 4.0;
     settings.tenants = vec![Tenant { quota_per_s: 50.0 }, Tenant { quota_per_s: 50.0 }];
     settings.over_quota_worth = 0.05;
     let mut refusals = std::collections::BTreeMap::new();
-    let mut stage = Stage::new(settings, vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 4.0, 1.0);
+    let mut stage = Harness::new(settings, vec![listing(1), listing(2)]);
+    stage.report_steadily(&[1, 2], 4.0, 1.0);
     for number in 0..2_000_u64 {
         stage.now += 5.0;
         // The load swings around 17 on servers that work on 4 at once.
@@ -151,7 +151,8 @@
         for id in [1, 2] {
             stage.report(id, in_flight, 1.0);
         }
-        let (class, tenant) = ([REPEATABLE, BY_ALL][(number / 16 % 2) as usize], u64::from(number % 5 == 0));
+        let (class, tenant) =
+            ([IDEMPOTENT, KEYED_BY_ALL][(number / 16 % 2) as usize], u64::from(number % 5 == 0));
         let request = RequestId(number);
         let tenant = TenantId(tenant as usize);
         let actions = stage.event(Event::RequestArrived { request, class, tenant, time_left: 500.0 });
@@ -167,23 +168,23 @@
         let (refused, all): (u32, u32) = refusals[&(class, TenantId(tenant))];
         f64::from(refused) / f64::from(all)
     };
-    assert!(rate(REPEATABLE, 0) > rate(BY_ALL, 0) + 0.1, "by worth: {refusals:?}");
-    assert!(rate(BY_ALL, 0) > rate(BY_ALL, 1) + 0.1, "by share: {refusals:?}");
+    assert!(rate(IDEMPOTENT, 0) > rate(KEYED_BY_ALL, 0) + 0.1, "by worth: {refusals:?}");
+    assert!(rate(KEYED_BY_ALL, 0) > rate(KEYED_BY_ALL, 1) + 0.1, "by share: {refusals:?}");
 }
 
 /// Guards against feeding a jam: when all servers have become slow, one that a sidecar has not heard of for a
 /// while must be taken for slow, too, and not for quick.
 #[test]
 fn a_slowed_fleet_is_not_forgotten_server_by_server() {
-    let mut stage = Stage::new(settings(), (1..=20).map(listing).collect());
+    let mut stage = Harness::new(settings(), (1..=20).map(listing).collect());
     let ids: Vec<u64> = (1..=20).collect();
-    stage.settle(&ids, 3.0, 0.75);
-    let play = |stage: &mut Stage, rounds: usize, took: Millis| {
+    stage.report_steadily(&ids, 3.0, 0.75);
+    let play = |stage: &mut Harness, rounds: usize, took: Millis| {
         let mut refusals = 0;
         for _ in 0..rounds {
             stage.now += 100.0;
             ids.iter().for_each(|id| stage.report(*id, 7.0, 0.95));
-            let (request, actions) = stage.arrive(REPEATABLE);
+            let (request, actions) = stage.arrive(IDEMPOTENT);
             refusals += usize::from(refused(&actions));
             if let Some(to) = sent_to(&actions) {
                 stage.finish(request, 0, to, Outcome::Ok, took);
@@ -201,16 +202,16 @@
 #[test]
 fn room_shrinks_while_answers_are_late() {
     let mut settings = settings();
-    settings.classes[REPEATABLE.0].aim = 400.0;
+    settings.classes[IDEMPOTENT.0].aim = 400.0;
     let ids: Vec<u64> = (1..=6).collect();
     let accepted = |late: bool| {
-        let mut stage = Stage::new(settings.clone(), ids.iter().copied().map(listing).collect());
-        stage.settle(&ids, 3.0, 0.75);
+        let mut stage = Harness::new(settings.clone(), ids.iter().copied().map(listing).collect());
+        stage.report_steadily(&ids, 3.0, 0.75);
         let mut accepted = 0;
         for round in 0..600_u64 {
             stage.now += 50.0;
             ids.iter().for_each(|id| stage.report(*id, 3.0 + (round % 8) as f64, 0.95));
-            let (request, actions) = stage.arrive(REPEATABLE);
+            let (request, actions) = stage.arrive(IDEMPOTENT);
             let Some(to) = sent_to(&actions) else { continue };
             accepted += u32::from(round >= 300);
             // Every second request is heavy: the usual service time does not change.
@@ -227,9 +228,9 @@
 /// Guards against advice that is kept too well: a client that stays away for longer than its aim comes back for nothing.
 #[test]
 fn a_refused_client_is_asked_back_within_its_aim() {
-    let mut stage = Stage::new(settings(), vec![]);
+    let mut stage = Harness::new(settings(), vec![]);
     let waits: Vec<Millis> = (0..200)
-        .flat_map(|_| stage.arrive(REPEATABLE).1)
+        .flat_map(|_| stage.arrive(IDEMPOTENT).1)
         .filter_map(|action| match action {
             Action::Refuse { retry_after, .. } => Some(retry_after),
             _ => None,
@@ -247,8 +248,8 @@
 fn cold_servers_do_not_make_the_others_look_crowded() {
     let mut settings = settings();
     settings.slow_start.warm_up = 100_000.0;
-    let mut stage = Stage::new(settings, vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 0.8, 0.1);
+    let mut stage = Harness::new(settings, vec![listing(1), listing(2)]);
+    stage.report_steadily(&[1, 2], 0.8, 0.1);
     let (mut cold, mut started) = (0, f64::INFINITY);
     for round in 0..120 {
         if round == 40 {
@@ -260,7 +261,7 @@
         let (in_flight, utilisation) = if round < 40 { (0.8, 0.1) } else { (7.5, 0.94) };
         stage.report(1, in_flight, utilisation);
         stage.report(2, 0.5, 0.06);
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         let to = sent_to(&actions).expect("there is room");
         let slow = to == UpstreamId(2) && round >= 40;
         cold += usize::from(slow);
@@ -271,19 +272,20 @@
     assert!(cold > 3, "only {cold} went to the cold server");
     stage.report(1, 6.0, 0.75);
     stage.report(2, 20.0, 1.0);
-    assert_eq!(sent_to(&stage.arrive(REPEATABLE).1), Some(UpstreamId(1)));
+    assert_eq!(sent_to(&stage.arrive(IDEMPOTENT).1), Some(UpstreamId(1)));
 }
 
 /// Guards against starving a class: with room by worth for service time alone, the class whose requests take longer
 /// would bear all refusals for as long as servers are busy.
 #[test]
 fn refusals_are_spread_over_the_classes() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 0.8, 0.1);
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
+    stage.report_steadily(&[1, 2], 0.8, 0.1);
     let mut served = [0, 0];
     for round in 0..600 {
         let busy = round >= 200;
-        let (number, class, service) = if round % 2 == 0 { (0, REPEATABLE, 40.0) } else { (1, BY_ALL, 64.0) };
+        let (number, class, service) =
+            if round % 2 == 0 { (0, IDEMPOTENT, 40.0) } else { (1, KEYED_BY_ALL, 64.0) };
         stage.now += 50.0;
         // Their size stays known, from the first reports: the utilisation is too low to tell anything.
         [1, 2].into_iter().for_each(|id| stage.report(id, if busy { 15.0 } else { 0.8 }, 0.05));
@@ -301,13 +303,13 @@
 /// request, so that nothing was sent, nothing was learnt, and everything was refused for good.
 #[test]
 fn an_empty_server_has_room_however_crowded_the_fleet_looks() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 1.0, 0.5);
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
+    stage.report_steadily(&[1, 2], 1.0, 0.5);
     for round in 0..200 {
         let latency = if round < 60 { 30.0 } else { 190.0 };
         stage.now += 50.0;
         [1, 2].into_iter().for_each(|id| stage.report(id, 0.0, 0.0));
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         let to = sent_to(&actions).expect("empty servers have room");
         stage.now += latency;
         stage.finish(request, 0, to, Outcome::Ok, latency);
@@ -317,20 +319,20 @@
 /// Guards against a hung server that looks idle: an old unanswered send counts against it before any time-out.
 #[test]
 fn silence_counts_as_slowness() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 1.0, 0.25);
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
+    stage.report_steadily(&[1, 2], 1.0, 0.25);
     for _ in 0..60 {
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         stage.now += 20.0;
         stage.finish(request, 0, sent_to(&actions).expect("there is room"), Outcome::Ok, 20.0);
     }
-    let hung = sent_to(&stage.arrive(REPEATABLE).1).expect("there is room");
+    let hung = sent_to(&stage.arrive(IDEMPOTENT).1).expect("there is room");
     let other = if hung.0 == 1 { 2 } else { 1 };
     stage.now += 120.0;
     for _ in 0..20 {
         stage.report(hung.0, 0.0, 0.0);
         stage.report(other, 3.0, 0.05);
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         assert_eq!(sent_to(&actions), Some(UpstreamId(other)));
         stage.finish(request, 0, UpstreamId(other), Outcome::Ok, 20.0);
     }
@@ -339,13 +341,13 @@
 /// Guards against losing sight: servers that have no room are never drawn, and would stay full for us for good.
 #[test]
 fn servers_without_room_are_still_probed() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
     for id in [1, 2] {
         stage.report(id, 1.0, 0.5);
         stage.report(id, 60.0, 1.0);
     }
     stage.now += 300.0;
-    let (_, actions) = stage.arrive(REPEATABLE);
+    let (_, actions) = stage.arrive(IDEMPOTENT);
     assert!(refused(&actions));
     assert!(actions.iter().any(|action| matches!(action, Action::Probe(_))));
 }
@@ -353,10 +355,10 @@
 /// Guards against branding: a server that was slow once is tried again after a while.
 #[test]
 fn slowness_is_forgotten() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 1.0, 0.25);
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
+    stage.report_steadily(&[1, 2], 1.0, 0.25);
     for _ in 0..200 {
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         let to = sent_to(&actions).expect("there is room");
         let latency = if to.0 == 1 { 100.0 } else { 20.0 };
         stage.now += latency;
@@ -365,7 +367,7 @@
     stage.now += 60_000.0;
     [1, 2].into_iter().for_each(|id| stage.report(id, 1.0, 0.05));
     stage.report(2, 1.5, 0.05);
-    assert_eq!(sent_to(&stage.arrive(REPEATABLE).1), Some(UpstreamId(1)));
+    assert_eq!(sent_to(&stage.arrive(IDEMPOTENT).1), Some(UpstreamId(1)));
 }
 
 /// Guards against a jam that feeds itself: answers that servers were full came soon, so they once counted as in time
@@ -375,15 +377,15 @@
     let mut settings = settings();
     settings.limits.max_attempts = 1;
     let accepted_after = |outcome: Outcome| {
-        let mut stage = Stage::new(settings.clone(), vec![listing(1), listing(2)]);
-        stage.settle(&[1, 2], 3.0, 0.75);
+        let mut stage = Harness::new(settings.clone(), vec![listing(1), listing(2)]);
+        stage.report_steadily(&[1, 2], 3.0, 0.75);
         let mut accepted = 0;
         for round in 0..60 {
             stage.now += 20.0;
             // The last ones meet a queue that there is room for, though not much.
             let in_flight = if round < 40 { 1.0 } else { 6.0 };
             [1, 2].into_iter().for_each(|id| stage.report(id, in_flight, (in_flight / 4.0).min(1.0)));
-            let (request, actions) = stage.arrive(ONCE);
+            let (request, actions) = stage.arrive(NON_IDEMPOTENT);
             let Some(to) = sent_to(&actions) else { continue };
             accepted += u32::from(round >= 40);
             let outcome = if round < 40 { outcome } else { Outcome::Ok };
@@ -397,13 +399,13 @@
 
 #[test]
 fn an_empty_server_is_tried_however_slow_all_were_and_however_many_were_refused() {
-    let mut stage = Stage::new(settings(), vec![listing(0), listing(1)]);
+    let mut stage = Harness::new(settings(), vec![listing(0), listing(1)]);
     // One core each, as far as reports tell, and answers that take ten times as long as they are worth waiting for.
-    stage.settle(&[0, 1], 1.0, 0.85);
+    stage.report_steadily(&[0, 1], 1.0, 0.85);
     for _ in 0..200 {
         stage.now += 400.0;
         [0, 1].into_iter().for_each(|id| stage.report(id, 0.0, 0.0));
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         if let Some(to) = sent_to(&actions) {
             stage.now += 400.0;
             stage.finish(request, 0, to, Outcome::Ok, 400.0);
@@ -412,14 +414,14 @@
     for _ in 0..400 {
         stage.now += 5.0;
         [0, 1].into_iter().for_each(|id| stage.report(id, 50.0, 1.0));
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         if let Some(to) = sent_to(&actions) {
             stage.finish(request, 0, to, Outcome::Ok, 400.0);
         }
     }
     stage.now += 50.0;
     [0, 1].into_iter().for_each(|id| stage.report(id, 0.0, 0.0));
-    let (_, actions) = stage.arrive(REPEATABLE);
+    let (_, actions) = stage.arrive(IDEMPOTENT);
     assert!(sent_to(&actions).is_some(), "nothing else could tell that it is quick again: {actions:?}");
 }
 
@@ -428,11 +430,11 @@
 #[test]
 fn a_zone_that_cannot_be_reached_is_lost_as_a_whole() {
     let in_zone = |id: u64| Listing { zone: ZoneId(id % 2), cell: CellId(id % 2), ..listing(id) };
-    let mut stage = Stage::new(settings(), (1..=40).map(in_zone).collect());
+    let mut stage = Harness::new(settings(), (1..=40).map(in_zone).collect());
     let (mut lost, mut asked) = (0, Vec::new());
-    let mut play = |stage: &mut Stage, out: bool| {
+    let mut play = |stage: &mut Harness, out: bool| {
         stage.now += 5.0;
-        let (request, mut actions) = stage.arrive(REPEATABLE);
+        let (request, mut actions) = stage.arrive(IDEMPOTENT);
         for attempt in 0.. {
             asked.extend(actions.iter().filter_map(|action| match action {
                 Action::Probe(id) if id.0 % 2 == 1 => Some(*id),
@@ -452,7 +454,7 @@
     assert!(first <= 3, "{first} attempts were lost");
     // It is asked, and answers.
     let asked = last.expect("it is asked");
-    stage.probed(asked.0, 0.0, 0.0);
+    stage.answer_probe(asked.0, 0.0, 0.0);
     stage.now += 2_000.0;
     let mut after = 0;
     for _ in 0..50 {
@@ -464,11 +466,11 @@
 /// Guards against the same for one server: a connection that does not come up is no matter of chance.
 #[test]
 fn a_server_out_of_reach_is_left_alone_at_once() {
-    let mut stage = Stage::new(settings(), (1..=3).map(listing).collect());
+    let mut stage = Harness::new(settings(), (1..=3).map(listing).collect());
     let mut lost = 0;
     for _ in 0..50 {
         stage.now += 5.0;
-        let (request, mut actions) = stage.arrive(REPEATABLE);
+        let (request, mut actions) = stage.arrive(IDEMPOTENT);
         for attempt in 0.. {
             let Some(to) = sent_to(&actions) else { break };
             lost += u32::from(to.0 == 1);
--- a/crates/decide/tests/many_sidecars.rs
+++ b/crates/decide/tests/many_sidecars.rs
@@ -24,9 +24,9 @@
     let mut known_by = vec![0usize; SERVERS as usize];
     let mut largest = 0;
     for rank in 0..SIDECARS {
-        let mut stage = Stage::new(settings_of(identity(rank), SIDECARS), listings());
+        let mut stage = Harness::new(settings_of(identity(rank), SIDECARS), listings());
         // Members are told when a request needs them.
-        let _ = stage.arrive(REPEATABLE);
+        let _ = stage.arrive(IDEMPOTENT);
         let members: Vec<u64> = (0..SERVERS).filter(|id| stage.balancer.is_member(UpstreamId(*id))).collect();
         largest = largest.max(members.len());
         members.into_iter().for_each(|id| known_by[id as usize] += 1);
@@ -57,10 +57,10 @@
 #[test]
 fn a_sidecar_that_is_alone_draws_all_of_them() {
     for identity in [Identity::Anonymous, Identity::Ranked { rank: 0, count: 1 }] {
-        let mut stage = Stage::new(settings_of(identity, 1), listings());
+        let mut stage = Harness::new(settings_of(identity, 1), listings());
         let mut drawn = HashSet::new();
         for _ in 0..60 * SERVERS {
-            let (request, actions) = stage.arrive(REPEATABLE);
+            let (request, actions) = stage.arrive(IDEMPOTENT);
             if let Some(to) = sent_to(&actions) {
                 drawn.insert(to);
                 stage.finish(request, 0, to, Outcome::Ok, 5.0);
--- a/crates/decide/tests/memory.rs
+++ b/crates/decide/tests/memory.rs
@@ -96,8 +96,8 @@
         let mut halved = serde_json::to_value(&memory).unwrap();
         halved["all"]["retry_tokens"] = (halved["all"]["retry_tokens"].as_f64().unwrap() / 2.0).into();
         assert_same(&serde_json::from_value(halved).unwrap(), &next.memory(at));
-        assert_eq!(next.avoided(), module.avoided());
-        assert!(next.avoided() > 0, "the third is out");
+        assert_eq!(next.ejected_count(), module.ejected_count());
+        assert!(next.ejected_count() > 0, "the third is out");
     }
 }
 
@@ -109,7 +109,7 @@
         for number in 0..40 {
             let request = RequestId(1_000_000 + 2 * number);
             let event =
-                Event::RequestArrived { request, class: REPEATABLE, tenant: TenantId(0), time_left: 500.0 };
+                Event::RequestArrived { request, class: IDEMPOTENT, tenant: TenantId(0), time_left: 500.0 };
             module.handle(at + number as f64, event, &mut out);
         }
         out.iter().filter(|a| matches!(a, Action::Send { upstream: UpstreamId(3), .. })).count()
@@ -140,7 +140,7 @@
             let (now, request) = (number as f64, RequestId(2 * number + 2));
             out.clear();
             let arrived =
-                Event::RequestArrived { request, class: REPEATABLE, tenant: TenantId(0), time_left: 500.0 };
+                Event::RequestArrived { request, class: IDEMPOTENT, tenant: TenantId(0), time_left: 500.0 };
             module.handle(now, arrived, &mut out);
             let to = out.iter().find_map(|action| match action {
                 Action::Send { upstream, .. } => Some(*upstream),
--- a/crates/decide/tests/pick.rs
+++ b/crates/decide/tests/pick.rs
@@ -10,7 +10,7 @@
 
 /// Sends of `rounds` requests that all stay out for `hold` ms, with servers that report what they hold.
 fn shares(kappas: &[(u64, f64)], rounds: usize, hold: Millis) -> BTreeMap<u64, usize> {
-    let mut stage = Stage::new(settings(), kappas.iter().map(|(id, _)| listing(*id)).collect());
+    let mut stage = Harness::new(settings(), kappas.iter().map(|(id, _)| listing(*id)).collect());
     let mut out: Vec<(Millis, RequestId, UpstreamId)> = Vec::new();
     let mut held: BTreeMap<u64, usize> = BTreeMap::new();
     let mut sends: BTreeMap<u64, usize> = BTreeMap::new();
@@ -21,7 +21,7 @@
             *held.entry(upstream.0).or_default() -= 1;
             stage.finish(request, 0, upstream, Outcome::Ok, hold);
         }
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         if let Some(to) = sent_to(&actions) {
             *held.entry(to.0).or_default() += 1;
             *sends.entry(to.0).or_default() += 1;
@@ -58,13 +58,13 @@
 /// utilisation would call it large and send it more.
 #[test]
 fn a_saturated_reading_does_not_raise_capacity() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 6.0, 0.75);
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
+    stage.report_steadily(&[1, 2], 6.0, 0.75);
     for _ in 0..10 {
         // κ is 8 for both; read as 24 / 1.0 it would be 24 for the first.
         stage.report(1, 24.0, 1.0);
         stage.report(2, 8.0, 1.0);
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         assert_eq!(sent_to(&actions), Some(UpstreamId(2)));
         stage.event(Event::ClientDisconnected(request));
         stage.finish(request, 0, UpstreamId(2), Outcome::Cancelled, 1.0);
@@ -72,7 +72,7 @@
     for _ in 0..10 {
         stage.report(1, 24.0, 1.0);
         stage.report(2, 9.0, 1.0);
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         assert_eq!(sent_to(&actions), Some(UpstreamId(2)), "9 of 8 is less than 24 of 8");
         stage.finish(request, 0, UpstreamId(2), Outcome::Cancelled, 1.0);
     }
@@ -83,12 +83,12 @@
 #[test]
 fn a_server_first_heard_of_in_a_jam_is_not_taken_for_a_large_one() {
     for jam in [24.0, 200.0, 1e6] {
-        let mut stage = Stage::new(settings(), (1..=9).map(listing).collect());
+        let mut stage = Harness::new(settings(), (1..=9).map(listing).collect());
         // These have κ 4 and are well used.
-        stage.settle(&[1, 2, 3, 4, 5, 6, 7, 8], 3.4, 0.85);
+        stage.report_steadily(&[1, 2, 3, 4, 5, 6, 7, 8], 3.4, 0.85);
         stage.report(9, jam, 1.0);
         for _ in 0..200 {
-            let (request, actions) = stage.arrive(REPEATABLE);
+            let (request, actions) = stage.arrive(IDEMPOTENT);
             let to = sent_to(&actions).expect("there is room");
             assert_ne!(to, UpstreamId(9), "{jam} in flight");
             stage.event(Event::ClientDisconnected(request));
@@ -101,11 +101,11 @@
 /// queue looked the largest, and won every comparison.
 #[test]
 fn one_reading_makes_no_server_twice_as_large_as_its_kind() {
-    let mut stage = Stage::new(settings(), (1..=9).map(listing).collect());
-    stage.settle(&[1, 2, 3, 4, 5, 6, 7, 8], 3.0, 0.75);
+    let mut stage = Harness::new(settings(), (1..=9).map(listing).collect());
+    stage.report_steadily(&[1, 2, 3, 4, 5, 6, 7, 8], 3.0, 0.75);
     stage.report(9, 8.0, 0.8);
     for _ in 0..200 {
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         let to = sent_to(&actions).expect("there is room");
         assert_ne!(to, UpstreamId(9));
         stage.event(Event::ClientDisconnected(request));
@@ -119,15 +119,15 @@
 fn one_jam_is_not_taken_for_a_jam_everywhere() {
     let mut settings = settings();
     settings.probe_cost = 1e9;
-    let mut stage = Stage::new(settings, (1..=8).map(listing).collect());
-    stage.settle(&[1, 2, 3, 4, 5, 6, 7, 8], 2.0, 0.5);
+    let mut stage = Harness::new(settings, (1..=8).map(listing).collect());
+    stage.report_steadily(&[1, 2, 3, 4, 5, 6, 7, 8], 2.0, 0.5);
     // Most of it says nothing any more.
     stage.now += 5_000.0;
     [1, 2, 3].iter().for_each(|id| stage.report(*id, 0.0, 0.0));
     stage.report(4, 100.0, 1.0);
     let mut unheard = 0;
     for _ in 0..100 {
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         let to = sent_to(&actions).expect("there is room");
         unheard += u32::from(to.0 > 4);
         stage.event(Event::ClientDisconnected(request));
@@ -140,14 +140,14 @@
 #[test]
 fn a_report_below_our_own_outstanding_is_not_believed() {
     let mut settings = settings();
-    settings.classes[REPEATABLE.0].aim = 450.0;
-    let mut stage = Stage::new(settings, vec![listing(1), listing(2)]);
+    settings.classes[IDEMPOTENT.0].aim = 450.0;
+    let mut stage = Harness::new(settings, vec![listing(1), listing(2)]);
     stage.report(1, 2.0, 1.0);
     stage.report(2, 2.0, 1.0);
     let mut out = BTreeMap::new();
     for _ in 0..8 {
         stage.now += 1.0;
-        let (_, actions) = stage.arrive(REPEATABLE);
+        let (_, actions) = stage.arrive(IDEMPOTENT);
         *out.entry(sent_to(&actions).unwrap().0).or_insert(0) += 1;
         stage.now += 1.0;
         // Both go on saying that they are idle, as if nothing had been sent.
@@ -160,7 +160,7 @@
 /// Guards against capacity that is mere parallelism: two servers hold as many, one works at half the pace.
 #[test]
 fn a_slower_server_gets_less() {
-    let mut stage = Stage::new(settings(), (1..=4).map(listing).collect());
+    let mut stage = Harness::new(settings(), (1..=4).map(listing).collect());
     let mut sends = BTreeMap::new();
     let mut out: Vec<(Millis, RequestId, UpstreamId, Millis)> = Vec::new();
     for _ in 0..3_000 {
@@ -169,7 +169,7 @@
         for (_, request, to, took) in out.extract_if(.., |o| o.0 <= now).collect::<Vec<_>>() {
             stage.finish(request, 0, to, Outcome::Ok, took);
         }
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         let Some(to) = sent_to(&actions) else { continue };
         *sends.entry(to.0).or_insert(0.0) += 1.0;
         let took = if to.0 <= 2 { 60.0 } else { 30.0 };
@@ -205,11 +205,11 @@
     let mut settings = settings();
     settings.cross_zone_cost = 0.1;
     let servers = (1..=6).map(|id| Listing { zone: ZoneId(id % 2), ..listing(id) }).collect();
-    let mut stage = Stage::new(settings, servers);
-    stage.settle(&[1, 2, 3, 4, 5, 6], 1.0, 0.25);
+    let mut stage = Harness::new(settings, servers);
+    stage.report_steadily(&[1, 2, 3, 4, 5, 6], 1.0, 0.25);
     let mut far = 0;
     for round in 0..60 {
-        let (_, actions) = stage.arrive(REPEATABLE);
+        let (_, actions) = stage.arrive(IDEMPOTENT);
         far += usize::from(sent_to(&actions).is_some_and(|to| to.0 % 2 == 1));
         if round == 5 {
             assert_eq!(far, 0, "near servers had room");
@@ -222,7 +222,7 @@
 /// a high utilisation, and their ratio would call the server tiny.
 #[test]
 fn capacity_is_a_ratio_of_means() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
     for _ in 0..60 {
         stage.now += 50.0;
         stage.report(1, 6.0, 0.75);
@@ -232,7 +232,7 @@
     stage.report(1, 1.0, 0.89);
     stage.report(1, 4.0, 0.75);
     stage.report(2, 6.0, 0.75);
-    let (_, actions) = stage.arrive(REPEATABLE);
+    let (_, actions) = stage.arrive(IDEMPOTENT);
     assert_eq!(sent_to(&actions), Some(UpstreamId(1)), "about as large still, and less in flight");
 }
 
@@ -241,13 +241,13 @@
 #[test]
 fn late_reports_are_not_followed() {
     let mut settings = settings();
-    settings.classes[REPEATABLE.0].aim = 450.0;
-    let mut stage = Stage::new(settings, vec![listing(1), listing(2), listing(3)]);
-    stage.settle(&[1, 2, 3], 4.0, 0.85);
+    settings.classes[IDEMPOTENT.0].aim = 450.0;
+    let mut stage = Harness::new(settings, vec![listing(1), listing(2), listing(3)]);
+    stage.report_steadily(&[1, 2, 3], 4.0, 0.85);
     let mut sends = BTreeMap::new();
     for round in 0..400 {
         stage.now += 10.0;
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         let Some(to) = sent_to(&actions) else { continue };
         if round >= 200 {
             *sends.entry(to.0).or_insert(0) += 1;
@@ -270,10 +270,10 @@
 /// would call every server huge, and all sidecars would pile on.
 #[test]
 fn the_first_reports_do_not_tell_capacity() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
     stage.report(1, 12.0, 0.12);
     stage.report(2, 6.0, 0.4);
-    let (_, actions) = stage.arrive(REPEATABLE);
+    let (_, actions) = stage.arrive(IDEMPOTENT);
     assert_eq!(sent_to(&actions), Some(UpstreamId(2)), "fewer in flight, though its ratio is the smaller");
 }
 
@@ -282,13 +282,13 @@
 #[test]
 fn many_in_flight_at_a_low_utilisation_are_no_queue() {
     for (in_flight, utilisation) in [(10.0, 0.05), (10.0, 0.2), (40.0, 0.3)] {
-        let mut stage = Stage::new(settings(), (1..=4).map(listing).collect());
+        let mut stage = Harness::new(settings(), (1..=4).map(listing).collect());
         for round in 0..400 {
             if round % 10 == 0 {
                 stage.now += 50.0;
                 (1..=4).for_each(|id| stage.report(id, in_flight, utilisation));
             }
-            let (request, actions) = stage.arrive(REPEATABLE);
+            let (request, actions) = stage.arrive(IDEMPOTENT);
             let to = sent_to(&actions).unwrap_or_else(|| panic!("{round} refused at {utilisation}"));
             stage.finish(request, 0, to, Outcome::Ok, 20.0);
         }
@@ -300,21 +300,21 @@
 #[test]
 fn a_server_that_holds_many_while_idle_is_not_taken_for_the_small_one_it_was() {
     let ids = [1, 2];
-    let mut stage = Stage::new(settings(), ids.map(listing).to_vec());
-    stage.settle(&ids, 1.0, 0.25);
+    let mut stage = Harness::new(settings(), ids.map(listing).to_vec());
+    stage.report_steadily(&ids, 1.0, 0.25);
     ids.into_iter().for_each(|id| stage.report(id, 40.0, 0.05));
-    assert!(refused(&stage.arrive(REPEATABLE).1), "40 in flight of a server that held 4 are a queue");
-    stage.settle(&ids, 40.0, 0.05);
-    assert!(sent_to(&stage.arrive(REPEATABLE).1).is_some(), "unless it goes on so");
+    assert!(refused(&stage.arrive(IDEMPOTENT).1), "40 in flight of a server that held 4 are a queue");
+    stage.report_steadily(&ids, 40.0, 0.05);
+    assert!(sent_to(&stage.arrive(IDEMPOTENT).1).is_some(), "unless it goes on so");
 }
 
 /// Probes that take so long, of servers that serve in 0.3 ms.
-fn fast_servers(probe_takes: Millis) -> Stage {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 1.0, 0.3);
+fn fast_servers(probe_takes: Millis) -> Harness {
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
+    stage.report_steadily(&[1, 2], 1.0, 0.3);
     for _ in 0..600 {
         stage.now += 1.0;
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         let begun = stage.now;
         for action in &actions {
             if let Action::Probe(id) = action {
@@ -337,7 +337,7 @@
     stage.now += 500.0;
     let event = Event::RequestArrived {
         request: RequestId(9_999),
-        class: REPEATABLE,
+        class: IDEMPOTENT,
         tenant: TenantId(0),
         time_left: 500.0,
     };
@@ -355,7 +355,7 @@
         stage.now += age;
         let request = RequestId(10_000 + age as u64);
         let event =
-            Event::RequestArrived { request, class: REPEATABLE, tenant: TenantId(0), time_left: 500.0 };
+            Event::RequestArrived { request, class: IDEMPOTENT, tenant: TenantId(0), time_left: 500.0 };
         let actions = stage.event(event);
         let to = sent_to(&actions).unwrap_or_else(|| panic!("held, with reports {age} ms old"));
         stage.finish(request, 0, to, Outcome::Ok, 0.3);
@@ -365,13 +365,13 @@
 /// Guards against waiting out a share of the aim for a probe that is lost: others took a millisecond.
 #[test]
 fn a_wait_is_no_longer_than_probes_take_of_late() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 2.0, 0.5);
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
+    stage.report_steadily(&[1, 2], 2.0, 0.5);
     for round in 0..60 {
         stage.now += 200.0;
         let request = RequestId(100 + round);
         let event =
-            Event::RequestArrived { request, class: REPEATABLE, tenant: TenantId(0), time_left: 500.0 };
+            Event::RequestArrived { request, class: IDEMPOTENT, tenant: TenantId(0), time_left: 500.0 };
         let actions = stage.event(event);
         let held_until = actions.iter().find_map(|action| match action {
             Action::SetTimer { at, .. } => Some(*at),
@@ -398,12 +398,12 @@
 /// tell the next one that there is room again.
 #[test]
 fn a_refusal_leaves_something_to_learn_from() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 1.0, 0.5);
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
+    stage.report_steadily(&[1, 2], 1.0, 0.5);
     [1, 2].into_iter().for_each(|id| stage.report(id, 60.0, 1.0));
     stage.now += 300.0;
     let (request, tenant) = (RequestId(9), TenantId(0));
-    let actions = stage.event(Event::RequestArrived { request, class: REPEATABLE, tenant, time_left: 40.0 });
+    let actions = stage.event(Event::RequestArrived { request, class: IDEMPOTENT, tenant, time_left: 40.0 });
     assert!(refused(&actions));
     assert!(actions.iter().any(|action| matches!(action, Action::Probe(_))), "{actions:?}");
 }
@@ -415,15 +415,15 @@
     let kind_of = |id: u64| KindId(id % 2);
     let sends_to_unheard = |kind: KindId| {
         let servers = (1..=12).map(|id| Listing { kind: kind_of(id), ..listing(id) }).collect();
-        let mut stage = Stage::new(settings(), servers);
+        let mut stage = Harness::new(settings(), servers);
         // Of the servers heard from, the odd ones hold four times as much at the same utilisation.
-        stage.settle(&[1, 3], 4.0, 0.5);
-        stage.settle(&[2, 4], 1.0, 0.5);
+        stage.report_steadily(&[1, 3], 4.0, 0.5);
+        stage.report_steadily(&[2, 4], 1.0, 0.5);
         stage.now += 30_000.0;
         let mut sends = 0;
         for _ in 0..400 {
             stage.now += 500.0;
-            let (request, actions) = stage.arrive(REPEATABLE);
+            let (request, actions) = stage.arrive(IDEMPOTENT);
             let to = sent_to(&actions).expect("there is room");
             sends += u32::from(to.0 > 4 && kind_of(to.0) == kind);
             stage.finish(request, 0, to, Outcome::Ok, 20.0);
@@ -438,28 +438,32 @@
 /// there at once. A pair without a recent reading is asked first, and the request goes to the less used of the two.
 #[test]
 fn a_pair_not_heard_from_of_late_is_asked_first() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    stage.settle(&[1, 2], 2.0, 0.5);
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
+    stage.report_steadily(&[1, 2], 2.0, 0.5);
     stage.now += 5_000.0;
     let request = RequestId(70);
-    let arrival = Event::RequestArrived { request, class: REPEATABLE, tenant: TenantId(0), time_left: 500.0 };
+    let arrival = Event::RequestArrived { request, class: IDEMPOTENT, tenant: TenantId(0), time_left: 500.0 };
     let actions = stage.event(arrival);
     assert_eq!(sent_to(&actions), None, "held");
     for id in [1, 2] {
         assert!(actions.contains(&Action::Probe(UpstreamId(id))));
     }
     stage.now += 2.0;
-    assert_eq!(sent_to(&stage.probed(1, 6.0, 0.5)), None, "one of two has answered");
-    assert_eq!(sent_to(&stage.probed(2, 1.0, 0.5)), Some(UpstreamId(2)));
+    assert_eq!(sent_to(&stage.answer_probe(1, 6.0, 0.5)), None, "one of two has answered");
+    assert_eq!(sent_to(&stage.answer_probe(2, 1.0, 0.5)), Some(UpstreamId(2)));
     assert!(stage.event(Event::TimerFired(70 >> 1)).is_empty(), "its timer finds it gone");
 }
 
 /// Guards against losing a held request: probes may go unanswered.
 #[test]
 fn a_held_request_does_not_wait_for_ever() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-    let event =
-        Event::RequestArrived { request: RequestId(9), class: ONCE, tenant: TenantId(0), time_left: 500.0 };
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
+    let event = Event::RequestArrived {
+        request: RequestId(9),
+        class: NON_IDEMPOTENT,
+        tenant: TenantId(0),
+        time_left: 500.0,
+    };
     let mut actions = stage.event(event);
     let mut held = 0;
     while let Some(Action::SetTimer { at, token }) = actions.last().cloned() {
@@ -479,10 +483,10 @@
 #[test]
 fn little_time_is_no_reason_to_refuse_where_no_queue_stands() {
     let place = |in_flight: f64| {
-        let mut stage = Stage::new(settings(), vec![listing(1), listing(2)]);
-        stage.settle(&[1, 2], in_flight, in_flight / 1.4 * 0.8);
+        let mut stage = Harness::new(settings(), vec![listing(1), listing(2)]);
+        stage.report_steadily(&[1, 2], in_flight, in_flight / 1.4 * 0.8);
         let (request, tenant) = (RequestId(9), TenantId(0));
-        stage.event(Event::RequestArrived { request, class: REPEATABLE, tenant, time_left: 40.0 })
+        stage.event(Event::RequestArrived { request, class: IDEMPOTENT, tenant, time_left: 40.0 })
     };
     assert!(sent_to(&place(1.0)).is_some());
     assert!(refused(&place(3.0)), "behind a queue it would be late");
@@ -493,11 +497,11 @@
     let probes = |fee: f64| {
         let mut settings = settings();
         settings.probe_cost = fee;
-        let mut stage = Stage::new(settings, (1..=20).map(listing).collect());
+        let mut stage = Harness::new(settings, (1..=20).map(listing).collect());
         let (mut probes, mut refused) = (0, 0);
         for _ in 0..400 {
             stage.now += 400.0;
-            let (request, actions) = stage.arrive(REPEATABLE);
+            let (request, actions) = stage.arrive(IDEMPOTENT);
             let asked: Vec<UpstreamId> = actions
                 .iter()
                 .filter_map(|action| match action {
--- a/crates/decide/tests/rules.rs
+++ b/crates/decide/tests/rules.rs
@@ -12,7 +12,7 @@
 
 #[test]
 fn no_server_is_answered_at_once() {
-    let mut stage = Stage::new(settings(), vec![]);
+    let mut stage = Harness::new(settings(), vec![]);
     for class in 0..5 {
         let (_, actions) = stage.arrive(ClassId(class));
         assert!(refused(&actions), "nothing ran, so it is refused");
@@ -21,22 +21,22 @@
 
 #[test]
 fn one_server_is_used() {
-    let mut stage = Stage::new(settings(), vec![listing(1)]);
-    let (_, actions) = stage.arrive(REPEATABLE);
+    let mut stage = Harness::new(settings(), vec![listing(1)]);
+    let (_, actions) = stage.arrive(IDEMPOTENT);
     assert_eq!(sent_to(&actions), Some(UpstreamId(1)));
 }
 
 #[test]
 fn unknown_class_is_refused() {
-    let mut stage = Stage::new(settings(), cells());
+    let mut stage = Harness::new(settings(), cells());
     let (_, actions) = stage.arrive(ClassId(99));
     assert!(refused(&actions));
 }
 
 #[test]
 fn nothing_goes_out_for_an_ended_request() {
-    let mut stage = Stage::new(settings(), cells());
-    let (request, actions) = stage.arrive(REPEATABLE);
+    let mut stage = Harness::new(settings(), cells());
+    let (request, actions) = stage.arrive(IDEMPOTENT);
     let to = sent_to(&actions).unwrap();
     let actions = stage.event(Event::ClientDisconnected(request));
     assert_eq!(actions, vec![Action::Cancel { request, attempt: AttemptNo(0) }]);
@@ -47,8 +47,8 @@
 
 #[test]
 fn a_time_out_at_the_deadline_fails_a_request_that_may_run_only_once() {
-    let mut stage = Stage::new(settings(), cells());
-    let (request, actions) = stage.arrive(ONCE);
+    let mut stage = Harness::new(settings(), cells());
+    let (request, actions) = stage.arrive(NON_IDEMPOTENT);
     let to = sent_to(&actions).unwrap();
     stage.now += 500.0;
     let actions = stage.finish(request, 0, to, Outcome::TimedOut, 500.0);
@@ -58,8 +58,8 @@
 #[test]
 fn once_goes_on_only_after_proof_that_it_never_ran() {
     for outcome in [Outcome::Error, Outcome::TimedOut, Outcome::Reset, Outcome::Cancelled] {
-        let mut stage = Stage::new(settings(), cells());
-        let (request, actions) = stage.arrive(ONCE);
+        let mut stage = Harness::new(settings(), cells());
+        let (request, actions) = stage.arrive(NON_IDEMPOTENT);
         let to = sent_to(&actions).unwrap();
         stage.now += 10.0;
         let actions = stage.finish(request, 0, to, outcome, 10.0);
@@ -67,8 +67,8 @@
         assert!(failed(&actions), "{outcome:?} may have run: a refusal would promise too much");
     }
     for outcome in [Outcome::Full, Outcome::Unreachable] {
-        let mut stage = Stage::new(settings(), cells());
-        let (request, actions) = stage.arrive(ONCE);
+        let mut stage = Harness::new(settings(), cells());
+        let (request, actions) = stage.arrive(NON_IDEMPOTENT);
         let to = sent_to(&actions).unwrap();
         stage.now += 10.0;
         let actions = stage.finish(request, 0, to, outcome, 10.0);
@@ -79,9 +79,9 @@
 #[test]
 fn a_keyed_request_stays_in_its_group() {
     for seed in 0..40 {
-        for (class, reach) in [(BY_CELL, 10), (BY_ZONE, 20)] {
-            let mut stage = Stage::new(settings(), cells());
-            (0..seed).for_each(|_| drop(stage.arrive(REPEATABLE)));
+        for (class, reach) in [(KEYED_BY_CELL, 10), (KEYED_BY_ZONE, 20)] {
+            let mut stage = Harness::new(settings(), cells());
+            (0..seed).for_each(|_| drop(stage.arrive(IDEMPOTENT)));
             let (request, actions) = stage.arrive(class);
             let Some(first) = sent_to(&actions) else { continue };
             stage.now += 20.0;
@@ -98,9 +98,9 @@
 fn a_keyed_request_is_not_resent_after_its_window() {
     // The window counts from the first send that may have run, not from the latest.
     let mut settings = settings();
-    settings.classes[BY_CELL.0].aim = 5_000.0;
-    let mut stage = Stage::new(settings, cells());
-    stage.event(arrival(9_000, BY_CELL, 5_000.0));
+    settings.classes[KEYED_BY_CELL.0].aim = 5_000.0;
+    let mut stage = Harness::new(settings, cells());
+    stage.event(arrival(9_000, KEYED_BY_CELL, 5_000.0));
     (0..2).for_each(|_| drop(stage.event(Event::TimerFired(9_000 >> 1))));
     let request = RequestId(9_000);
     let mut attempt = 0;
@@ -130,8 +130,8 @@
 fn attempts_have_a_maximum() {
     let mut settings = settings();
     settings.limits.max_attempts = 2;
-    let mut stage = Stage::new(settings, cells());
-    let (request, actions) = stage.arrive(REPEATABLE);
+    let mut stage = Harness::new(settings, cells());
+    let (request, actions) = stage.arrive(IDEMPOTENT);
     let first = sent_to(&actions).unwrap();
     let actions = stage.finish(request, 0, first, Outcome::Full, 1.0);
     let second = sent_to(&actions).expect("a second attempt");
@@ -142,11 +142,11 @@
 
 #[test]
 fn draining_and_missing_servers_get_nothing_new() {
-    let mut stage = Stage::new(settings(), vec![listing(1), listing(2), listing(3)]);
+    let mut stage = Harness::new(settings(), vec![listing(1), listing(2), listing(3)]);
     let drain = Listing { lifecycle: Lifecycle::Draining, ..listing(1) };
     stage.event(Event::ListReceived(ListUpdate::Changed(vec![drain])));
     for _ in 0..30 {
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         let to = sent_to(&actions).unwrap();
         assert_ne!(to, UpstreamId(1));
         stage.now += 5.0;
@@ -154,7 +154,7 @@
     }
     stage.event(Event::ListReceived(ListUpdate::Complete(vec![listing(3)])));
     for _ in 0..30 {
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         assert_eq!(sent_to(&actions), Some(UpstreamId(3)), "2 is missing from the complete list");
         stage.now += 5.0;
         stage.finish(request, 0, UpstreamId(3), Outcome::Ok, 5.0);
@@ -163,16 +163,16 @@
 
 #[test]
 fn unavailable_keeps_the_list() {
-    let mut stage = Stage::new(settings(), vec![listing(1)]);
+    let mut stage = Harness::new(settings(), vec![listing(1)]);
     stage.event(Event::ListReceived(ListUpdate::Unavailable));
-    assert_eq!(sent_to(&stage.arrive(REPEATABLE).1), Some(UpstreamId(1)));
+    assert_eq!(sent_to(&stage.arrive(IDEMPOTENT).1), Some(UpstreamId(1)));
 }
 
 #[test]
 fn a_subscription_is_asked_for_after_a_jittered_wait_and_again_when_it_fails() {
     let mut settings = settings();
     settings.discovery = Discovery::Subscribed { must_ask_in: 10_000.0 };
-    let mut stage = Stage::new(settings, vec![]);
+    let mut stage = Harness::new(settings, vec![]);
     let mut waits = Vec::new();
     let mut actions = stage.event(Event::ListReceived(ListUpdate::Restored(vec![listing(1)])));
     for _ in 0..12 {
@@ -211,11 +211,11 @@
         let (span, per_ms) = (3.0 * fall, 0.9 * SERVERS as f64 / WORK);
         let mut sends: Vec<(UpstreamId, Millis)> = Vec::new();
         for sidecar in 0..sidecars {
-            let mut stage = Stage::seeded(settings.clone(), servers.clone(), u64::from(sidecar));
+            let mut stage = Harness::seeded(settings.clone(), servers.clone(), u64::from(sidecar));
             let gap = f64::from(sidecars) / per_ms;
             stage.now = start + gap * f64::from(sidecar) / f64::from(sidecars);
             while stage.now < start + span {
-                let (request, actions) = stage.arrive(ONCE);
+                let (request, actions) = stage.arrive(NON_IDEMPOTENT);
                 if let Some(to) = sent_to(&actions) {
                     sends.push((to, stage.now));
                     stage.finish(request, 0, to, Outcome::Ok, WORK);
@@ -257,11 +257,11 @@
             let server = Listing { started: Some(start), ..listing(1) };
             let mut sends: Vec<Millis> = Vec::new();
             for sidecar in 0..sidecars {
-                let mut stage = Stage::seeded(settings.clone(), vec![server.clone()], u64::from(sidecar));
+                let mut stage = Harness::seeded(settings.clone(), vec![server.clone()], u64::from(sidecar));
                 stage.event(Event::SidecarCountChanged(sidecars));
                 let gap = f64::from(sidecars) * WORK / overload;
                 while stage.now < start + 3.0 * fall {
-                    let (request, actions) = stage.arrive(ONCE);
+                    let (request, actions) = stage.arrive(NON_IDEMPOTENT);
                     if sent_to(&actions).is_some() {
                         sends.push(stage.now);
                         // Cold, it takes longer; alone, for there are few.
@@ -287,11 +287,11 @@
 
 #[test]
 fn a_restart_under_the_same_id_is_cold_again() {
-    let mut stage = Stage::new(settings(), vec![listing(1)]);
-    let accepted = |stage: &mut Stage| {
+    let mut stage = Harness::new(settings(), vec![listing(1)]);
+    let accepted = |stage: &mut Harness| {
         let mut accepted = 0;
         for _ in 0..50 {
-            let (request, actions) = stage.arrive(REPEATABLE);
+            let (request, actions) = stage.arrive(IDEMPOTENT);
             accepted += u32::from(sent_to(&actions).is_some());
             stage.event(Event::ClientDisconnected(request));
             stage.finish(request, 0, UpstreamId(1), Outcome::Cancelled, 1.0);
--- a/crates/decide/tests/scale.rs
+++ b/crates/decide/tests/scale.rs
@@ -10,23 +10,23 @@
     let mut settings = settings();
     settings.cross_zone_cost = 0.03;
     let list = (0..servers).map(|id| Listing { zone: ZoneId(id % 2), ..listing(id) }).collect();
-    let mut stage = Stage::new(settings, list);
+    let mut stage = Harness::new(settings, list);
     let ids: Vec<u64> = (0..servers).collect();
-    stage.settle(&ids, 1.0, 0.25);
+    stage.report_steadily(&ids, 1.0, 0.25);
     if full {
         ids.iter().for_each(|id| stage.report(*id, 80.0, 1.0));
     }
     let mut refusals = 0.0;
-    let before = stage.balancer.looks();
+    let before = stage.balancer.servers_examined();
     for _ in 0..200 {
         // Within the same moment: reports stay fresh.
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         refusals += f64::from(u8::from(refused(&actions)));
         if let Some(to) = sent_to(&actions) {
             stage.finish(request, 0, to, Outcome::Ok, 20.0);
         }
     }
-    ((stage.balancer.looks() - before) as f64 / 200.0, refusals / 200.0)
+    ((stage.balancer.servers_examined() - before) as f64 / 200.0, refusals / 200.0)
 }
 
 #[test]
@@ -51,15 +51,15 @@
 /// Guards against cost by the whole list: one that comes or goes concerns nobody else.
 #[test]
 fn a_change_of_the_list_looks_at_nobody() {
-    let mut stage = Stage::new(settings(), (0..5_000).map(listing).collect());
-    let before = stage.balancer.looks();
+    let mut stage = Harness::new(settings(), (0..5_000).map(listing).collect());
+    let before = stage.balancer.servers_examined();
     for id in 0..200 {
         let gone = Listing { lifecycle: Lifecycle::Draining, ..listing(id) };
         stage.event(Event::ListReceived(ListUpdate::Changed(vec![gone, listing(5_000 + id)])));
     }
-    assert_eq!(stage.balancer.looks(), before);
+    assert_eq!(stage.balancer.servers_examined(), before);
     for _ in 0..400 {
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         let to = sent_to(&actions).expect("there is room");
         assert!(to.0 >= 200, "sent to one that is gone");
         stage.finish(request, 0, to, Outcome::Ok, 20.0);
--- a/crates/decide/tests/throttle.rs
+++ b/crates/decide/tests/throttle.rs
@@ -6,7 +6,7 @@
 use sagemast_decide::api::*;
 
 /// Requests at 50 a second, each of which ends so late and with this outcome; how many are sent, and how many refused.
-fn play(stage: &mut Stage, requests: usize, latency: Millis, outcome: Outcome) -> (usize, usize) {
+fn play(stage: &mut Harness, requests: usize, latency: Millis, outcome: Outcome) -> (usize, usize) {
     let mut out: Vec<(Millis, RequestId, UpstreamId)> = Vec::new();
     let (mut sent, mut refused) = (0, 0);
     for _ in 0..requests {
@@ -17,7 +17,7 @@
             stage.finish(request, 0, to, outcome, latency);
             stage.now = now;
         }
-        let (request, actions) = stage.arrive(ONCE);
+        let (request, actions) = stage.arrive(NON_IDEMPOTENT);
         match sent_to(&actions) {
             Some(to) => {
                 sent += 1;
@@ -36,10 +36,10 @@
     (sent, refused)
 }
 
-fn mute() -> Stage {
+fn mute() -> Harness {
     let mut settings = settings();
     settings.limits.probes = false;
-    Stage::new(settings, (0..40).map(listing).collect())
+    Harness::new(settings, (0..40).map(listing).collect())
 }
 
 /// Guards against a fleet that drowns servers which tell nothing: everything was accepted, and nothing was in time.
@@ -69,10 +69,10 @@
 fn who_hears_of_loads_goes_by_them() {
     let mut stage = mute();
     let ids: Vec<u64> = (0..40).collect();
-    stage.settle(&ids, 0.0, 0.1);
+    stage.report_steadily(&ids, 0.0, 0.1);
     // What the module itself makes of so many late answers is another matter; chance adds nothing to it.
     play(&mut stage, 100, 450.0, Outcome::Ok);
-    stage.settle(&ids, 0.0, 0.1);
+    stage.report_steadily(&ids, 0.0, 0.1);
     let (sent, refused) = play(&mut stage, 50, 30.0, Outcome::Ok);
     assert_eq!((sent, refused), (50, 0), "idle servers that say so are sent to at once");
 }
--- a/crates/decide/tests/upload.rs
+++ b/crates/decide/tests/upload.rs
@@ -74,7 +74,7 @@
     let mut stage = Stage::new(2);
     let uploads: Vec<RequestId> = (0..40)
         .map(|number| {
-            let (request, sent) = stage.ask(f64::from(number), ONCE);
+            let (request, sent) = stage.ask(f64::from(number), NON_IDEMPOTENT);
             assert!(sent.is_some(), "the {number}th is refused");
             stage.upload(f64::from(number), request, true);
             request
@@ -83,20 +83,20 @@
     // 20 s later they count for nothing, and no server is taken to hang.
     for number in 0..20 {
         let now = 20_000.0 + 30.0 * f64::from(number);
-        let (request, sent) = stage.ask(now, REPEATABLE);
+        let (request, sent) = stage.ask(now, IDEMPOTENT);
         let (upstream, _) = sent.expect("there is room");
         stage.end(now + 20.0, request, upstream, Outcome::Ok);
     }
     // All end their bodies at once: now they are load.
     uploads.into_iter().for_each(|request| stage.upload(21_000.0, request, false));
-    let refused = (0..10).filter(|_| stage.ask(21_001.0, REPEATABLE).1.is_none()).count();
+    let refused = (0..10).filter(|_| stage.ask(21_001.0, IDEMPOTENT).1.is_none()).count();
     assert_eq!(refused, 10, "forty are in hand");
 }
 
 #[test]
 fn a_requests_time_counts_from_its_last_byte() {
     let mut stage = Stage::new(3);
-    let (request, sent) = stage.ask(0.0, REPEATABLE);
+    let (request, sent) = stage.ask(0.0, IDEMPOTENT);
     stage.upload(0.0, request, true);
     stage.upload(5_000.0, request, false);
     // Turned away unseen: there is time for another attempt, and it may go anywhere.
@@ -113,7 +113,7 @@
     let mut stage = Stage::new(1);
     for number in 0..200 {
         let now = 50.0 * f64::from(number);
-        let (request, sent) = stage.ask(now, ONCE);
+        let (request, sent) = stage.ask(now, NON_IDEMPOTENT);
         let (upstream, _) = sent.expect("there is room for one");
         stage.upload(now, request, true);
         stage.upload(now + 1.0, request, true);
@@ -125,7 +125,7 @@
 #[test]
 fn a_server_that_is_gone_when_the_last_byte_comes_is_not_revived() {
     let mut stage = Stage::new(2);
-    let (request, sent) = stage.ask(0.0, ONCE);
+    let (request, sent) = stage.ask(0.0, NON_IDEMPOTENT);
     let (upstream, _) = sent.expect("sent");
     stage.upload(0.0, request, true);
     let gone = Listing { lifecycle: Lifecycle::Draining, ..listing(upstream.0) };
@@ -134,7 +134,7 @@
     let actions = stage.end(30.0, request, upstream, Outcome::Reset);
     assert!(matches!(actions[..], [Action::Fail(_)]), "it may have run: {actions:?}");
     for _ in 0..20 {
-        if let (request, Some((to, _))) = stage.ask(40.0, REPEATABLE) {
+        if let (request, Some((to, _))) = stage.ask(40.0, IDEMPOTENT) {
             assert_ne!(to, upstream);
             stage.end(50.0, request, to, Outcome::Ok);
         }
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -127,7 +127,7 @@
     }
 
     fn own_faults(&self) -> Vec<String> {
-        let settings = self.settings.faults().into_iter();
+        let settings = self.settings.validation_errors().into_iter();
         let mut faults: Vec<String> =
             settings.map(|(key, fault)| format!("settings.{key}: {fault}")).collect();
         if self.console.is_some_and(|console| console == self.listen && console.port() != 0) {
@@ -141,7 +141,7 @@
     pub fn identified(&self) -> SettingsObject {
         let settings = self.settings.clone();
         let by_name = !settings.is_ranked() && !self.name.is_empty();
-        if by_name { settings.named(&self.name) } else { settings }
+        if by_name { settings.with_identity_from_name(&self.name) } else { settings }
     }
 
     /// The seed as a number; one that is not in hexadecimal digits still makes a seed of its own.
--- a/crates/sidecar/src/driver.rs
+++ b/crates/sidecar/src/driver.rs
@@ -423,7 +423,7 @@
             self.act(action);
         }
         self.actions = actions;
-        let skipped = self.module.avoided() + self.draining;
+        let skipped = self.module.ejected_count() + self.draining;
         self.metrics.skipped.store(skipped as u64, Ordering::Relaxed);
     }
 
--- a/crates/sidecar/src/servers.rs
+++ b/crates/sidecar/src/servers.rs
@@ -117,9 +117,9 @@
         };
         let listing = Listing {
             upstream: id,
-            zone: ZoneId(settings.zone_named(&host.site)),
+            zone: ZoneId(settings.zone_id(&host.site)),
             cell: CellId(host.block),
-            kind: KindId(settings.kind_named(&host.class)),
+            kind: KindId(settings.kind_id(&host.class)),
             lifecycle,
             weight: host.share,
             started,
