--- a/crates/cli/src/sidecar.rs
+++ b/crates/cli/src/sidecar.rs
@@ -12,14 +12,14 @@
 use sagemast_sidecar::budget::Budgets;
 use sagemast_sidecar::config::Config;
 use sagemast_sidecar::console::Console;
-use sagemast_sidecar::cross_zone_budget::Crossing;
-use sagemast_sidecar::driver::Told;
+use sagemast_sidecar::cross_zone_budget::CrossZoneBudget;
+use sagemast_sidecar::driver::InstanceEvent;
 use sagemast_sidecar::front;
-use sagemast_sidecar::handover::{self, Elder, Hold, Place};
+use sagemast_sidecar::handover::{self, HandoverDirectory, Predecessor, SuccessionHandle};
 use sagemast_sidecar::inherited_listener;
-use sagemast_sidecar::instance::{Control, Drain, Ended, Instance, Parts};
+use sagemast_sidecar::instance::{Control, Drain, ExitReason, Instance, InstanceConfig};
 use sagemast_sidecar::log::Log;
-use sagemast_sidecar::messages::Outlet;
+use sagemast_sidecar::messages::EventSink;
 use sagemast_sidecar::resource_limits::ResourceLimits;
 use sagemast_sidecar::watch_liveness;
 
@@ -62,22 +62,22 @@
     // own waits there: to send by the list that it was started with would be to send to what has begun to drain since.
     let (ready, shared) = (Arc::new(Notify::new()), inherited.is_some());
     let told_ready = ready.clone();
-    let listening = Outlet::to(move |told| {
-        if told == Told::Ready {
+    let listening = EventSink::to(move |told| {
+        if told == InstanceEvent::Ready {
             told_ready.notify_one();
         }
         true
     });
-    let place = if shared { Place::from_env() } else { None };
+    let place = if shared { HandoverDirectory::from_env() } else { None };
     let mut elder = match &place {
-        Some(place) => Elder::meet(place, log).await,
+        Some(place) => Predecessor::meet(place, log).await,
         None => None,
     };
     let sidecars = config.settings.settings().sidecars;
     let ResourceLimits { connections, transfers } = config.resource_limits()?;
     let held = Budgets::with(connections, transfers);
     log.line(format!("listening on {address}"));
-    let (instance, control) = Instance::new(Parts {
+    let (instance, control) = Instance::new(InstanceConfig {
         settings: config.identified(),
         seed: config.seed(),
         discovery: config.discovery,
@@ -111,12 +111,12 @@
                 opens = None;
                 control.open();
                 log.line("serving");
-                succession.iter().for_each(Hold::serves);
+                succession.iter().for_each(SuccessionHandle::serves);
             }
             _ = hangup.recv() => reload(address, &control, crossing.as_ref(), log),
             // Without it nothing is answered: better to be started anew.
             ended = &mut running => match ended {
-                Ok(Ended::Failed(reason)) => bail!("{reason}"),
+                Ok(ExitReason::Failed(reason)) => bail!("{reason}"),
                 ended => bail!("the instance has ended: {ended:?}"),
             },
         }
@@ -124,30 +124,32 @@
     told(crossing.as_ref(), log);
     let at_most = control.longest_deadline() + LAST_MARGIN;
     // Without a successor nobody else accepts those who wait.
-    control.drain(match succession.as_ref().is_some_and(Hold::is_succeeded) {
+    control.drain(match succession.as_ref().is_some_and(SuccessionHandle::is_succeeded) {
         true => Drain::HandOver { linger: LAST_CALL, at_most },
         false => Drain::Close { linger: STILL_COMING, at_most },
     });
     match running.await.context("the instance has failed")? {
-        Ended::Drained => Ok(()),
-        Ended::Overdue => {
+        ExitReason::Drained => Ok(()),
+        ExitReason::Overdue => {
             log.line("some clients have not let go in time");
             Ok(())
         }
-        Ended::Failed(reason) => bail!("{reason}"),
+        ExitReason::Failed(reason) => bail!("{reason}"),
     }
 }
 
 /// Reads the configuration again. One that is not sound changes nothing.
-fn reload(listening: std::net::SocketAddr, control: &Control, crossing: Option<&Crossing>, log: &Log) {
+fn reload(listening: std::net::SocketAddr, control: &Control, crossing: Option<&CrossZoneBudget>, log: &Log) {
     told(crossing, log);
     let read = Config::from_env().and_then(|config| Ok((budgets(&config)?, config)));
     match read {
         Ok((limits, config)) => {
             match (crossing, limits) {
                 // Names, and so counts, follow from settings that take a restart.
-                (Some(Crossing { counts, .. }), Some(new)) if *counts.names() == *new.counts.names() => {
-                    control.set_crossing(Some(Crossing { counts: counts.clone(), ..new }));
+                (Some(CrossZoneBudget { counts, .. }), Some(new))
+                    if *counts.names() == *new.counts.names() =>
+                {
+                    control.set_crossing(Some(CrossZoneBudget { counts: counts.clone(), ..new }));
                 }
                 (None, None) => {}
                 _ => log.line("SIGHUP: other zones or classes for SAGEMAST_POOLS take a restart"),
@@ -163,11 +165,11 @@
 }
 
 /// Budgets for traffic between zones, from the file that SAGEMAST_POOLS names, if it is set.
-fn budgets(config: &Config) -> Result<Option<Crossing>> {
+fn budgets(config: &Config) -> Result<Option<CrossZoneBudget>> {
     let Some(path) = std::env::var_os("SAGEMAST_POOLS") else { return Ok(None) };
     let shown = path.to_string_lossy();
     let text = std::fs::read_to_string(&path).with_context(|| format!("cannot read {shown}"))?;
-    let read = File::read(&text).and_then(|file| Crossing::of(&file, &config.settings));
+    let read = File::read(&text).and_then(|file| CrossZoneBudget::of(&file, &config.settings));
     match read {
         Ok(crossing) => Ok(Some(crossing)),
         Err(faults) => {
@@ -178,7 +180,7 @@
 }
 
 /// Logs what has crossed so far, by class.
-fn told(crossing: Option<&Crossing>, log: &Log) {
+fn told(crossing: Option<&CrossZoneBudget>, log: &Log) {
     let Some(crossing) = crossing else { return };
     let totals = crossing.counts.totals();
     for row in totals.rows.iter().filter(|row| row.crosses()) {
--- a/crates/daemon/src/control.rs
+++ b/crates/daemon/src/control.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use sagemast_sidecar::line_buffer::Lines;
+use sagemast_sidecar::line_buffer::LineBuffer;
 use sagemast_sidecar::log::Log;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{UnixListener, UnixStream};
@@ -135,7 +135,7 @@
     if stream.peer_cred().is_ok_and(|peer| peer.uid() != own && peer.uid() != 0) {
         return;
     }
-    let mut lines = Lines::new(REQUEST_BYTES);
+    let mut lines = LineBuffer::new(REQUEST_BYTES);
     let mut nonsense = 0;
     loop {
         let silent_at = Instant::now() + SILENCE;
--- a/crates/daemon/src/crossings.rs
+++ b/crates/daemon/src/crossings.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use sagemast_pools::counts::{Counts, Totals};
-use sagemast_sidecar::cross_zone_budget::Crossing;
+use sagemast_sidecar::cross_zone_budget::CrossZoneBudget;
 use tokio::time::Instant;
 
 use crate::config::InstanceSpec;
@@ -37,18 +37,18 @@
 
     /// What an instance that starts or changes goes by. Its counts go on from those of the generation before, or from
     /// what was kept.
-    pub fn of(&mut self, name: &Name, spec: &InstanceSpec, kept: &Kept) -> Option<Crossing> {
+    pub fn of(&mut self, name: &Name, spec: &InstanceSpec, kept: &Kept) -> Option<CrossZoneBudget> {
         let limits = spec.crossing.as_ref()?;
         let before = self.by_name.get(name);
         if let Some(same) = before.filter(|before| *before.counts.names() == limits.names) {
-            return Some(Crossing { rules: limits.rules.clone(), counts: same.counts.clone() });
+            return Some(CrossZoneBudget { rules: limits.rules.clone(), counts: same.counts.clone() });
         }
         let before = before.map(|before| before.counts.totals()).or_else(|| kept.crossing(name));
         let counts = Arc::new(Counts::new(limits.names.clone()));
         let before = before.unwrap_or_default();
         counts.resume(&before);
         self.by_name.insert(name.clone(), Table { counts: counts.clone(), written: before });
-        Some(Crossing { rules: limits.rules.clone(), counts })
+        Some(CrossZoneBudget { rules: limits.rules.clone(), counts })
     }
 
     /// What an instance has counted, if it counts.
--- a/crates/daemon/src/handover.rs
+++ b/crates/daemon/src/handover.rs
@@ -32,7 +32,7 @@
     RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer, SendAncillaryMessage,
     SendFlags, recvmsg, sendmsg,
 };
-use sagemast_sidecar::line_buffer::Lines;
+use sagemast_sidecar::line_buffer::LineBuffer;
 use sagemast_udp::Legacy;
 use serde::{Deserialize, Serialize};
 use tokio::net::{TcpListener, UnixListener};
@@ -143,13 +143,13 @@
 /// One end of the pair.
 struct Pair {
     stream: UnixStream,
-    lines: Lines,
+    lines: LineBuffer,
     received: VecDeque<OwnedFd>,
 }
 
 impl Pair {
     fn new(stream: UnixStream) -> Pair {
-        Pair { stream, lines: Lines::new(LINE_BYTES), received: VecDeque::new() }
+        Pair { stream, lines: LineBuffer::new(LINE_BYTES), received: VecDeque::new() }
     }
 
     fn say(&self, what: &Said, descriptors: &[BorrowedFd<'_>]) -> io::Result<()> {
--- a/crates/daemon/src/supervisor.rs
+++ b/crates/daemon/src/supervisor.rs
@@ -9,11 +9,13 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use sagemast_sidecar::driver::Told;
+use sagemast_sidecar::driver::InstanceEvent;
 use sagemast_sidecar::hosts::HostList;
-use sagemast_sidecar::instance::{Control, Drain, Ended, Instance, Parts, StandIn, StandInControl};
+use sagemast_sidecar::instance::{
+    Control, Drain, ExitReason, Instance, InstanceConfig, StandIn, StandInControl,
+};
 use sagemast_sidecar::log::Log;
-use sagemast_sidecar::messages::Outlet;
+use sagemast_sidecar::messages::EventSink;
 use sagemast_udp::Legacy;
 use tokio::net::UnixListener;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -208,8 +210,8 @@
 /// Something that the supervisor is told. Each is told once by something whose number is bounded.
 pub(crate) enum Note {
     Started(Generation),
-    Told(Generation, Told),
-    Ended(Generation, Ended),
+    Told(Generation, InstanceEvent),
+    Ended(Generation, ExitReason),
     /// Its list of upstreams, unless it has ended meanwhile.
     List(Generation, Option<HostList>),
     /// A stand-in has left this place.
@@ -391,9 +393,9 @@
     fn noted(&mut self, note: Note) -> Result<(), String> {
         match note {
             Note::Started(generation) => self.feed(Event::Started(generation)),
-            Note::Told(generation, Told::Ready) => self.feed(Event::Ready(generation)),
-            Note::Told(generation, Told::Listed) => self.keep_list(generation),
-            Note::Told(generation, Told::LetGo) => {
+            Note::Told(generation, InstanceEvent::Ready) => self.feed(Event::Ready(generation)),
+            Note::Told(generation, InstanceEvent::Listed) => self.keep_list(generation),
+            Note::Told(generation, InstanceEvent::ListenerReleased) => {
                 if let Some(life) = self.lives.get_mut(&generation).filter(|life| life.listens) {
                     life.listens = false;
                     self.listeners.give_back(&life.place);
@@ -405,9 +407,9 @@
                 self.feed(Event::Ended(
                     generation,
                     match ended {
-                        Ended::Drained => End::Drained,
-                        Ended::Overdue => End::Overdue,
-                        Ended::Failed(reason) => End::Failed(reason),
+                        ExitReason::Drained => End::Drained,
+                        ExitReason::Overdue => End::Overdue,
+                        ExitReason::Failed(reason) => End::Failed(reason),
                     },
                 ));
                 // Only now: whoever takes its place listens on the same socket.
@@ -529,7 +531,7 @@
         let log = Log::instance(&name);
         let notes = self.notes.clone();
         let known = self.kept.list(&name);
-        let (instance, control) = Instance::new(Parts {
+        let (instance, control) = Instance::new(InstanceConfig {
             seed: spec.seed.unwrap_or_else(random_seed),
             discovery: spec.discovery,
             known,
@@ -538,7 +540,7 @@
             budgets: self.grants.of(&name, &spec),
             crossing: self.crossings.of(&name, &spec, &self.kept),
             log: log.clone(),
-            listening: Outlet::to(move |told| notes.send(Note::Told(generation, told)).is_ok()),
+            listening: EventSink::to(move |told| notes.send(Note::Told(generation, told)).is_ok()),
             standby,
             // Instances come and go, so that numbers among them would change: names do not.
             settings: (*spec.settings).clone().named(&name),
@@ -736,7 +738,7 @@
 }
 
 impl LastWord {
-    fn say(mut self, ended: Ended) {
+    fn say(mut self, ended: ExitReason) {
         self.said = true;
         let _ = self.notes.send(Note::Ended(self.generation, ended));
     }
@@ -745,7 +747,7 @@
 impl Drop for LastWord {
     fn drop(&mut self) {
         if !self.said {
-            let ended = Ended::Failed("its thread has dropped it".to_owned());
+            let ended = ExitReason::Failed("its thread has dropped it".to_owned());
             let _ = self.notes.send(Note::Ended(self.generation, ended));
         }
     }
--- a/crates/model/src/policy/module.rs
+++ b/crates/model/src/policy/module.rs
@@ -6,14 +6,14 @@
 use sagemast_decide::api::*;
 use sagemast_decide::cross_zone::CrossZone;
 use sagemast_pools::counts::Totals;
-use sagemast_pools::cross_zone_budget::Plan;
+use sagemast_pools::cross_zone_budget::CrossZoneBudgets;
 
 use super::{Policy, Truth};
 
 pub struct Module(Balancer);
 
 impl Module {
-    pub fn new(settings: Settings, plan: Option<Plan>, seed: u64) -> Module {
+    pub fn new(settings: Settings, plan: Option<CrossZoneBudgets>, seed: u64) -> Module {
         let mut module = Balancer::new(settings, seed);
         module.set_cross_zone(plan.map(|plan| Box::new(plan) as Box<dyn CrossZone>));
         Module(module)
@@ -30,7 +30,7 @@
     }
 
     fn crossings(&mut self) -> Option<(Totals, usize)> {
-        let plan = (self.0.cross_zone()? as &mut dyn Any).downcast_mut::<Plan>()?;
+        let plan = (self.0.cross_zone()? as &mut dyn Any).downcast_mut::<CrossZoneBudgets>()?;
         Some((plan.counts().totals(), plan.out()))
     }
 }
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -8,7 +8,7 @@
 use sagemast_decide::api::*;
 use sagemast_decide::cross_zone::BudgetExemption;
 use sagemast_pools::counts::{Counts, Names, Totals};
-use sagemast_pools::cross_zone_budget::{Budget, Measure, Plan, Rules};
+use sagemast_pools::cross_zone_budget::{Budget, CrossZoneBudgets, Measure, Rules};
 
 use crate::clients::{Source, rush};
 use crate::day::{Cold, Day, FaultKind, KEY_WINDOW_MS};
@@ -179,7 +179,7 @@
 }
 
 /// The plan of a sidecar for what crosses zones, if the day has one.
-fn plan(day: &Day, settings: &Settings) -> Option<Plan> {
+fn plan(day: &Day, settings: &Settings) -> Option<CrossZoneBudgets> {
     let crossing = day.crossing?;
     let budget =
         |share| Budget { classes: None, to: None, measure: Measure::Share(share), burst: CROSSING_BURST };
@@ -191,7 +191,7 @@
         zones: (0..day.network.zones).map(|zone| zone.to_string()).collect(),
         home: settings.zone.0 as usize,
     };
-    Some(Plan::new(rules, Arc::new(Counts::new(names)), settings.sidecars, 0.0))
+    Some(CrossZoneBudgets::new(rules, Arc::new(Counts::new(names)), settings.sidecars, 0.0))
 }
 
 /// Makes the policy of a sidecar with these settings and this seed.
--- a/crates/pools/src/cross_zone_budget.rs
+++ b/crates/pools/src/cross_zone_budget.rs
@@ -8,7 +8,7 @@
 use sagemast_decide::cross_zone::{BudgetExemption, CrossZone, CrossZoneAttempt, CrossZoneCost};
 
 use crate::counts::{Counts, Kind, Names};
-use crate::token_bucket::Bucket;
+use crate::token_bucket::TokenBucket;
 
 /// So many budgets at most: each is looked at for every attempt.
 pub const MOST_BUDGETS: usize = 32;
@@ -79,7 +79,7 @@
 #[derive(Debug)]
 struct Purse {
     budget: Budget,
-    bucket: Bucket,
+    bucket: TokenBucket,
     /// Whether it bears on every way out of the zone.
     whole: bool,
 }
@@ -108,7 +108,7 @@
 
 /// The plan of one instance.
 #[derive(Debug)]
-pub struct Plan {
+pub struct CrossZoneBudgets {
     rules: Rules,
     purses: Vec<Purse>,
     sidecars: u32,
@@ -130,12 +130,12 @@
     }
 }
 
-impl Plan {
+impl CrossZoneBudgets {
     /// A plan whose budgets are empty: a restart makes none. What it counts goes on in these counts, whose names tell
     /// the zone that it is for.
-    pub fn new(rules: Rules, counts: Arc<Counts>, sidecars: u32, now: Millis) -> Plan {
+    pub fn new(rules: Rules, counts: Arc<Counts>, sidecars: u32, now: Millis) -> CrossZoneBudgets {
         let classes = counts.names().classes.len();
-        let mut plan = Plan {
+        let mut plan = CrossZoneBudgets {
             rules: Rules { budgets: Vec::new(), ..rules.clone() },
             purses: Vec::new(),
             sidecars,
@@ -159,7 +159,7 @@
             let kept =
                 old.iter().position(|purse| purse.budget == *budget).map(|at| old.swap_remove(at).bucket);
             let (per_ms, burst) = shape(budget, self.sidecars);
-            let bucket = kept.unwrap_or_else(|| Bucket::new(per_ms, burst, now));
+            let bucket = kept.unwrap_or_else(|| TokenBucket::new(per_ms, burst, now));
             self.purses.push(Purse { budget: budget.clone(), bucket, whole });
         }
         self.rules = rules;
@@ -194,7 +194,7 @@
     }
 }
 
-impl CrossZone for Plan {
+impl CrossZone for CrossZoneBudgets {
     fn sidecars(&mut self, now: Millis, count: u32) {
         self.sidecars = count;
         for purse in &mut self.purses {
--- a/crates/pools/src/token_bucket.rs
+++ b/crates/pools/src/token_bucket.rs
@@ -8,17 +8,17 @@
 /// Tokens that are earned in time or by the piece and spent by the piece. It never holds more than its burst, and never
 /// owes more: a long trouble must not close the border for hours after.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Bucket {
+pub struct TokenBucket {
     level: f64,
     at: Millis,
     per_ms: f64,
     burst: f64,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// An empty one: a restart makes no tokens.
-    pub fn new(per_ms: f64, burst: f64, now: Millis) -> Bucket {
-        Bucket { level: 0.0, at: now, per_ms, burst }
+    pub fn new(per_ms: f64, burst: f64, now: Millis) -> TokenBucket {
+        TokenBucket { level: 0.0, at: now, per_ms, burst }
     }
 
     /// What it holds; below 0 what it owes.
--- a/crates/pools/tests/plan.rs
+++ b/crates/pools/tests/plan.rs
@@ -7,7 +7,7 @@
 use sagemast_decide::api::*;
 use sagemast_decide::cross_zone::{BudgetExemption, CrossZone, CrossZoneAttempt};
 use sagemast_pools::counts::{Counts, Names, Totals};
-use sagemast_pools::cross_zone_budget::{Budget, Measure, Plan, Rules};
+use sagemast_pools::cross_zone_budget::{Budget, CrossZoneBudgets, Measure, Rules};
 
 const HOME: ZoneId = ZoneId(0);
 const FAR: ZoneId = ZoneId(1);
@@ -21,9 +21,9 @@
     Budget { classes: None, to: None, measure, burst }
 }
 
-fn plan(budgets: Vec<Budget>, sidecars: u32) -> Plan {
+fn plan(budgets: Vec<Budget>, sidecars: u32) -> CrossZoneBudgets {
     let rules = Rules { fee: 0.03, bend_at: 0.2, bends: BudgetExemption::ALL.to_vec(), budgets };
-    Plan::new(rules, Arc::new(Counts::new(names())), sidecars, 0.0)
+    CrossZoneBudgets::new(rules, Arc::new(Counts::new(names())), sidecars, 0.0)
 }
 
 fn attempt(number: u64, to: ZoneId, bend: Option<BudgetExemption>) -> CrossZoneAttempt {
@@ -219,7 +219,7 @@
     to.to = Some(vec![ZoneId(2)]);
     let names = Names { zones: ["a", "b", "c"].map(str::to_owned).to_vec(), ..names() };
     let rules = Rules { fee: 0.03, bend_at: 0.2, bends: Vec::new(), budgets: vec![to] };
-    let plan = Plan::new(rules, Arc::new(Counts::new(names)), 1, 0.0);
+    let plan = CrossZoneBudgets::new(rules, Arc::new(Counts::new(names)), 1, 0.0);
     let pays = [None, Some(ZoneId(1)), Some(ZoneId(2))].map(|to| plan.pays(0.0, ClassId(0), to));
     assert_eq!(pays, [true, true, false]);
     assert!((plan.terms(0.0, ClassId(0)).fee - 0.03).abs() < 1e-9);
@@ -246,7 +246,7 @@
 fn many_sidecars_share_one_rate() {
     let mut one = plan(vec![budget(Measure::PerSecond(10.0), 10.0)], 1);
     let mut ten = plan(vec![budget(Measure::PerSecond(10.0), 10.0)], 10);
-    let crossings = |plan: &mut Plan| {
+    let crossings = |plan: &mut CrossZoneBudgets| {
         let mut paid = 0;
         for ms in 0..10_000_u64 {
             if plan.pays(ms as f64, ClassId(0), Some(FAR)) {
--- a/crates/sidecar/benches/ordinary_path.rs
+++ b/crates/sidecar/benches/ordinary_path.rs
@@ -19,10 +19,10 @@
 use sagemast_decide::settings::Config as SettingsObject;
 use sagemast_sidecar::budget::Budgets;
 use sagemast_sidecar::hosts::HostList;
-use sagemast_sidecar::instance::{Instance, Parts};
+use sagemast_sidecar::instance::{Instance, InstanceConfig};
 use sagemast_sidecar::io_counts::counts;
 use sagemast_sidecar::log::Log;
-use sagemast_sidecar::messages::Outlet;
+use sagemast_sidecar::messages::EventSink;
 
 #[global_allocator]
 static ALLOCATOR: dhat::Alloc = dhat::Alloc;
@@ -132,7 +132,7 @@
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         runtime.block_on(async move {
             let settings: SettingsObject = serde_json::from_str(SETTINGS).expect("settings");
-            let (instance, _control) = Instance::new(Parts {
+            let (instance, _control) = Instance::new(InstanceConfig {
                 settings,
                 seed: 7,
                 discovery,
@@ -142,7 +142,7 @@
                 budgets: Budgets::of(64),
                 crossing: None,
                 log: Log::process(),
-                listening: Outlet::nowhere(),
+                listening: EventSink::nowhere(),
                 standby: false,
             });
             instance.run().await;
--- a/crates/sidecar/src/budget.rs
+++ b/crates/sidecar/src/budget.rs
@@ -20,7 +20,7 @@
 
 /// One of them; returned when dropped.
 #[derive(Debug)]
-pub struct Held(Arc<Counts>);
+pub struct QuotaPermit(Arc<Counts>);
 
 impl Quota {
     /// So many.
@@ -29,16 +29,16 @@
     }
 
     /// Takes one, if there is one.
-    pub fn take(&self) -> Option<Held> {
+    pub fn take(&self) -> Option<QuotaPermit> {
         self.take_beyond(0)
     }
 
     /// Takes one of those, or of so many more: for what is about to take the place of another.
-    pub fn take_beyond(&self, extra: usize) -> Option<Held> {
+    pub fn take_beyond(&self, extra: usize) -> Option<QuotaPermit> {
         let limit = self.limit().saturating_add(extra);
         let more = |held: usize| (held < limit).then_some(held + 1);
         self.0.held.fetch_update(Ordering::AcqRel, Ordering::Relaxed, more).ok()?;
-        Some(Held(self.0.clone()))
+        Some(QuotaPermit(self.0.clone()))
     }
 
     /// How many there may be.
@@ -57,7 +57,7 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for QuotaPermit {
     fn drop(&mut self) {
         self.0.held.fetch_sub(1, Ordering::AcqRel);
     }
@@ -65,7 +65,7 @@
 
 /// Numbers of things: held, or allowed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
-pub struct Amounts {
+pub struct ResourceCounts {
     /// Connections of clients.
     pub clients: usize,
     /// Connections to upstreams.
@@ -74,10 +74,10 @@
     pub transfers: usize,
 }
 
-impl Amounts {
+impl ResourceCounts {
     /// The same of each.
-    pub fn with(self, other: Amounts, how: impl Fn(usize, usize) -> usize) -> Amounts {
-        Amounts {
+    pub fn with(self, other: ResourceCounts, how: impl Fn(usize, usize) -> usize) -> ResourceCounts {
+        ResourceCounts {
             clients: how(self.clients, other.clients),
             upstreams: how(self.upstreams, other.upstreams),
             transfers: how(self.transfers, other.transfers),
@@ -87,7 +87,7 @@
 
 /// Room for bodies that pass through. Unlike a [`Quota`] it can be waited for.
 #[derive(Debug, Clone)]
-pub struct Room(Arc<Places>);
+pub struct TransferLimit(Arc<Places>);
 
 #[derive(Debug)]
 struct Places {
@@ -97,25 +97,25 @@
     owed: Mutex<usize>,
 }
 
-impl Room {
+impl TransferLimit {
     /// So many.
-    pub fn new(limit: usize) -> Room {
+    pub fn new(limit: usize) -> TransferLimit {
         let limit = limit.min(Semaphore::MAX_PERMITS);
         let semaphore = Arc::new(Semaphore::new(limit));
-        Room(Arc::new(Places { semaphore, limit: AtomicUsize::new(limit), owed: Mutex::new(0) }))
+        TransferLimit(Arc::new(Places { semaphore, limit: AtomicUsize::new(limit), owed: Mutex::new(0) }))
     }
 
     /// Takes one, if there is one.
-    pub fn take(&self) -> Option<Taken> {
+    pub fn take(&self) -> Option<TransferPermit> {
         let permit = self.0.semaphore.clone().try_acquire_owned().ok()?;
-        Some(Taken { permit: Some(permit), room: self.0.clone() })
+        Some(TransferPermit { permit: Some(permit), room: self.0.clone() })
     }
 
     /// Waits for one.
-    pub async fn wait(&self) -> Option<Taken> {
+    pub async fn wait(&self) -> Option<TransferPermit> {
         // Nobody closes it.
         let permit = self.0.semaphore.clone().acquire_owned().await.ok()?;
-        Some(Taken { permit: Some(permit), room: self.0.clone() })
+        Some(TransferPermit { permit: Some(permit), room: self.0.clone() })
     }
 
     /// How many there may be.
@@ -143,14 +143,14 @@
     }
 }
 
-/// One place of a [`Room`]; returned when dropped.
+/// One place of a [`TransferLimit`]; returned when dropped.
 #[derive(Debug)]
-pub struct Taken {
+pub struct TransferPermit {
     permit: Option<OwnedSemaphorePermit>,
     room: Arc<Places>,
 }
 
-impl Drop for Taken {
+impl Drop for TransferPermit {
     fn drop(&mut self) {
         let Some(permit) = self.permit.take() else { return };
         let mut owed = self.room.owed.lock().unwrap_or_else(PoisonError::into_inner);
@@ -169,8 +169,8 @@
 }
 
 /// The right to one connection to an upstream.
-pub struct Permit {
-    _own: Held,
+pub struct UpstreamPermit {
+    _own: QuotaPermit,
     _shared: Option<Box<dyn Send + Sync>>,
 }
 
@@ -183,7 +183,7 @@
     /// Connections to upstreams.
     pub upstreams: Quota,
     /// Bodies that pass through without being held whole, both ways.
-    pub transfers: Room,
+    pub transfers: TransferLimit,
     /// What it shares with others, if anything.
     pub shared: Option<Arc<dyn SharedConnections>>,
 }
@@ -199,14 +199,14 @@
         Budgets {
             clients: Quota::new(connections),
             upstreams: Quota::new(connections),
-            transfers: Room::new(transfers),
+            transfers: TransferLimit::new(transfers),
             shared: None,
         }
     }
 
     /// What may be held.
-    pub fn limits(&self) -> Amounts {
-        Amounts {
+    pub fn limits(&self) -> ResourceCounts {
+        ResourceCounts {
             clients: self.clients.limit(),
             upstreams: self.upstreams.limit(),
             transfers: self.transfers.limit(),
@@ -214,8 +214,8 @@
     }
 
     /// What is held.
-    pub fn held(&self) -> Amounts {
-        Amounts {
+    pub fn held(&self) -> ResourceCounts {
+        ResourceCounts {
             clients: self.clients.held(),
             upstreams: self.upstreams.held(),
             transfers: self.transfers.held(),
@@ -223,20 +223,20 @@
     }
 
     /// Changes what may be held.
-    pub fn limit(&self, to: Amounts) {
+    pub fn limit(&self, to: ResourceCounts) {
         self.clients.set_limit(to.clients);
         self.upstreams.set_limit(to.upstreams);
         self.transfers.set_limit(to.transfers);
     }
 
     /// The right to one more connection to this address.
-    pub fn permit(&self, dial: SocketAddr) -> Option<Permit> {
+    pub fn permit(&self, dial: SocketAddr) -> Option<UpstreamPermit> {
         let own = self.upstreams.take()?;
         let shared = match &self.shared {
             Some(shared) => Some(shared.take(dial)?),
             None => None,
         };
-        Some(Permit { _own: own, _shared: shared })
+        Some(UpstreamPermit { _own: own, _shared: shared })
     }
 }
 
@@ -259,7 +259,7 @@
 
     #[test]
     fn room_shrinks_and_grows_while_it_is_held() {
-        let room = Room::new(4);
+        let room = TransferLimit::new(4);
         let mut held: Vec<_> = (0..3).filter_map(|_| room.take()).collect();
         room.set_limit(1);
         assert_eq!((room.held(), room.limit()), (3, 1));
@@ -272,7 +272,7 @@
         let all: Vec<_> = std::iter::from_fn(|| room.take()).collect();
         assert_eq!(all.len(), 3);
         let mut rng = oorandom::Rand64::new(6);
-        let (room, mut held) = (Room::new(20), Vec::new());
+        let (room, mut held) = (TransferLimit::new(20), Vec::new());
         for _ in 0..20_000 {
             match rng.rand_range(0..5) {
                 0 => room.set_limit(rng.rand_range(0..40) as usize),
--- a/crates/sidecar/src/client.rs
+++ b/crates/sidecar/src/client.rs
@@ -13,8 +13,8 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep, sleep};
 
-use crate::client_disconnect::{Presence, Shared};
-use crate::connection_activity::Slot;
+use crate::client_disconnect::{ClientConnection, Shared};
+use crate::connection_activity::ConnectionActivity;
 use crate::io_counts;
 use crate::transfer::framing::Framing;
 use crate::transfer::limits::STREAM_IDLE_TIMEOUT;
@@ -41,7 +41,7 @@
     /// Others may look whether the client is there; nobody else reads or writes.
     stream: Shared,
     /// What others may know of it, and what its bytes tell.
-    slot: Arc<Slot>,
+    slot: Arc<ConnectionActivity>,
     framing: Framing,
     /// Since when the client has taken nothing of what waits for it.
     stuck: Option<Pin<Box<Sleep>>>,
@@ -59,11 +59,11 @@
 
 impl Client {
     /// Of a connection that was accepted.
-    pub fn new(stream: TcpStream, slot: Arc<Slot>) -> Client {
+    pub fn new(stream: TcpStream, slot: Arc<ConnectionActivity>) -> Client {
         // Without it a pace cannot be told; that is no reason not to serve.
         let _ = SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER_BYTES);
         let stream = Arc::new(Mutex::new(stream));
-        slot.belongs_to(Presence::of(&stream));
+        slot.belongs_to(ClientConnection::of(&stream));
         Client {
             stream,
             slot,
@@ -179,7 +179,7 @@
 }
 
 /// Takes in what came, up to the end of a request; how much that is.
-fn came(framing: &mut Framing, slot: &Slot, bytes: &[u8]) -> usize {
+fn came(framing: &mut Framing, slot: &ConnectionActivity, bytes: &[u8]) -> usize {
     let fed = framing.feed(bytes);
     slot.came(framing.in_head(), framing.doubled());
     fed
@@ -290,8 +290,10 @@
     async fn what_crosses_the_close_does_not_reset_the_answer() {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut peer = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-        let mut client =
-            Client::new(listener.accept().await.unwrap().0, Arc::new(Slot::new(tokio::time::Instant::now())));
+        let mut client = Client::new(
+            listener.accept().await.unwrap().0,
+            Arc::new(ConnectionActivity::new(tokio::time::Instant::now())),
+        );
         // It waits unread when the stream is closed.
         peer.write_all(&[b'x'; 1_000]).unwrap();
         client.write_all(b"answer").await.unwrap();
@@ -312,8 +314,10 @@
     async fn who_does_not_close_is_not_waited_for_long() {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut peer = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-        let mut client =
-            Client::new(listener.accept().await.unwrap().0, Arc::new(Slot::new(tokio::time::Instant::now())));
+        let mut client = Client::new(
+            listener.accept().await.unwrap().0,
+            Arc::new(ConnectionActivity::new(tokio::time::Instant::now())),
+        );
         tokio::time::timeout(Duration::from_secs(30), client.shutdown()).await.unwrap().unwrap();
         drop(client);
         assert_eq!(peer.read(&mut [0; 1]).unwrap(), 0);
--- a/crates/sidecar/src/client_disconnect.rs
+++ b/crates/sidecar/src/client_disconnect.rs
@@ -21,27 +21,27 @@
 
 /// A client, as those who work for it know it. It keeps no socket open.
 #[derive(Debug, Clone)]
-pub struct Presence(Weak<Mutex<TcpStream>>);
+pub struct ClientConnection(Weak<Mutex<TcpStream>>);
 
-impl Presence {
+impl ClientConnection {
     /// That of the client whose socket this is.
-    pub fn of(stream: &Shared) -> Presence {
-        Presence(Arc::downgrade(stream))
+    pub fn of(stream: &Shared) -> ClientConnection {
+        ClientConnection(Arc::downgrade(stream))
     }
 }
 
 /// On what terms the first byte of an attempt may be written.
 #[derive(Debug, Clone)]
-pub struct Terms {
+pub struct WriteConditions {
     /// Who asks.
-    pub client: Presence,
+    pub client: ClientConnection,
     /// Until when an answer is of use.
     pub until: Instant,
 }
 
 /// What was found right before the first byte.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Found {
+pub enum ConnectionCheck {
     /// Nothing speaks against it.
     Clear,
     /// The upstream has closed, or has sent what nobody asked for.
@@ -54,13 +54,13 @@
 ///
 /// # Errors
 /// The system cannot tell.
-pub fn look(upstream: &TcpStream, terms: Option<&Terms>) -> io::Result<Found> {
+pub fn look(upstream: &TcpStream, terms: Option<&WriteConditions>) -> io::Result<ConnectionCheck> {
     let client = match terms {
         None => None,
-        Some(terms) if Instant::now() >= terms.until => return Ok(Found::Unwanted),
+        Some(terms) if Instant::now() >= terms.until => return Ok(ConnectionCheck::Unwanted),
         Some(terms) => match terms.client.0.upgrade() {
             Some(client) => Some(client),
-            None => return Ok(Found::Unwanted),
+            None => return Ok(ConnectionCheck::Unwanted),
         },
     };
     let client = client.as_ref().map(|client| client.lock().unwrap_or_else(PoisonError::into_inner));
@@ -78,9 +78,9 @@
         }
     };
     Ok(match (theirs.intersects(ENDS), ours.intersects(ENDS | PollFlags::IN)) {
-        (true, _) => Found::Unwanted,
-        (false, true) => Found::Unusable,
-        (false, false) => Found::Clear,
+        (true, _) => ConnectionCheck::Unwanted,
+        (false, true) => ConnectionCheck::Unusable,
+        (false, false) => ConnectionCheck::Clear,
     })
 }
 
--- a/crates/sidecar/src/client_disconnect/tests.rs
+++ b/crates/sidecar/src/client_disconnect/tests.rs
@@ -18,8 +18,8 @@
     (TcpStream::from_std(accepted).unwrap(), peer)
 }
 
-fn terms(client: &Shared, left: Duration) -> Terms {
-    Terms { client: Presence::of(client), until: Instant::now() + left }
+fn terms(client: &Shared, left: Duration) -> WriteConditions {
+    WriteConditions { client: ClientConnection::of(client), until: Instant::now() + left }
 }
 
 const LONG: Duration = Duration::from_secs(60);
@@ -35,7 +35,11 @@
             client.set_nonblocking(true).unwrap();
             // What does not go in stays out.
             let _ = client.write(&vec![b'x'; unread]);
-            assert_eq!(look(&upstream, Some(&terms)).unwrap(), Found::Clear, "{unread} bytes are no end");
+            assert_eq!(
+                look(&upstream, Some(&terms)).unwrap(),
+                ConnectionCheck::Clear,
+                "{unread} bytes are no end"
+            );
             let held = match leave {
                 0 => {
                     drop(client);
@@ -53,7 +57,7 @@
             };
             assert_eq!(
                 look(&upstream, Some(&terms)).unwrap(),
-                Found::Unwanted,
+                ConnectionCheck::Unwanted,
                 "{unread} bytes, way {leave}"
             );
             drop(held);
@@ -67,7 +71,7 @@
     let stream = Arc::new(Mutex::new(stream));
     let terms = terms(&stream, LONG);
     drop(stream);
-    assert_eq!(look(&upstream, Some(&terms)).unwrap(), Found::Unwanted);
+    assert_eq!(look(&upstream, Some(&terms)).unwrap(), ConnectionCheck::Unwanted);
     assert_eq!(std::io::Read::read(&mut client, &mut [0; 1]).unwrap(), 0);
 }
 
@@ -78,14 +82,14 @@
     let terms = [LONG, Duration::ZERO].map(|left| terms(&stream, left));
     let (upstream, mut peer) = pair();
     for asked in [None, Some(&terms[0])] {
-        assert_eq!(look(&upstream, asked).unwrap(), Found::Clear);
+        assert_eq!(look(&upstream, asked).unwrap(), ConnectionCheck::Clear);
     }
-    assert_eq!(look(&upstream, Some(&terms[1])).unwrap(), Found::Unwanted, "its time is up");
+    assert_eq!(look(&upstream, Some(&terms[1])).unwrap(), ConnectionCheck::Unwanted, "its time is up");
     peer.write_all(b"x").unwrap();
     for asked in [None, Some(&terms[0])] {
-        assert_eq!(look(&upstream, asked).unwrap(), Found::Unusable);
+        assert_eq!(look(&upstream, asked).unwrap(), ConnectionCheck::Unusable);
     }
     let (upstream, peer) = pair();
     drop(peer);
-    assert_eq!(look(&upstream, None).unwrap(), Found::Unusable);
+    assert_eq!(look(&upstream, None).unwrap(), ConnectionCheck::Unusable);
 }
--- a/crates/sidecar/src/connection.rs
+++ b/crates/sidecar/src/connection.rs
@@ -10,9 +10,9 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, timeout, timeout_at};
 
-use crate::budget::Permit;
-use crate::metered_stream::{Counted, Meter};
-use crate::transfer::request_body::Outgoing;
+use crate::budget::UpstreamPermit;
+use crate::metered_stream::{Meter, MeteredStream};
+use crate::transfer::request_body::AttemptBody;
 
 /// Room for a head; hyper also reads bodies through it.
 const BUFFER_BYTES: usize = 32 << 10;
@@ -22,7 +22,7 @@
 /// An open connection. It is closed when this is dropped; [`Connection::close`] waits until it is.
 pub struct Connection {
     /// Where requests go in.
-    pub sender: SendRequest<Outgoing>,
+    pub sender: SendRequest<AttemptBody>,
     task: JoinHandle<()>,
     /// What has crossed it.
     pub meter: Arc<Meter>,
@@ -32,12 +32,16 @@
     pub used: bool,
     /// Since when it has carried nothing.
     pub idle_since: Instant,
-    _permit: Permit,
+    _permit: UpstreamPermit,
 }
 
 impl Connection {
     /// Connects by `until`.
-    pub async fn open(dial: SocketAddr, until: Instant, permit: Permit) -> Result<Connection, String> {
+    pub async fn open(
+        dial: SocketAddr,
+        until: Instant,
+        permit: UpstreamPermit,
+    ) -> Result<Connection, String> {
         let stream = timeout_at(until, TcpStream::connect(dial))
             .await
             .map_err(|_| "connecting took too long".to_owned())?
@@ -45,7 +49,7 @@
         // Without it the kernel may hold back a small request.
         stream.set_nodelay(true).map_err(|error| error.to_string())?;
         let port = stream.local_addr().map_or(0, |address| address.port());
-        let (counted, meter) = Counted::new(stream);
+        let (counted, meter) = MeteredStream::new(stream);
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(BUFFER_BYTES)
             .handshake(TokioIo::new(counted))
--- a/crates/sidecar/src/connection_activity.rs
+++ b/crates/sidecar/src/connection_activity.rs
@@ -8,8 +8,8 @@
 use tokio::sync::Notify;
 use tokio::time::{Duration, Instant};
 
-use crate::client_disconnect::Presence;
-use crate::connection_close::Holds;
+use crate::client_disconnect::ClientConnection;
+use crate::connection_close::ConnectionContents;
 
 /// The mark of a connection with an open request.
 const BUSY: u64 = u64::MAX;
@@ -18,7 +18,7 @@
 
 /// One client connection. Times are milliseconds from the epoch of all of them.
 #[derive(Debug)]
-pub struct Slot {
+pub struct ConnectionActivity {
     epoch: Instant,
     /// Since when nothing has come and no request has been open; [`BUSY`] while one is.
     quiet_since: AtomicU64,
@@ -42,7 +42,7 @@
     /// Whether bytes of an answer wait in this process, since the send buffer is full.
     write_blocked: AtomicBool,
     /// Whose connection it is.
-    client: OnceLock<Presence>,
+    client: OnceLock<ClientConnection>,
     /// Who waits for the next one to be.
     waiting: Mutex<Option<Waker>>,
     /// Whether it was told to make room, and has not been kept after all.
@@ -53,10 +53,10 @@
     pub let_go: Notify,
 }
 
-impl Slot {
+impl ConnectionActivity {
     /// A connection that has just been accepted.
-    pub fn new(epoch: Instant) -> Slot {
-        let slot = Slot {
+    pub fn new(epoch: Instant) -> ConnectionActivity {
+        let slot = ConnectionActivity {
             epoch,
             quiet_since: AtomicU64::new(0),
             head_since: AtomicU64::new(NEVER),
@@ -80,13 +80,13 @@
     }
 
     /// Says whose connection it is.
-    pub fn belongs_to(&self, client: Presence) {
+    pub fn belongs_to(&self, client: ClientConnection) {
         // It belongs to one only.
         let _ = self.client.set(client);
     }
 
     /// Its client.
-    pub fn client(&self) -> Option<Presence> {
+    pub fn client(&self) -> Option<ClientConnection> {
         self.client.get().cloned()
     }
 
@@ -212,16 +212,16 @@
     }
 
     /// What it holds.
-    pub fn holds(&self) -> Holds {
+    pub fn holds(&self) -> ConnectionContents {
         match (
             self.is_busy() || self.is_write_blocked(),
             self.in_body.load(Ordering::Relaxed),
             self.head_since(),
         ) {
-            (true, ..) => Holds::Request,
-            (false, true, _) => Holds::Body,
-            (false, false, Some(_)) => Holds::Head,
-            (false, false, None) => Holds::Nothing,
+            (true, ..) => ConnectionContents::Request,
+            (false, true, _) => ConnectionContents::Body,
+            (false, false, Some(_)) => ConnectionContents::Head,
+            (false, false, None) => ConnectionContents::Nothing,
         }
     }
 
--- a/crates/sidecar/src/connection_close.rs
+++ b/crates/sidecar/src/connection_close.rs
@@ -14,7 +14,7 @@
 
 /// Why a connection is to be closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reason {
+pub enum CloseReason {
     /// Nothing has come for too long.
     Idle,
     /// A head that has begun does not end.
@@ -31,7 +31,7 @@
 
 /// What a connection holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Holds {
+pub enum ConnectionContents {
     /// Nothing that was begun.
     Nothing,
     /// A head that has begun.
@@ -46,7 +46,7 @@
 
 /// What becomes of it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Deed {
+pub enum CloseAction {
     /// It stays as it is.
     Keep,
     /// We end our writing, and read on for a moment.
@@ -58,14 +58,19 @@
 }
 
 /// What becomes of a connection that is to be closed for this reason and holds that.
-pub fn deed(reason: Reason, holds: Holds) -> Deed {
+pub fn deed(reason: CloseReason, holds: ConnectionContents) -> CloseAction {
     match (reason, holds) {
-        (Reason::Idle | Reason::LetGo | Reason::Ends, Holds::Nothing) => Deed::Shut,
-        (Reason::HeadOverdue, Holds::Head) => Deed::Drop,
-        (Reason::MakeRoom | Reason::EndIsNear, Holds::Nothing | Holds::Head | Holds::Body) => Deed::Drop,
-        (Reason::MakeRoom | Reason::Ends, Holds::Request) => Deed::AfterAnswer,
-        (Reason::Idle | Reason::Ends, Holds::Body) => Deed::AfterAnswer,
-        _ => Deed::Keep,
+        (CloseReason::Idle | CloseReason::LetGo | CloseReason::Ends, ConnectionContents::Nothing) => {
+            CloseAction::Shut
+        }
+        (CloseReason::HeadOverdue, ConnectionContents::Head) => CloseAction::Drop,
+        (
+            CloseReason::MakeRoom | CloseReason::EndIsNear,
+            ConnectionContents::Nothing | ConnectionContents::Head | ConnectionContents::Body,
+        ) => CloseAction::Drop,
+        (CloseReason::MakeRoom | CloseReason::Ends, ConnectionContents::Request) => CloseAction::AfterAnswer,
+        (CloseReason::Idle | CloseReason::Ends, ConnectionContents::Body) => CloseAction::AfterAnswer,
+        _ => CloseAction::Keep,
     }
 }
 
@@ -73,18 +78,30 @@
 mod tests {
     use super::*;
 
-    const REASONS: [Reason; 6] =
-        [Reason::Idle, Reason::HeadOverdue, Reason::LetGo, Reason::MakeRoom, Reason::Ends, Reason::EndIsNear];
-    const HOLDS: [Holds; 5] = [Holds::Nothing, Holds::Head, Holds::Body, Holds::Request, Holds::Requests];
+    const REASONS: [CloseReason; 6] = [
+        CloseReason::Idle,
+        CloseReason::HeadOverdue,
+        CloseReason::LetGo,
+        CloseReason::MakeRoom,
+        CloseReason::Ends,
+        CloseReason::EndIsNear,
+    ];
+    const HOLDS: [ConnectionContents; 5] = [
+        ConnectionContents::Nothing,
+        ConnectionContents::Head,
+        ConnectionContents::Body,
+        ConnectionContents::Request,
+        ConnectionContents::Requests,
+    ];
 
     #[test]
     fn what_was_taken_is_answered_whatever_wants_its_connection() {
         for reason in REASONS {
-            let deed = deed(reason, Holds::Request);
-            assert!(matches!(deed, Deed::Keep | Deed::AfterAnswer), "{reason:?}: {deed:?}");
+            let deed = deed(reason, ConnectionContents::Request);
+            assert!(matches!(deed, CloseAction::Keep | CloseAction::AfterAnswer), "{reason:?}: {deed:?}");
             assert_eq!(
-                super::deed(reason, Holds::Requests),
-                Deed::Keep,
+                super::deed(reason, ConnectionContents::Requests),
+                CloseAction::Keep,
                 "{reason:?}: the others would be lost"
             );
         }
@@ -93,13 +110,16 @@
     #[test]
     fn only_a_newcomer_a_dead_head_or_the_very_end_ends_what_has_begun() {
         for (reason, holds) in REASONS.into_iter().flat_map(|reason| HOLDS.map(|holds| (reason, holds))) {
-            let ends = matches!(deed(reason, holds), Deed::Shut | Deed::Drop);
-            let begun = holds != Holds::Nothing;
+            let ends = matches!(deed(reason, holds), CloseAction::Shut | CloseAction::Drop);
+            let begun = holds != ConnectionContents::Nothing;
             if ends && begun {
-                let allowed = matches!(reason, Reason::MakeRoom | Reason::HeadOverdue | Reason::EndIsNear);
+                let allowed = matches!(
+                    reason,
+                    CloseReason::MakeRoom | CloseReason::HeadOverdue | CloseReason::EndIsNear
+                );
                 assert!(allowed, "{reason:?}, {holds:?}");
             }
-            if !begun && reason != Reason::HeadOverdue {
+            if !begun && reason != CloseReason::HeadOverdue {
                 assert!(ends, "{reason:?} closes what holds nothing");
             }
         }
--- a/crates/sidecar/src/console.rs
+++ b/crates/sidecar/src/console.rs
@@ -25,7 +25,7 @@
 use tokio::time::sleep;
 
 use crate::client::Client;
-use crate::connection_activity::Slot;
+use crate::connection_activity::ConnectionActivity;
 use crate::instance::Control;
 use crate::lifecycle::Stage;
 use crate::log::Log;
@@ -127,7 +127,7 @@
 /// Answers one call.
 async fn call(stream: TcpStream, control: Control, asked: Arc<AtomicBool>) {
     let _ = stream.set_nodelay(true);
-    let slot = Arc::new(Slot::new(tokio::time::Instant::now()));
+    let slot = Arc::new(ConnectionActivity::new(tokio::time::Instant::now()));
     let service = service_fn(|request| {
         asked.store(true, Ordering::Relaxed);
         let answer = answer(&request, &control);
@@ -173,7 +173,7 @@
                 Stage::Standby | Stage::Serving | Stage::Evacuating => {
                     said(StatusCode::SERVICE_UNAVAILABLE, "no: it has no list of upstreams yet")
                 }
-                Stage::Leaving | Stage::Closing | Stage::HandedOver => {
+                Stage::Draining | Stage::Closing | Stage::HandedOver => {
                     said(StatusCode::SERVICE_UNAVAILABLE, "no: it is ending")
                 }
             }
--- a/crates/sidecar/src/cross_zone_budget.rs
+++ b/crates/sidecar/src/cross_zone_budget.rs
@@ -7,33 +7,41 @@
 use sagemast_decide::api::Millis;
 use sagemast_decide::settings::Config as SettingsObject;
 use sagemast_pools::counts::Counts;
-use sagemast_pools::cross_zone_budget::{Plan, Rules};
+use sagemast_pools::cross_zone_budget::{CrossZoneBudgets, Rules};
 use sagemast_pools::file::{Fault, File};
 
 /// The rules, and where it counts. One generation after another may count in the same place.
 #[derive(Debug, Clone)]
-pub struct Crossing {
+pub struct CrossZoneBudget {
     /// What holds.
     pub rules: Rules,
     /// What is counted.
     pub counts: Arc<Counts>,
 }
 
-impl Crossing {
+impl CrossZoneBudget {
     /// What a file says for an instance with these settings, with counts that begin at zero.
-    pub fn of(file: &File, settings: &SettingsObject) -> Result<Crossing, Vec<Fault>> {
+    pub fn of(file: &File, settings: &SettingsObject) -> Result<CrossZoneBudget, Vec<Fault>> {
         let (rules, names) = file.rules(settings)?;
-        Ok(Crossing { rules, counts: Arc::new(Counts::new(names)) })
+        Ok(CrossZoneBudget { rules, counts: Arc::new(Counts::new(names)) })
     }
 
     /// Puts it into force, or takes away what was (`None`). A plan that counts in the same place goes on with other
     /// rules: what it has out and what its budgets hold stays.
-    pub fn bring_into_force(crossing: Option<Crossing>, module: &mut Balancer, sidecars: u32, now: Millis) {
-        let Some(Crossing { rules, counts }) = crossing else { return module.set_cross_zone(None) };
-        let plan = module.cross_zone().and_then(|plan| (plan as &mut dyn Any).downcast_mut::<Plan>());
+    pub fn bring_into_force(
+        crossing: Option<CrossZoneBudget>,
+        module: &mut Balancer,
+        sidecars: u32,
+        now: Millis,
+    ) {
+        let Some(CrossZoneBudget { rules, counts }) = crossing else { return module.set_cross_zone(None) };
+        let plan =
+            module.cross_zone().and_then(|plan| (plan as &mut dyn Any).downcast_mut::<CrossZoneBudgets>());
         match plan.filter(|plan| Arc::ptr_eq(plan.counts(), &counts)) {
             Some(plan) => plan.change(rules, now),
-            None => module.set_cross_zone(Some(Box::new(Plan::new(rules, counts, sidecars, now)))),
+            None => {
+                module.set_cross_zone(Some(Box::new(CrossZoneBudgets::new(rules, counts, sidecars, now))))
+            }
         }
     }
 }
--- a/crates/sidecar/src/discovery.rs
+++ b/crates/sidecar/src/discovery.rs
@@ -15,16 +15,16 @@
 use tokio::time::{Instant, sleep, timeout_at};
 
 use crate::hosts::HostList;
-use crate::json_stream::{Next, Values};
+use crate::json_stream::{JsonStream, Next};
 use crate::log::Log;
-use crate::messages::Outlet;
-use crate::watch_liveness::{self, Times};
+use crate::messages::EventSink;
+use crate::watch_liveness::{self, WatchTimeouts};
 
 /// The longest list: thousands of hosts, indented. A stream without an end must not fill the memory.
 const LIST_BYTES: usize = 2 << 20;
 
 /// What a watch has to tell.
-pub enum FromDiscovery {
+pub enum DiscoveryEvent {
     /// A list or changes.
     Listed {
         /// To which watch.
@@ -50,11 +50,11 @@
     /// The version that the sidecar has.
     pub seq: u64,
     /// Where it tells them.
-    pub news: Outlet<FromDiscovery>,
+    pub news: EventSink<DiscoveryEvent>,
     /// Where it says what went wrong.
     pub log: Log,
     /// How long it waits.
-    pub times: Times,
+    pub times: WatchTimeouts,
     /// This sidecar's place, from 0 to 1, among those that open a silent watch anew.
     pub place: f64,
     /// The last sign of life of a watch that has fallen silent, until another gives one.
@@ -98,7 +98,7 @@
             tries += 1;
             sleep(wait).await;
         }
-        self.news.tell(FromDiscovery::Failed { watch: self.number, seq: self.seq });
+        self.news.tell(DiscoveryEvent::Failed { watch: self.number, seq: self.seq });
     }
 
     async fn once(&mut self) -> Result<Infallible> {
@@ -121,7 +121,7 @@
         if response.status() != StatusCode::OK {
             bail!("answered {}", response.status());
         }
-        let mut values = Values::new(LIST_BYTES);
+        let mut values = JsonStream::new(LIST_BYTES);
         let end = self.listen(response.into_body(), &mut values).await;
         if values.is_within() {
             // What it would have said is missed: only the whole list can make up for it.
@@ -131,7 +131,7 @@
     }
 
     /// Listens to a watch until it ends. Only what is whole is a sign of life: bytes that end nothing may go on for good.
-    async fn listen(&mut self, mut body: Incoming, values: &mut Values) -> Result<Infallible> {
+    async fn listen(&mut self, mut body: Incoming, values: &mut JsonStream) -> Result<Infallible> {
         let mut alive = Instant::now();
         loop {
             let Ok(frame) = timeout_at(alive + self.times.silence, body.frame()).await else {
@@ -168,7 +168,7 @@
             }
             Ok(list) => {
                 self.seq = list.seq;
-                if !self.news.tell(FromDiscovery::Listed { watch: self.number, list }) {
+                if !self.news.tell(DiscoveryEvent::Listed { watch: self.number, list }) {
                     bail!("the driver has ended");
                 }
                 Ok(None)
--- a/crates/sidecar/src/driver.rs
+++ b/crates/sidecar/src/driver.rs
@@ -15,24 +15,26 @@
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep_until};
 
-use crate::budget::{Budgets, Permit};
-use crate::client_disconnect::Terms;
+use crate::budget::{Budgets, UpstreamPermit};
+use crate::client_disconnect::WriteConditions;
 use crate::connection::{Connection, Pool};
-use crate::cross_zone_budget::Crossing;
-use crate::discovery::{AbortOnDrop, FromDiscovery, Watch};
-use crate::handover::message::{Estate, Known, Names};
+use crate::cross_zone_budget::CrossZoneBudget;
+use crate::discovery::{AbortOnDrop, DiscoveryEvent, Watch};
+use crate::handover::message::{HandoverState, ServerState, SettingNames};
 use crate::headers::end_to_end;
 use crate::hosts::HostList;
 use crate::lifecycle;
 use crate::log::Log;
-use crate::messages::{Arrival, End, Final, Flight, Forward, FromClients, Outlet};
-use crate::metrics::{Came, Metrics};
+use crate::messages::{
+    AttemptEnd, AttemptInfo, ClientEvent, EventSink, FinalAnswer, ForwardedRequest, RequestArrival,
+};
+use crate::metrics::{Metrics, RequestOutcome};
 use crate::request_bound::{Deadline, RequestState, bound};
 use crate::servers::Servers;
-use crate::transfer::request_body::Outgoing;
-use crate::transfer::upload::Fate;
-use crate::upstream::{Common, FromUpstreams, Source, Wire, Writing, attempt, connect, probe};
-use crate::watch_liveness::{self, Times};
+use crate::transfer::request_body::AttemptBody;
+use crate::transfer::upload::UploadState;
+use crate::upstream::{Common, Source, UpstreamEvent, Wire, Writing, attempt, connect, probe};
+use crate::watch_liveness::{self, WatchTimeouts};
 use crate::write_check;
 
 /// Once its time to connect is over an attempt is written within this or not at all: the rest of a turn in which much else
@@ -52,19 +54,19 @@
 const IDLE_SHARE: f64 = 0.7;
 
 /// What the owner of an instance asks of its driver.
-pub enum Order {
+pub enum InstanceCommand {
     /// Watch discovery here from now on; the list and the connections stay.
     Discovery(SocketAddr),
     /// There are so many sidecars from now on, this one included.
     Sidecars(u32),
     /// Other budgets for traffic between zones are in force from now on, or none.
-    Crossing(Option<Crossing>),
+    Crossing(Option<CrossZoneBudget>),
     /// A successor needs the connections: keep none that is idle from now on.
     Retire,
     /// Hand over the list of upstreams as it stands.
     List(oneshot::Sender<HostList>),
     /// Hand over what a successor goes on from.
-    Estate(oneshot::Sender<Estate>),
+    Estate(oneshot::Sender<HandoverState>),
     /// Tell others of the same sidecar what discovery tells, from now on.
     Follow(mpsc::Sender<HostList>),
     /// Another process of the same sidecar was told this by discovery.
@@ -74,38 +76,38 @@
 }
 
 /// Something that the driver is told.
-pub enum Happening {
+pub enum DriverEvent {
     /// By clients.
-    Clients(FromClients),
+    Clients(ClientEvent),
     /// By connections to upstreams.
-    Upstreams(FromUpstreams),
+    Upstreams(UpstreamEvent),
     /// By the discovery watch.
-    Discovery(FromDiscovery),
+    Discovery(DiscoveryEvent),
     /// By the owner of the instance.
-    Order(Order),
+    Order(InstanceCommand),
 }
 
-impl From<FromClients> for Happening {
-    fn from(message: FromClients) -> Happening {
-        Happening::Clients(message)
+impl From<ClientEvent> for DriverEvent {
+    fn from(message: ClientEvent) -> DriverEvent {
+        DriverEvent::Clients(message)
     }
 }
 
-impl From<FromUpstreams> for Happening {
-    fn from(message: FromUpstreams) -> Happening {
-        Happening::Upstreams(message)
+impl From<UpstreamEvent> for DriverEvent {
+    fn from(message: UpstreamEvent) -> DriverEvent {
+        DriverEvent::Upstreams(message)
     }
 }
 
-impl From<FromDiscovery> for Happening {
-    fn from(message: FromDiscovery) -> Happening {
-        Happening::Discovery(message)
+impl From<DiscoveryEvent> for DriverEvent {
+    fn from(message: DiscoveryEvent) -> DriverEvent {
+        DriverEvent::Discovery(message)
     }
 }
 
 /// A send that has not ended.
 struct Sent {
-    flight: Flight,
+    flight: AttemptInfo,
     at: Instant,
     /// Dropped to give it up, once something is under way for it.
     give_up: Option<oneshot::Sender<()>>,
@@ -125,8 +127,8 @@
 struct Open {
     id: Box<str>,
     class: ClassId,
-    forward: Arc<Forward>,
-    reply: oneshot::Sender<Final>,
+    forward: Arc<ForwardedRequest>,
+    reply: oneshot::Sender<FinalAnswer>,
     sends: u32,
     deadline: Deadline,
     /// By when its client should have the answer.
@@ -147,17 +149,17 @@
 
 /// What the driver tells the owner of its instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Told {
+pub enum InstanceEvent {
     /// It has a list of upstreams, from discovery itself unless that keeps it waiting: `/up` answers 200.
     Ready,
     /// The list has changed.
     Listed,
     /// It has let its listener go: it accepts nobody any more.
-    LetGo,
+    ListenerReleased,
 }
 
 /// What a driver is made of.
-pub struct Parts {
+pub struct DriverConfig {
     /// The settings.
     pub settings: SettingsObject,
     /// For random numbers.
@@ -167,13 +169,13 @@
     /// What it may hold.
     pub budgets: Budgets,
     /// Budgets for traffic between zones, if there are any.
-    pub crossing: Option<Crossing>,
+    pub crossing: Option<CrossZoneBudget>,
     /// What it counts.
     pub metrics: Arc<Metrics>,
     /// Where it logs.
     pub log: Log,
     /// Whom it tells how it fares.
-    pub listener: Outlet<Told>,
+    pub listener: EventSink<InstanceEvent>,
     /// How long it may go on.
     pub life: watch::Receiver<lifecycle::Lifecycle>,
 }
@@ -191,14 +193,14 @@
     metrics: Arc<Metrics>,
     log: Log,
     budgets: Budgets,
-    listener: Outlet<Told>,
+    listener: EventSink<InstanceEvent>,
     life: watch::Receiver<lifecycle::Lifecycle>,
-    inbox: mpsc::UnboundedReceiver<Happening>,
-    upstreams: Outlet<FromUpstreams>,
-    news: Outlet<FromDiscovery>,
+    inbox: mpsc::UnboundedReceiver<DriverEvent>,
+    upstreams: EventSink<UpstreamEvent>,
+    news: EventSink<DiscoveryEvent>,
     discovery: SocketAddr,
     /// How long a watch of it waits, and this sidecar's place among all that ask.
-    times: Times,
+    times: WatchTimeouts,
     place: f64,
     /// Whether it has told something, or was given the time to.
     current: bool,
@@ -236,8 +238,9 @@
 
 impl Driver {
     /// A driver that knows the settings and nothing else, and the channel that leads to it.
-    pub fn new(parts: Parts) -> (Driver, mpsc::UnboundedSender<Happening>) {
-        let Parts { settings, seed, discovery, budgets, crossing, metrics, log, listener, life } = parts;
+    pub fn new(parts: DriverConfig) -> (Driver, mpsc::UnboundedSender<DriverEvent>) {
+        let DriverConfig { settings, seed, discovery, budgets, crossing, metrics, log, listener, life } =
+            parts;
         let (happenings, inbox) = mpsc::unbounded_channel();
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         let mut told = settings.settings();
@@ -253,7 +256,7 @@
             told.classes.iter().map(|class| Duration::try_from_secs_f64(class.aim / 1e3).ok()).collect();
         let (subscribed, sidecars) = (matches!(told.discovery, Discovery::Subscribed { .. }), told.sidecars);
         let mut module = Balancer::new(told, seed);
-        Crossing::bring_into_force(crossing, &mut module, sidecars, 0.0);
+        CrossZoneBudget::bring_into_force(crossing, &mut module, sidecars, 0.0);
         let common = Common {
             log: log.clone(),
             metrics: metrics.clone(),
@@ -274,12 +277,12 @@
             listener,
             life,
             inbox,
-            upstreams: Outlet::new(happenings.clone()),
-            news: Outlet::new(happenings.clone()),
+            upstreams: EventSink::new(happenings.clone()),
+            news: EventSink::new(happenings.clone()),
             discovery,
             times: match subscribed {
-                true => Times::asked(),
-                false => Times::pushed(Duration::from_secs_f64(settings.drain_grace_ms() / 1e3)),
+                true => WatchTimeouts::asked(),
+                false => WatchTimeouts::pushed(Duration::from_secs_f64(settings.drain_grace_ms() / 1e3)),
             },
             // A whole number below 2 to the power of 53 is one as a float, too.
             place: (seed >> 11) as f64 / (1u64 << 53) as f64,
@@ -310,7 +313,7 @@
     }
 
     /// Runs for good.
-    pub async fn run(mut self, known: Option<HostList>, estate: Option<Box<Estate>>) {
+    pub async fn run(mut self, known: Option<HostList>, estate: Option<Box<HandoverState>>) {
         match estate.filter(|estate| !estate.list.hosts.is_empty()) {
             Some(estate) => self.inherit(&estate),
             None => {
@@ -380,7 +383,7 @@
                 Timer::Wake(token) => self.event(Event::TimerFired(token)),
                 Timer::Backstop(request) => {
                     // The module answers in time unless it is at fault or the process was held up.
-                    self.finish(request, Final::Failed);
+                    self.finish(request, FinalAnswer::Failed);
                     self.leave(request);
                 }
                 Timer::Current => {
@@ -427,61 +430,61 @@
         self.metrics.skipped.store(skipped as u64, Ordering::Relaxed);
     }
 
-    fn happened(&mut self, happening: Happening) {
+    fn happened(&mut self, happening: DriverEvent) {
         match happening {
-            Happening::Clients(FromClients::Arrived(arrival)) => self.arrived(*arrival),
-            Happening::Clients(FromClients::Left(request)) => {
+            DriverEvent::Clients(ClientEvent::Arrived(arrival)) => self.arrived(*arrival),
+            DriverEvent::Clients(ClientEvent::Left(request)) => {
                 if let Some(open) = self.close(request) {
                     self.log.trace(|| self.answer_line(&open, "none: its client has left"));
                     if open.timer.is_some() {
-                        self.metrics.ended(open.class, Came::Left);
+                        self.metrics.ended(open.class, RequestOutcome::Left);
                     }
                 }
                 self.leave(request);
             }
-            Happening::Upstreams(message) => self.heard_of_upstream(message),
-            Happening::Discovery(message) => self.heard_of_list(message),
-            Happening::Order(Order::Discovery(address)) => {
+            DriverEvent::Upstreams(message) => self.heard_of_upstream(message),
+            DriverEvent::Discovery(message) => self.heard_of_list(message),
+            DriverEvent::Order(InstanceCommand::Discovery(address)) => {
                 self.discovery = address;
                 self.watch();
             }
-            Happening::Order(Order::Sidecars(count)) => {
+            DriverEvent::Order(InstanceCommand::Sidecars(count)) => {
                 self.sidecars = count;
                 self.event(Event::SidecarCountChanged(count));
             }
-            Happening::Order(Order::Crossing(crossing)) => {
+            DriverEvent::Order(InstanceCommand::Crossing(crossing)) => {
                 let now = self.millis(Instant::now());
-                Crossing::bring_into_force(crossing, &mut self.module, self.sidecars, now);
+                CrossZoneBudget::bring_into_force(crossing, &mut self.module, self.sidecars, now);
             }
-            Happening::Order(Order::Retire) => {
+            DriverEvent::Order(InstanceCommand::Retire) => {
                 self.retired = true;
                 self.servers.pools().for_each(Pool::clear);
             }
-            Happening::Order(Order::List(reply)) => {
+            DriverEvent::Order(InstanceCommand::List(reply)) => {
                 // Who asked may have gone.
                 let _ = reply.send(self.servers.list(self.seq));
             }
-            Happening::Order(Order::Estate(reply)) => {
+            DriverEvent::Order(InstanceCommand::Estate(reply)) => {
                 let _ = reply.send(self.estate());
             }
-            Happening::Order(Order::Follow(news)) => self.followers = Some(news),
-            Happening::Order(Order::News(list)) => self.heard_from_peer(&list),
-            Happening::Order(Order::Panic) => panic!("told to fail"),
+            DriverEvent::Order(InstanceCommand::Follow(news)) => self.followers = Some(news),
+            DriverEvent::Order(InstanceCommand::News(list)) => self.heard_from_peer(&list),
+            DriverEvent::Order(InstanceCommand::Panic) => panic!("told to fail"),
         }
     }
 
-    fn heard_of_upstream(&mut self, message: FromUpstreams) {
+    fn heard_of_upstream(&mut self, message: UpstreamEvent) {
         match message {
-            FromUpstreams::Connected(flight, connection) => self.connected(flight, connection),
-            FromUpstreams::Ended { flight, end, wire } => self.ended(flight, end, wire),
-            FromUpstreams::Uploads(flight, fate) => self.uploads(flight, fate),
-            FromUpstreams::Streamed { request, came } => {
+            UpstreamEvent::Connected(flight, connection) => self.connected(flight, connection),
+            UpstreamEvent::Ended { flight, end, wire } => self.ended(flight, end, wire),
+            UpstreamEvent::Uploads(flight, fate) => self.uploads(flight, fate),
+            UpstreamEvent::Streamed { request, came } => {
                 if let Some(class) = self.streams.remove(&request) {
                     self.metrics.ended(class, came);
                 }
             }
-            FromUpstreams::Idle { upstream, life, connection } => self.put_back(upstream, life, *connection),
-            FromUpstreams::Probed { upstream, answer } => {
+            UpstreamEvent::Idle { upstream, life, connection } => self.put_back(upstream, life, *connection),
+            UpstreamEvent::Probed { upstream, answer } => {
                 let answered = answer.as_ref().is_some_and(|answer| answer.status == 200);
                 let text = answer.filter(|_| answered);
                 let text = text.as_ref().and_then(|answer| std::str::from_utf8(answer.body.whole()?).ok());
@@ -491,9 +494,9 @@
         }
     }
 
-    fn heard_of_list(&mut self, message: FromDiscovery) {
+    fn heard_of_list(&mut self, message: DiscoveryEvent) {
         match message {
-            FromDiscovery::Listed { watch, list } if watch == self.watches => {
+            DiscoveryEvent::Listed { watch, list } if watch == self.watches => {
                 self.current = true;
                 self.listed(&list, false);
                 if let Some(followers) = &self.followers {
@@ -501,12 +504,12 @@
                     let _ = followers.try_send(list);
                 }
             }
-            FromDiscovery::Failed { watch, seq } if watch == self.watches => {
+            DiscoveryEvent::Failed { watch, seq } if watch == self.watches => {
                 self.seq = seq;
                 self.event(Event::ListReceived(ListUpdate::Unavailable));
             }
             // Of a watch that another has taken the place of.
-            FromDiscovery::Listed { .. } | FromDiscovery::Failed { .. } => {}
+            DiscoveryEvent::Listed { .. } | DiscoveryEvent::Failed { .. } => {}
         }
     }
 
@@ -521,22 +524,22 @@
     }
 
     /// What a successor goes on from.
-    fn estate(&self) -> Estate {
+    fn estate(&self) -> HandoverState {
         let Snapshot { servers, all } = self.module.memory(self.millis(Instant::now()));
         let known = servers.into_iter().filter_map(|(id, memory)| {
             let host = &self.servers.get(UpstreamId(id))?.host;
-            Some(Known { host: host.host.clone(), born_ms: host.born_ms, memory })
+            Some(ServerState { host: host.host.clone(), born_ms: host.born_ms, memory })
         });
         let list = self.servers.list(self.seq);
-        Estate { names: Names::of(&self.settings), list, all, servers: known.collect() }
+        HandoverState { names: SettingNames::of(&self.settings), list, all, servers: known.collect() }
     }
 
     /// Goes on from what a predecessor left.
-    fn inherit(&mut self, estate: &Estate) {
+    fn inherit(&mut self, estate: &HandoverState) {
         self.listed(&estate.list, true);
         let memory = estate.memory(|host, born| self.servers.number(host, born).map(|id| id.0));
         let now = self.millis(Instant::now());
-        let learnt = match estate.names == Names::of(&self.settings) {
+        let learnt = match estate.names == SettingNames::of(&self.settings) {
             true => self.module.remember(now, &memory).map_err(|fault| fault.to_string()),
             false => Err("the settings name other things".to_owned()),
         };
@@ -547,12 +550,12 @@
         }
     }
 
-    fn arrived(&mut self, arrival: Arrival) {
-        let Arrival { request, class, tenant, id, at, time_left, forward, reply } = arrival;
+    fn arrived(&mut self, arrival: RequestArrival) {
+        let RequestArrival { request, class, tenant, id, at, time_left, forward, reply } = arrival;
         // Upstreams know a request by its id. One that says it is another's would be taken for that one's
         // next attempt.
         if !self.ids.insert(id.clone()) {
-            let _ = reply.send(Final::Rejected(StatusCode::CONFLICT));
+            let _ = reply.send(FinalAnswer::Rejected(StatusCode::CONFLICT));
             return;
         }
         let uploads = forward.body.upload().is_some();
@@ -604,13 +607,13 @@
     }
 
     /// The body of an attempt is still coming, or has come.
-    fn uploads(&mut self, flight: Flight, fate: Fate) {
-        let Flight { request, attempt, .. } = flight;
-        if let Fate::Whole(at) = fate {
+    fn uploads(&mut self, flight: AttemptInfo, fate: UploadState) {
+        let AttemptInfo { request, attempt, .. } = flight;
+        if let UploadState::Whole(at) = fate {
             self.taken(request, at);
         }
         if self.sent.contains_key(&(request, attempt)) {
-            self.event(Event::UploadProgress { request, attempt, in_progress: fate == Fate::Coming });
+            self.event(Event::UploadProgress { request, attempt, in_progress: fate == UploadState::Coming });
         }
     }
 
@@ -638,29 +641,33 @@
     }
 
     /// Answers a request, if it is still owed one.
-    fn finish(&mut self, request: RequestId, answer: Final) -> bool {
+    fn finish(&mut self, request: RequestId, answer: FinalAnswer) -> bool {
         let Some(open) = self.close(request) else { return false };
         self.log.trace(|| {
             let said = match &answer {
-                Final::Served(..) => "served".to_owned(),
-                Final::Refused(after) => format!("refused retry_after_ms={after:.0}"),
-                Final::Failed => "failed".to_owned(),
-                Final::Rejected(status) => format!("rejected status={}", status.as_u16()),
+                FinalAnswer::Served(..) => "served".to_owned(),
+                FinalAnswer::Refused(after) => format!("refused retry_after_ms={after:.0}"),
+                FinalAnswer::Failed => "failed".to_owned(),
+                FinalAnswer::Rejected(status) => format!("rejected status={}", status.as_u16()),
             };
             self.answer_line(&open, &said)
         });
         // What never came whole was no request, unless it got an upstream's answer or a refusal all the same.
         match (&answer, open.timer) {
-            (Final::Rejected(_), None) => return open.reply.send(answer).is_ok(),
+            (FinalAnswer::Rejected(_), None) => return open.reply.send(answer).is_ok(),
             (_, None) => self.metrics.taken(open.class),
             (_, Some(_)) => {}
         }
         match &answer {
             // It is served when its last byte has passed.
-            Final::Served(_, body) if body.is_stream() => drop(self.streams.insert(request, open.class)),
-            Final::Served(..) => self.metrics.ended(open.class, Came::Served),
-            Final::Refused(_) => self.metrics.ended(open.class, Came::Refused),
-            Final::Failed | Final::Rejected(_) => self.metrics.ended(open.class, Came::Failed),
+            FinalAnswer::Served(_, body) if body.is_stream() => {
+                self.streams.insert(request, open.class);
+            }
+            FinalAnswer::Served(..) => self.metrics.ended(open.class, RequestOutcome::Served),
+            FinalAnswer::Refused(_) => self.metrics.ended(open.class, RequestOutcome::Refused),
+            FinalAnswer::Failed | FinalAnswer::Rejected(_) => {
+                self.metrics.ended(open.class, RequestOutcome::Failed)
+            }
         }
         // The client may have gone in this very moment.
         open.reply.send(answer).is_ok()
@@ -688,10 +695,10 @@
                 }
             }
             Action::Refuse { request, retry_after } => {
-                self.finish(request, Final::Refused(retry_after));
+                self.finish(request, FinalAnswer::Refused(retry_after));
             }
             Action::Fail(request) => {
-                self.finish(request, Final::Failed);
+                self.finish(request, FinalAnswer::Failed);
             }
             Action::Probe(upstream) => self.probe(upstream),
             Action::SetTimer { at, token } => {
@@ -719,9 +726,10 @@
             _ => open.deadline.attempts_by(),
         };
         let (aim_at, deadline) = (open.aim_at, open.deadline.at());
-        let life = self.servers.get(upstream).map_or(0, |server| server.life);
+        let incarnation = self.servers.get(upstream).map_or(0, |server| server.life);
         let connect_by = now + self.connect_time;
-        let flight = Flight { request, attempt, upstream, life, until, connect_by, aim_at, deadline };
+        let flight =
+            AttemptInfo { request, attempt, upstream, incarnation, until, connect_by, aim_at, deadline };
         self.sent.insert((request, attempt), Sent { flight, at: now, give_up: None, given_up: false, body });
         if gone {
             // Its body has passed, and there is no other.
@@ -731,22 +739,22 @@
     }
 
     /// Whether an attempt may be written now.
-    fn may_be_written(&self, flight: &Flight) -> Result<(), Outcome> {
+    fn may_be_written(&self, flight: &AttemptInfo) -> Result<(), Outcome> {
         let sent = self.sent.get(&(flight.request, flight.attempt));
-        write_check::verdict(&write_check::Known {
+        write_check::verdict(&write_check::AttemptState {
             open: self.open.contains_key(&flight.request),
             given_up: sent.is_none_or(|sent| sent.given_up),
             time_is_up: Instant::now() >= flight.until,
             too_late: Instant::now() > flight.connect_by + WRITE_IN,
-            upstream: self.servers.get(flight.upstream).map(|server| write_check::Upstream {
-                same_life: server.life == flight.life,
+            upstream: self.servers.get(flight.upstream).map(|server| write_check::UpstreamState {
+                same_life: server.life == flight.incarnation,
                 serves: server.listing.lifecycle == Lifecycle::Serving,
             }),
         })
     }
 
     /// Gets a connection for an attempt: an idle one, or a new one.
-    fn start(&mut self, flight: Flight) {
+    fn start(&mut self, flight: AttemptInfo) {
         if let Err(outcome) = self.may_be_written(&flight) {
             return self.end_later(flight, outcome);
         }
@@ -768,7 +776,7 @@
     }
 
     /// The right to one more connection; an idle one is closed for it if need be.
-    fn permit(&mut self, dial: SocketAddr) -> Option<Permit> {
+    fn permit(&mut self, dial: SocketAddr) -> Option<UpstreamPermit> {
         if let Some(permit) = self.budgets.permit(dial) {
             return Some(permit);
         }
@@ -777,37 +785,37 @@
         self.budgets.permit(dial)
     }
 
-    fn connected(&mut self, flight: Flight, connection: Result<Box<Connection>, String>) {
+    fn connected(&mut self, flight: AttemptInfo, connection: Result<Box<Connection>, String>) {
         // While it connected, its time may have run out, the request may have ended or the upstream may have
         // begun to drain or to live anew: what is not written yet must not be.
         let verdict = self.may_be_written(&flight);
         match (connection, verdict) {
             (Ok(connection), Ok(())) => self.write(flight, *connection),
             (Ok(connection), Err(outcome)) => {
-                self.put_back(flight.upstream, flight.life, *connection);
-                self.ended(flight, End::Outcome(outcome, None), Wire::default());
+                self.put_back(flight.upstream, flight.incarnation, *connection);
+                self.ended(flight, AttemptEnd::Outcome(outcome, None), Wire::default());
             }
             (Err(_), Err(Outcome::NotSent)) => {
-                self.ended(flight, End::Outcome(Outcome::NotSent, None), Wire::default())
+                self.ended(flight, AttemptEnd::Outcome(Outcome::NotSent, None), Wire::default())
             }
             (Err(reason), _) => {
                 let host = self.servers.get(flight.upstream).map_or("?", |server| &server.host.host);
                 self.log.line(format!("upstream {host}: {reason}"));
-                self.ended(flight, End::Outcome(Outcome::Unreachable, None), Wire::default());
+                self.ended(flight, AttemptEnd::Outcome(Outcome::Unreachable, None), Wire::default());
             }
         }
     }
 
     /// Writes an attempt to a connection.
-    fn write(&mut self, flight: Flight, connection: Connection) {
+    fn write(&mut self, flight: AttemptInfo, connection: Connection) {
         let key = (flight.request, flight.attempt);
         let Some(open) = self.open.get(&flight.request) else {
-            self.put_back(flight.upstream, flight.life, connection);
+            self.put_back(flight.upstream, flight.incarnation, connection);
             return self.end_later(flight, Outcome::NotSent);
         };
         let dial = self.servers.get(flight.upstream).map(|server| server.dial());
         let (request, body) = (outgoing(&open.forward, dial, flight.until), open.forward.body.clone());
-        let terms = open.forward.client.clone().map(|client| Terms { client, until: flight.until });
+        let terms = open.forward.client.clone().map(|client| WriteConditions { client, until: flight.until });
         let (give_up, given_up) = oneshot::channel();
         if let Some(sent) = self.sent.get_mut(&key) {
             sent.give_up = Some(give_up);
@@ -823,17 +831,17 @@
     }
 
     /// Ends an attempt that never began, after the actions at hand.
-    fn end_later(&self, flight: Flight, outcome: Outcome) {
-        let (end, wire) = (End::Outcome(outcome, None), Wire::default());
-        self.upstreams.tell(FromUpstreams::Ended { flight, end, wire });
+    fn end_later(&self, flight: AttemptInfo, outcome: Outcome) {
+        let (end, wire) = (AttemptEnd::Outcome(outcome, None), Wire::default());
+        self.upstreams.tell(UpstreamEvent::Ended { flight, end, wire });
     }
 
-    fn ended(&mut self, flight: Flight, end: End, wire: Wire) {
+    fn ended(&mut self, flight: AttemptInfo, end: AttemptEnd, wire: Wire) {
         let key = (flight.request, flight.attempt);
         let (outcome, answer) = match end {
-            End::Outcome(outcome, answer) => (outcome, answer),
+            AttemptEnd::Outcome(outcome, answer) => (outcome, answer),
             // Nothing was written: the same attempt goes on over another connection, if it still may.
-            End::Stale => match self.may_be_written(&flight) {
+            AttemptEnd::Stale => match self.may_be_written(&flight) {
                 Ok(()) => return self.start(flight),
                 Err(outcome) => (outcome, None),
             },
@@ -858,8 +866,8 @@
         // A server begins with the last byte.
         let began = match fate {
             None => Some(sent.at),
-            Some(Fate::Whole(at)) => Some(at.max(sent.at)),
-            Some(Fate::Coming | Fate::Broken(_)) => None,
+            Some(UploadState::Whole(at)) => Some(at.max(sent.at)),
+            Some(UploadState::Coming | UploadState::Broken(_)) => None,
         };
         let latency = began.map_or(0.0, |began| began.elapsed().as_secs_f64() * 1e3);
         let report = answer.as_ref().and_then(|answer| {
@@ -874,17 +882,20 @@
         // The first answer goes to the client by itself and ends the request; so does one that finds fault
         // with the request itself, which other upstreams would find as well.
         let mut client_answered = !self.open.contains_key(&flight.request);
-        if let Some(Fate::Broken(status)) = fate {
+        if let Some(UploadState::Broken(status)) = fate {
             client_answered = true;
-            self.finish(flight.request, Final::Rejected(status));
+            self.finish(flight.request, FinalAnswer::Rejected(status));
         }
         match (outcome, answer) {
             (Outcome::Ok, Some(answer)) => {
-                self.finish(flight.request, Final::Served(client_headers(&answer.headers), answer.body));
+                self.finish(
+                    flight.request,
+                    FinalAnswer::Served(client_headers(&answer.headers), answer.body),
+                );
                 client_answered = true;
             }
             (Outcome::Cancelled, Some(answer)) => {
-                self.finish(flight.request, Final::Rejected(answer.status));
+                self.finish(flight.request, FinalAnswer::Rejected(answer.status));
                 client_answered = true;
             }
             _ => {}
@@ -911,7 +922,7 @@
     fn probe(&mut self, upstream: UpstreamId) {
         let limit = self.idle_limit();
         let now = Instant::now();
-        let nothing = FromUpstreams::Probed { upstream, answer: None };
+        let nothing = UpstreamEvent::Probed { upstream, answer: None };
         let Some(server) = self.servers.get_mut(upstream) else {
             self.upstreams.tell(nothing);
             return;
@@ -928,7 +939,7 @@
             },
         };
         let path = if self.columns.is_empty() { "/alive" } else { "/metrics/load" };
-        let mut request = Request::new(Outgoing::empty());
+        let mut request = Request::new(AttemptBody::empty());
         *request.uri_mut() = Uri::from_static(path);
         if let Ok(host) = HeaderValue::from_str(&dial.to_string()) {
             request.headers_mut().insert(header::HOST, host);
@@ -939,7 +950,7 @@
     /// Tells that it is ready, once it is.
     fn tell_ready(&self) {
         if self.has_list && self.current && !self.metrics.ready.swap(true, Ordering::Release) {
-            self.listener.tell(Told::Ready);
+            self.listener.tell(InstanceEvent::Ready);
         }
     }
 
@@ -957,7 +968,7 @@
         if !listings.is_empty() || (whole && !restored) {
             self.has_list = true;
             self.tell_ready();
-            self.listener.tell(Told::Listed);
+            self.listener.tell(InstanceEvent::Listed);
         }
         self.event(Event::ListReceived(match (restored, whole) {
             (true, _) => ListUpdate::Restored(listings),
@@ -968,8 +979,8 @@
 }
 
 /// The request as it goes to an upstream, but for its body.
-fn outgoing(forward: &Forward, dial: Option<SocketAddr>, until: Instant) -> Request<Outgoing> {
-    let mut request = Request::new(Outgoing::empty());
+fn outgoing(forward: &ForwardedRequest, dial: Option<SocketAddr>, until: Instant) -> Request<AttemptBody> {
+    let mut request = Request::new(AttemptBody::empty());
     *request.method_mut() = forward.method.clone();
     *request.uri_mut() = forward.target.clone();
     let mut headers = forward.headers.clone();
--- a/crates/sidecar/src/driver/tests.rs
+++ b/crates/sidecar/src/driver/tests.rs
@@ -1,7 +1,7 @@
 //! Moments in which an attempt that nothing was written of crosses something else, played turn by turn.
 
 use super::*;
-use crate::transfer::request_body::Kept;
+use crate::transfer::request_body::RequestBody;
 
 const SETTINGS: &str = r#"{"classes":[
     {"name":"a","aim":250.0,"hard_limit":900.0,"importance":2.0,"effect":"repeatable"}],
@@ -19,8 +19,8 @@
 struct Played {
     driver: Driver,
     dial: SocketAddr,
-    flight: Flight,
-    _answer: oneshot::Receiver<Final>,
+    flight: AttemptInfo,
+    _answer: oneshot::Receiver<FinalAnswer>,
     _upstream: std::net::TcpListener,
     _life: watch::Sender<lifecycle::Lifecycle>,
 }
@@ -29,7 +29,7 @@
     let upstream = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
     let dial = upstream.local_addr().expect("it has an address");
     let (life, lives) = watch::channel(lifecycle::Lifecycle::new(false, Instant::now()));
-    let (mut driver, _) = Driver::new(Parts {
+    let (mut driver, _) = Driver::new(DriverConfig {
         settings: serde_json::from_str(SETTINGS).expect("settings"),
         seed: 1,
         discovery: dial,
@@ -37,23 +37,23 @@
         crossing: None,
         metrics: Arc::new(Metrics::new(std::iter::once("a"))),
         log: Log::process(),
-        listener: Outlet::nowhere(),
+        listener: EventSink::nowhere(),
         life: lives,
     });
     driver.listed(&list(1, dial, "ready", 5), false);
     let (reply, answer) = oneshot::channel();
-    driver.arrived(Arrival {
+    driver.arrived(RequestArrival {
         request: RequestId(2),
         class: ClassId(0),
         tenant: TenantId(0),
         id: "2".into(),
         at: Instant::now(),
         time_left: Duration::from_secs(60),
-        forward: Forward {
+        forward: ForwardedRequest {
             method: Method::GET,
             target: Uri::from_static("/a"),
             headers: HeaderMap::new(),
-            body: Kept::Whole(bytes::Bytes::new()),
+            body: RequestBody::Whole(bytes::Bytes::new()),
             client: None,
         },
         reply,
@@ -75,7 +75,7 @@
         ("gone", false, |played| played.driver.listed(&list(2, played.dial, "gone", 5), false)),
         ("another life", false, |played| played.driver.listed(&list(2, played.dial, "ready", 9), false)),
         ("the client leaves", false, |played| {
-            played.driver.happened(Happening::Clients(FromClients::Left(RequestId(2))));
+            played.driver.happened(DriverEvent::Clients(ClientEvent::Left(RequestId(2))));
         }),
         ("its wait is over", false, |played| {
             let by = Instant::now().checked_sub(WRITE_IN * 2).expect("the clock has run for longer");
@@ -87,7 +87,7 @@
         let mut played = play();
         cross(&mut played);
         let Played { driver, flight, .. } = &mut played;
-        driver.ended(*flight, End::Stale, Wire::default());
+        driver.ended(*flight, AttemptEnd::Stale, Wire::default());
         let first = (flight.request, flight.attempt);
         assert_eq!(driver.sent.contains_key(&first), goes_on, "{what}");
     }
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -25,20 +25,20 @@
 use tokio::task::{Id, JoinSet};
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
-use crate::budget::{Quota, Room};
+use crate::budget::{Quota, TransferLimit};
 use crate::client::Client;
-use crate::connection_activity::Slot;
-use crate::connection_close::{self, Deed, Holds, Reason};
+use crate::connection_activity::ConnectionActivity;
+use crate::connection_close::{self, CloseAction, CloseReason, ConnectionContents};
 use crate::headers::end_to_end;
 use crate::lifecycle::{Lifecycle, Stage};
 use crate::log::Log;
-use crate::messages::{Arrival, Final, Forward, FromClients, Outlet};
+use crate::messages::{ClientEvent, EventSink, FinalAnswer, ForwardedRequest, RequestArrival};
 use crate::metrics::Metrics;
 use crate::request_bound::{RequestState, bound};
-use crate::transfer::answer::Payload;
-use crate::transfer::body_buffer::Gathered;
+use crate::transfer::answer::AnswerBody;
+use crate::transfer::body_buffer::BodyBuffer;
 use crate::transfer::limits::{HEAD, MOST_BYTES, WHOLE_BYTES};
-use crate::transfer::request_body::Kept;
+use crate::transfer::request_body::RequestBody;
 use crate::transfer::upload::Upload;
 
 /// Clients that connect while the sidecar starts or is busy wait here.
@@ -71,7 +71,7 @@
 const MAX_TIMEOUT_MS: u64 = 600_000;
 
 /// What class and tenant names stand for.
-pub struct Names {
+pub struct RequestNames {
     /// By class id.
     pub classes: Vec<ClassForm>,
     /// By tenant id.
@@ -81,15 +81,15 @@
 /// What all client connections share. Counters only: the driver alone owns state.
 pub struct Front {
     /// Names in requests.
-    pub names: Names,
+    pub names: RequestNames,
     /// Whether clients are wanted.
     pub life: watch::Receiver<Lifecycle>,
     /// To the driver.
-    pub told: Outlet<FromClients>,
+    pub told: EventSink<ClientEvent>,
     /// How many connections there may be.
     pub connections: Quota,
     /// Room for bodies that go on as they come.
-    pub transfers: Room,
+    pub transfers: TransferLimit,
     /// Whether it is ready, and what was counted.
     pub metrics: Arc<Metrics>,
     /// For what goes wrong.
@@ -101,11 +101,11 @@
 impl Front {
     /// A front that has taken nothing yet.
     pub fn new(
-        names: Names,
+        names: RequestNames,
         life: watch::Receiver<Lifecycle>,
-        told: Outlet<FromClients>,
+        told: EventSink<ClientEvent>,
         connections: Quota,
-        transfers: Room,
+        transfers: TransferLimit,
         metrics: Arc<Metrics>,
         log: Log,
     ) -> Front {
@@ -130,7 +130,7 @@
 /// The open connections, and what is needed to choose one to close.
 struct Slots {
     epoch: Instant,
-    by_task: HashMap<Id, Arc<Slot>>,
+    by_task: HashMap<Id, Arc<ConnectionActivity>>,
 }
 
 impl Slots {
@@ -139,12 +139,12 @@
     /// never closed for another.
     fn make_room(&self) -> bool {
         let now = Instant::now();
-        let asked = |slot: &&Arc<Slot>| slot.making_room.load(Ordering::Relaxed);
+        let asked = |slot: &&Arc<ConnectionActivity>| slot.making_room.load(Ordering::Relaxed);
         let quiet = self.by_task.values().filter(|slot| !asked(slot));
         let quiet = quiet.filter_map(|slot| Some((slot.quiet_since()?, slot)));
         let settled = quiet.filter(|(since, _)| *since + SETTLED <= now);
         // A client that writes slowly loses its request, one that is idle at most connects anew.
-        let first = settled.min_by_key(|(since, slot)| (slot.holds() != Holds::Nothing, *since));
+        let first = settled.min_by_key(|(since, slot)| (slot.holds() != ConnectionContents::Nothing, *since));
         let Some((_, slot)) = first else { return false };
         slot.making_room.store(true, Ordering::Relaxed);
         slot.make_room.notify_one();
@@ -159,7 +159,7 @@
         }
         let now = Instant::now();
         let used = self.by_task.values().filter(|slot| slot.is_used());
-        let mut quiet: Vec<(Instant, &Arc<Slot>)> =
+        let mut quiet: Vec<(Instant, &Arc<ConnectionActivity>)> =
             used.filter_map(|slot| Some((slot.quiet_since()?, slot))).collect();
         let beyond = quiet.len().saturating_sub(most);
         if beyond == 0 {
@@ -229,7 +229,7 @@
 ) -> Option<Instant> {
     // Another generation may have taken the last place since: then this one is a little over.
     let place = front.connections.take_beyond(CLOSING);
-    let slot = Arc::new(Slot::new(slots.epoch));
+    let slot = Arc::new(ConnectionActivity::new(slots.epoch));
     let (served, kept) = (front.clone(), slot.clone());
     let task = connections.spawn(async move {
         connection(stream, &served, &slot).await;
@@ -274,7 +274,7 @@
 }
 
 /// Serves one client connection.
-async fn connection(stream: TcpStream, front: &Arc<Front>, slot: &Arc<Slot>) {
+async fn connection(stream: TcpStream, front: &Arc<Front>, slot: &Arc<ConnectionActivity>) {
     let _ = stream.set_nodelay(true);
     let mut life = front.life.clone();
     let now = *life.borrow_and_update();
@@ -338,16 +338,16 @@
             }
             () = sleep_until(answer_by.unwrap_or(accepted)), if answer_by.is_some() && !end_is_near => {
                 end_is_near = true;
-                Reason::EndIsNear
+                CloseReason::EndIsNear
             }
-            () = sleep_until(ends_at.unwrap_or(accepted)), if ends_at.is_some() => Reason::Ends,
+            () = sleep_until(ends_at.unwrap_or(accepted)), if ends_at.is_some() => CloseReason::Ends,
             () = sleep_until(due), if !ending => match (slot.quiet_since(), slot.head_since()) {
-                (Some(_), Some(began)) if began + HEAD <= Instant::now() => Reason::HeadOverdue,
-                (Some(quiet), None) if quiet + IDLE <= Instant::now() => Reason::Idle,
+                (Some(_), Some(began)) if began + HEAD <= Instant::now() => CloseReason::HeadOverdue,
+                (Some(quiet), None) if quiet + IDLE <= Instant::now() => CloseReason::Idle,
                 _ => continue,
             },
-            () = slot.let_go.notified(), if !ending => Reason::LetGo,
-            () = slot.make_room.notified() => Reason::MakeRoom,
+            () = slot.let_go.notified(), if !ending => CloseReason::LetGo,
+            () = slot.make_room.notified() => CloseReason::MakeRoom,
         };
         // Whatever is in the socket by now came first. A request that does is answered, and one that has begun is waited for.
         let before = slot.reads();
@@ -357,32 +357,36 @@
         }
         let came = slot.reads() != before;
         let holds = match (slot.holds(), slot.next_request_at()) {
-            (Holds::Request, Some(next)) if !life.borrow().closes_after_answer(Some(next)) => Holds::Requests,
+            (ConnectionContents::Request, Some(next)) if !life.borrow().closes_after_answer(Some(next)) => {
+                ConnectionContents::Requests
+            }
             (holds, _) => holds,
         };
         let deed = match connection_close::deed(reason, holds) {
             // Who has just spoken is neither idle nor quiet; the place of another is asked for next.
-            Deed::Shut | Deed::Drop if came && !matches!(reason, Reason::Ends | Reason::EndIsNear) => {
-                Deed::Keep
+            CloseAction::Shut | CloseAction::Drop
+                if came && !matches!(reason, CloseReason::Ends | CloseReason::EndIsNear) =>
+            {
+                CloseAction::Keep
             }
             deed => deed,
         };
         let now = Instant::now();
         match deed {
-            Deed::Keep => {
+            CloseAction::Keep => {
                 // Who is in the middle of a head has the time that heads have; who has asked more than once is answered.
-                let over =
-                    holds != Holds::Requests && slot.head_since().is_none_or(|began| began + HEAD <= now);
+                let over = holds != ConnectionContents::Requests
+                    && slot.head_since().is_none_or(|began| began + HEAD <= now);
                 match (reason, over) {
-                    (Reason::Ends, true) => return,
-                    (Reason::Ends, false) => ends_at = Some(now + HALF_WAY),
-                    (Reason::MakeRoom, _) => slot.making_room.store(false, Ordering::Relaxed),
+                    (CloseReason::Ends, true) => return,
+                    (CloseReason::Ends, false) => ends_at = Some(now + HALF_WAY),
+                    (CloseReason::MakeRoom, _) => slot.making_room.store(false, Ordering::Relaxed),
                     _ => {}
                 }
             }
-            Deed::Drop => return,
-            Deed::Shut | Deed::AfterAnswer => {
-                if reason == Reason::Ends {
+            CloseAction::Drop => return,
+            CloseAction::Shut | CloseAction::AfterAnswer => {
+                if reason == CloseReason::Ends {
                     ends_at = None;
                 }
                 ending = true;
@@ -402,7 +406,7 @@
 impl Drop for Guard<'_> {
     fn drop(&mut self) {
         if !self.answered {
-            self.front.told.tell(FromClients::Left(self.request));
+            self.front.told.tell(ClientEvent::Left(self.request));
         }
     }
 }
@@ -410,7 +414,11 @@
 /// What is wrong with a request.
 type Malformed = (StatusCode, &'static str);
 
-async fn handle(request: Request<Incoming>, front: &Front, slot: &Slot) -> Response<Payload> {
+async fn handle(
+    request: Request<Incoming>,
+    front: &Front,
+    slot: &ConnectionActivity,
+) -> Response<AnswerBody> {
     if request.uri().path() == "/up" {
         let ready = front.metrics.ready.load(Ordering::Relaxed);
         return match (request.method() == Method::GET, front.life.borrow().up(), ready) {
@@ -427,9 +435,9 @@
     let (head, body) = request.into_parts();
     let (began, stated) = (Instant::now(), body.size_hint().exact());
     let body = match gather(body, began, stated).await {
-        Ok((first, None)) => Kept::Whole(first),
+        Ok((first, None)) => RequestBody::Whole(first),
         Ok((first, Some(rest))) => match front.transfers.take() {
-            Some(room) => Kept::Upload(Arc::new(Upload::new(first, rest, stated, began, room))),
+            Some(room) => RequestBody::Upload(Arc::new(Upload::new(first, rest, stated, began, room))),
             // Nothing has run, and there is no room to wait in.
             None => return refused(CROWDED_RETRY_MS),
         },
@@ -442,21 +450,21 @@
     let request = RequestId(front.next_id.fetch_add(1, Ordering::Relaxed));
     let (reply, answer) = oneshot::channel();
     let (headers, client) = (end_to_end(&head.headers), slot.client());
-    let forward = Forward { method: head.method, target, headers, body, client };
-    let arrival = Arrival { request, class, tenant, id, at, time_left, forward, reply };
+    let forward = ForwardedRequest { method: head.method, target, headers, body, client };
+    let arrival = RequestArrival { request, class, tenant, id, at, time_left, forward, reply };
     let mut guard = Guard { request, front, answered: false };
-    front.told.tell(FromClients::Arrived(Box::new(arrival)));
+    front.told.tell(ClientEvent::Arrived(Box::new(arrival)));
     let answer = answer.await;
     guard.answered = true;
     match answer {
-        Ok(Final::Served(headers, body)) => {
+        Ok(FinalAnswer::Served(headers, body)) => {
             let mut response = Response::new(body);
             *response.headers_mut() = headers;
             response
         }
-        Ok(Final::Refused(retry_after)) => refused(retry_after),
-        Ok(Final::Rejected(status)) => plain(status, "the request cannot be served"),
-        Ok(Final::Failed) | Err(_) => plain(StatusCode::BAD_GATEWAY, "failed"),
+        Ok(FinalAnswer::Refused(retry_after)) => refused(retry_after),
+        Ok(FinalAnswer::Rejected(status)) => plain(status, "the request cannot be served"),
+        Ok(FinalAnswer::Failed) | Err(_) => plain(StatusCode::BAD_GATEWAY, "failed"),
     }
 }
 
@@ -467,7 +475,7 @@
     began: Instant,
     stated: Option<u64>,
 ) -> Result<(Bytes, Option<Incoming>), Malformed> {
-    let mut gathered = Gathered::default();
+    let mut gathered = BodyBuffer::default();
     while !body.is_end_stream() {
         let reading = RequestState::Reading { head_at: began, bytes: gathered.length() as u64 };
         match timeout_at(bound(reading).at, body.frame()).await {
@@ -497,7 +505,7 @@
 }
 
 /// Reads the head of a request. What upstreams could not use, or might read otherwise, never goes on to them.
-fn check(request: &Request<Incoming>, names: &Names) -> Result<Checked, Malformed> {
+fn check(request: &Request<Incoming>, names: &RequestNames) -> Result<Checked, Malformed> {
     let bad = |reason| (StatusCode::BAD_REQUEST, reason);
     let first = request.uri().path().trim_start_matches('/').split('/').next().unwrap_or_default();
     let Some(class) = names.classes.iter().position(|form| form.name == first) else {
@@ -570,7 +578,7 @@
 }
 
 /// Trying again is harmless, best after this long.
-fn refused(retry_after: Millis) -> Response<Payload> {
+fn refused(retry_after: Millis) -> Response<AnswerBody> {
     let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
     let seconds = HeaderValue::from_str(&format!("{:.3}", retry_after / 1_000.0));
     if let (Ok(seconds), true) = (seconds, retry_after > 0.0) {
@@ -579,8 +587,8 @@
     response
 }
 
-fn plain(status: StatusCode, reason: &'static str) -> Response<Payload> {
-    let mut response = Response::new(Payload::Whole(Bytes::from_static(reason.as_bytes())));
+fn plain(status: StatusCode, reason: &'static str) -> Response<AnswerBody> {
+    let mut response = Response::new(AnswerBody::Whole(Bytes::from_static(reason.as_bytes())));
     *response.status_mut() = status;
     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     response
--- a/crates/sidecar/src/front/tests.rs
+++ b/crates/sidecar/src/front/tests.rs
@@ -4,7 +4,7 @@
 use std::io::{Read, Write};
 
 use super::*;
-use crate::lifecycle::{Drain, Wish};
+use crate::lifecycle::{Drain, LifecycleRequest};
 
 const REQUEST: &[u8] =
     b"GET /a HTTP/1.1\r\nHost: x\r\nX-Request-ID: 1\r\nX-Priority-Class: a\r\nX-Timeout-Ms: 5000\r\n\r\n";
@@ -12,7 +12,7 @@
 /// One client connection as it is served, and what may close it.
 struct Served {
     client: std::net::TcpStream,
-    slot: Arc<Slot>,
+    slot: Arc<ConnectionActivity>,
     life: watch::Sender<Lifecycle>,
     _task: tokio::task::JoinHandle<()>,
 }
@@ -21,15 +21,15 @@
 fn refusing() -> (Arc<Front>, watch::Sender<Lifecycle>) {
     let (life, lives) = watch::channel(Lifecycle::new(false, Instant::now()));
     let form = ClassForm { name: "a".to_owned(), effect: Effect::Idempotent, put: false };
-    let told = Outlet::to(|message| {
-        if let FromClients::Arrived(arrival) = message {
-            let _ = arrival.reply.send(Final::Refused(0.0));
+    let told = EventSink::to(|message| {
+        if let ClientEvent::Arrived(arrival) = message {
+            let _ = arrival.reply.send(FinalAnswer::Refused(0.0));
         }
         true
     });
     let budgets = crate::budget::Budgets::of(8);
     let front = Front::new(
-        Names { classes: vec![form], tenants: Vec::new() },
+        RequestNames { classes: vec![form], tenants: Vec::new() },
         lives,
         told,
         budgets.clients.clone(),
@@ -53,7 +53,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let client = connect(&listener);
     let (stream, _) = listener.accept().await.expect("it comes");
-    let slot = Arc::new(Slot::new(Instant::now()));
+    let slot = Arc::new(ConnectionActivity::new(Instant::now()));
     let kept = slot.clone();
     let task = tokio::spawn(async move { connection(stream, &front, &kept).await });
     Served { client, slot, life, _task: task }
@@ -94,7 +94,7 @@
         ("the end has begun", |served| {
             served.life.send_modify(|life| {
                 let (linger, at_most) = (Duration::from_secs(20), Duration::from_secs(30));
-                life.wish(Wish::Drain(Drain::Close { linger, at_most }), Instant::now());
+                life.request(LifecycleRequest::Drain(Drain::Close { linger, at_most }), Instant::now());
             });
         }),
     ];
@@ -138,9 +138,11 @@
     let (at, let_go) = (listener.clone(), Arc::new(std::sync::atomic::AtomicBool::new(false)));
     let told = let_go.clone();
     tokio::spawn(serve(listener, front, move || told.store(true, Ordering::Relaxed)));
-    let wish =
-        Wish::Drain(Drain::Close { linger: Duration::from_secs(20), at_most: Duration::from_secs(30) });
-    life.send_modify(|life| assert!(life.wish(wish, Instant::now())));
+    let wish = LifecycleRequest::Drain(Drain::Close {
+        linger: Duration::from_secs(20),
+        at_most: Duration::from_secs(30),
+    });
+    life.send_modify(|life| assert!(life.request(wish, Instant::now())));
     // Until it waits for clients, and has been told of all that came before.
     sleep(Duration::from_millis(20)).await;
     // In one turn: the kernel has accepted the client, and then no more are wanted.
--- a/crates/sidecar/src/handover/link.rs
+++ b/crates/sidecar/src/handover/link.rs
@@ -17,12 +17,12 @@
 use tokio::task::JoinHandle;
 use tokio::time::{MissedTickBehavior, interval, sleep, timeout};
 
-use super::message::{Estate, LINE_BYTES, Message, VERSION};
-use super::shares::{Shares, Standing};
-use crate::budget::{Amounts, Budgets};
+use super::message::{HandoverState, LINE_BYTES, Message, VERSION};
+use super::shares::{ProcessStatus, Shares};
+use crate::budget::{Budgets, ResourceCounts};
 use crate::instance::Control;
 use crate::lifecycle::Stage;
-use crate::line_buffer::Lines;
+use crate::line_buffer::LineBuffer;
 use crate::log::Log;
 
 const NAME: &str = "sagemast.sock";
@@ -44,13 +44,13 @@
 
 /// The directory that all processes of a sidecar see.
 #[derive(Debug, Clone)]
-pub struct Place(PathBuf);
+pub struct HandoverDirectory(PathBuf);
 
-impl Place {
+impl HandoverDirectory {
     /// `$TMPDIR`, if there is one.
-    pub fn from_env() -> Option<Place> {
+    pub fn from_env() -> Option<HandoverDirectory> {
         let dir = PathBuf::from(std::env::var_os("TMPDIR")?);
-        dir.is_dir().then_some(Place(dir))
+        dir.is_dir().then_some(HandoverDirectory(dir))
     }
 
     /// A path in it that the kernel takes for an address, and what has to be kept open for that.
@@ -86,18 +86,18 @@
 }
 
 /// The predecessor, once it has handed over.
-pub struct Elder {
+pub struct Predecessor {
     stream: UnixStream,
-    lines: Lines,
-    standing: Standing,
+    lines: LineBuffer,
+    standing: ProcessStatus,
     /// What it leaves.
-    pub estate: Option<Box<Estate>>,
+    pub estate: Option<Box<HandoverState>>,
 }
 
-impl Elder {
+impl Predecessor {
     /// Meets the predecessor, if there is one that lives. What is wrong with it is told in one line.
-    pub async fn meet(place: &Place, log: &Log) -> Option<Elder> {
-        let met = timeout(HAND_OVER, Elder::try_meet(place)).await;
+    pub async fn meet(place: &HandoverDirectory, log: &Log) -> Option<Predecessor> {
+        let met = timeout(HAND_OVER, Predecessor::try_meet(place)).await;
         match met.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())) {
             Ok(elder) => elder,
             Err(error) => {
@@ -107,7 +107,7 @@
         }
     }
 
-    async fn try_meet(place: &Place) -> io::Result<Option<Elder>> {
+    async fn try_meet(place: &HandoverDirectory) -> io::Result<Option<Predecessor>> {
         let mut waited = Duration::ZERO;
         let mut stream = loop {
             match place.connect().await {
@@ -122,14 +122,14 @@
         };
         is_ours(&stream)?;
         stream.write_all(&Message::Hello { v: VERSION }.line()).await?;
-        let mut lines = Lines::new(LINE_BYTES);
+        let mut lines = LineBuffer::new(LINE_BYTES);
         let Some(Message::Estate(estate)) = hear(&mut stream, &mut lines).await? else {
             return Err(io::Error::other("it leaves nothing"));
         };
         let Some(Message::Stands(standing)) = hear(&mut stream, &mut lines).await? else {
             return Err(io::Error::other("it does not say how it stands"));
         };
-        Ok(Some(Elder { stream, lines, standing, estate: Some(estate) }))
+        Ok(Some(Predecessor { stream, lines, standing, estate: Some(estate) }))
     }
 }
 
@@ -142,7 +142,10 @@
 }
 
 /// The next message; `None` at the end.
-async fn hear<R: AsyncReadExt + Unpin>(stream: &mut R, lines: &mut Lines) -> io::Result<Option<Message>> {
+async fn hear<R: AsyncReadExt + Unpin>(
+    stream: &mut R,
+    lines: &mut LineBuffer,
+) -> io::Result<Option<Message>> {
     loop {
         if let Some(line) = lines.next_line() {
             return Message::read(&line).map(Some).map_err(io::Error::other);
@@ -174,7 +177,13 @@
 }
 
 impl Peer {
-    fn new(stream: UnixStream, lines: Lines, side: Side, number: u64, heard: mpsc::Sender<Heard>) -> Peer {
+    fn new(
+        stream: UnixStream,
+        lines: LineBuffer,
+        side: Side,
+        number: u64,
+        heard: mpsc::Sender<Heard>,
+    ) -> Peer {
         let (reads, writes) = stream.into_split();
         let (told, telling) = mpsc::channel(WAITING);
         let gone = heard.clone();
@@ -200,7 +209,7 @@
 
 async fn read(
     mut stream: OwnedReadHalf,
-    mut lines: Lines,
+    mut lines: LineBuffer,
     side: Side,
     number: u64,
     heard: mpsc::Sender<Heard>,
@@ -224,10 +233,10 @@
 
 /// What the processes of a sidecar share, as one of them sees it.
 pub struct Succession {
-    place: Place,
+    place: HandoverDirectory,
     control: Control,
     budgets: Budgets,
-    whole: Amounts,
+    whole: ResourceCounts,
     sidecars: u32,
     log: Log,
     shares: Shares,
@@ -240,13 +249,13 @@
 }
 
 /// The hold on it. It ends when this is dropped.
-pub struct Hold {
+pub struct SuccessionHandle {
     task: JoinHandle<()>,
     serves: Arc<Notify>,
     succeeded: Arc<AtomicBool>,
 }
 
-impl Hold {
+impl SuccessionHandle {
     /// This process serves now: who comes next is to ask it.
     pub fn serves(&self) {
         self.serves.notify_one();
@@ -258,7 +267,7 @@
     }
 }
 
-impl Drop for Hold {
+impl Drop for SuccessionHandle {
     fn drop(&mut self) {
         self.task.abort();
     }
@@ -266,13 +275,13 @@
 
 /// Shares with the predecessor, if there is one, and with successors, from now on.
 pub fn run(
-    place: Place,
-    elder: Option<Elder>,
+    place: HandoverDirectory,
+    elder: Option<Predecessor>,
     control: Control,
     budgets: Budgets,
     sidecars: u32,
     log: Log,
-) -> Hold {
+) -> SuccessionHandle {
     let whole = budgets.limits();
     let (heard, hears) = mpsc::channel(WAITING);
     let mut shares = Shares::new(whole);
@@ -297,7 +306,7 @@
     succession.apply();
     let serves = Arc::new(Notify::new());
     let task = tokio::spawn(succession.run(serves.clone(), heard, hears));
-    Hold { task, serves, succeeded }
+    SuccessionHandle { task, serves, succeeded }
 }
 
 impl Succession {
@@ -365,9 +374,9 @@
             Ok(Ok((stream, lines))) => {
                 self.peers += 1;
                 self.younger = Some(Peer::new(stream, lines, Side::Younger, self.peers, heard.clone()));
-                let nothing = Amounts::default();
+                let nothing = ResourceCounts::default();
                 // Until it says how it stands.
-                self.shares.younger(Some(Standing {
+                self.shares.younger(Some(ProcessStatus {
                     held: nothing,
                     whole: self.whole,
                     leaving: false,
@@ -382,9 +391,9 @@
         }
     }
 
-    async fn hand_over(&self, mut stream: UnixStream) -> io::Result<(UnixStream, Lines)> {
+    async fn hand_over(&self, mut stream: UnixStream) -> io::Result<(UnixStream, LineBuffer)> {
         is_ours(&stream)?;
-        let mut lines = Lines::new(LINE_BYTES);
+        let mut lines = LineBuffer::new(LINE_BYTES);
         match hear(&mut stream, &mut lines).await? {
             Some(Message::Hello { v: VERSION }) => {}
             Some(Message::Hello { v }) => {
@@ -400,9 +409,9 @@
     }
 
     /// A standing with what the shares do not know.
-    fn complete(&self, standing: Standing) -> Standing {
+    fn complete(&self, standing: ProcessStatus) -> ProcessStatus {
         let life = self.control.life();
-        Standing { serving: matches!(life.stage(), Stage::Serving | Stage::Evacuating), ..standing }
+        ProcessStatus { serving: matches!(life.stage(), Stage::Serving | Stage::Evacuating), ..standing }
     }
 
     fn heard(&mut self, (side, number, message): Heard) {
--- a/crates/sidecar/src/handover/message.rs
+++ b/crates/sidecar/src/handover/message.rs
@@ -4,7 +4,7 @@
 use sagemast_decide::snapshot::{ServerSnapshot, SharedSnapshot, Snapshot};
 use serde::{Deserialize, Serialize};
 
-use super::shares::Standing;
+use super::shares::ProcessStatus;
 use crate::hosts::HostList;
 
 /// The version of what is said.
@@ -22,9 +22,9 @@
         v: u32,
     },
     /// By the elder, in answer.
-    Estate(Box<Estate>),
+    Estate(Box<HandoverState>),
     /// How one of them stands; often.
-    Stands(Standing),
+    Stands(ProcessStatus),
     /// What discovery told one of them.
     News {
         /// The list, or what changed.
@@ -34,20 +34,20 @@
 
 /// What a process leaves to its successor.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Estate {
+pub struct HandoverState {
     /// The names that numbers stand for in the memory.
-    pub names: Names,
+    pub names: SettingNames,
     /// The list of upstreams, with its version.
     pub list: HostList,
     /// What was learnt of all.
     pub all: SharedSnapshot,
     /// What was learnt of each.
-    pub servers: Vec<Known>,
+    pub servers: Vec<ServerState>,
 }
 
 /// What was learnt of an upstream, by its name and life.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Known {
+pub struct ServerState {
     /// As discovery names it.
     pub host: String,
     /// When it last started, in Unix milliseconds.
@@ -58,17 +58,17 @@
 
 /// Names that the settings give numbers to.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Names {
+pub struct SettingNames {
     classes: Vec<String>,
     tenants: Vec<String>,
     zones: Vec<String>,
     kinds: Vec<String>,
 }
 
-impl Names {
+impl SettingNames {
     /// Those of these settings.
-    pub fn of(settings: &SettingsObject) -> Names {
-        Names {
+    pub fn of(settings: &SettingsObject) -> SettingNames {
+        SettingNames {
             classes: settings.classes().into_iter().map(|form| form.name).collect(),
             tenants: settings.tenant_names(),
             zones: settings.zone_names().to_vec(),
@@ -77,7 +77,7 @@
     }
 }
 
-impl Estate {
+impl HandoverState {
     /// The memory in the module's terms, where an upstream's number is found by its name and life.
     pub fn memory(&self, number: impl Fn(&str, f64) -> Option<u64>) -> Snapshot {
         let servers = self.servers.iter().filter_map(|known| {
@@ -112,24 +112,29 @@
     use sagemast_decide::api::{Event, ListUpdate};
 
     use super::*;
-    use crate::budget::Amounts;
+    use crate::budget::ResourceCounts;
 
     const SETTINGS: &str = r#"{"classes":[{"name":"a","aim":250.0,"hard_limit":900.0,"importance":2.0,"effect":"repeatable"}],
         "allowed":{"max_attempts":3},"peers_total":3,"membership_mode":"automatic","telemetry":{},"kinds":["k"],
         "invariants":{"cold_share":0.1,"warm_up":2e4,"fall_multiple":2.5,"fall":1500.0}}"#;
 
-    fn estate() -> Estate {
+    fn estate() -> HandoverState {
         let settings: SettingsObject = serde_json::from_str(SETTINGS).unwrap();
         let mut module = Balancer::new(settings.settings(), 1);
         module.handle(5.0, Event::ListReceived(ListUpdate::Complete(Vec::new())), &mut Vec::new());
         let Snapshot { all, .. } = module.memory(5.0);
-        Estate { names: Names::of(&settings), list: HostList::default(), all, servers: Vec::new() }
+        HandoverState {
+            names: SettingNames::of(&settings),
+            list: HostList::default(),
+            all,
+            servers: Vec::new(),
+        }
     }
 
     fn sound() -> Vec<Message> {
-        let standing = Standing {
-            held: Amounts::default(),
-            whole: Amounts::default(),
+        let standing = ProcessStatus {
+            held: ResourceCounts::default(),
+            whole: ResourceCounts::default(),
             leaving: true,
             serving: false,
             side: 1,
--- a/crates/sidecar/src/handover/mod.rs
+++ b/crates/sidecar/src/handover/mod.rs
@@ -14,4 +14,4 @@
 pub mod message;
 pub mod shares;
 
-pub use link::{Elder, Hold, Place, Succession, run};
+pub use link::{HandoverDirectory, Predecessor, Succession, SuccessionHandle, run};
--- a/crates/sidecar/src/handover/shares.rs
+++ b/crates/sidecar/src/handover/shares.rs
@@ -5,18 +5,18 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::budget::Amounts;
+use crate::budget::ResourceCounts;
 
 /// What a process that leaves may hold beside what it held when it began to: an eighth, for second attempts.
 const TO_FINISH: usize = 8;
 
 /// What one process tells the other of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Standing {
+pub struct ProcessStatus {
     /// What it holds.
-    pub held: Amounts,
+    pub held: ResourceCounts,
     /// What there is for the two of them.
-    pub whole: Amounts,
+    pub whole: ResourceCounts,
     /// Whether it takes no new clients.
     pub leaving: bool,
     /// Whether it takes clients.
@@ -26,7 +26,12 @@
 }
 
 /// What a process may hold of the whole, beside a peer that told this of itself.
-fn beside(whole: Amounts, held: Amounts, leaving: bool, peer: &Standing) -> Amounts {
+fn beside(
+    whole: ResourceCounts,
+    held: ResourceCounts,
+    leaving: bool,
+    peer: &ProcessStatus,
+) -> ResourceCounts {
     let part = |whole: usize| whole / TO_FINISH;
     if leaving && !peer.leaving {
         return held.with(whole, |held, whole| held.max(part(whole)).min(whole));
@@ -38,25 +43,25 @@
 /// One process between the one before it and the one after it, of which there may be none.
 #[derive(Debug, Clone, Copy)]
 pub struct Shares {
-    whole: Amounts,
-    elder: Option<Standing>,
-    younger: Option<Standing>,
+    whole: ResourceCounts,
+    elder: Option<ProcessStatus>,
+    younger: Option<ProcessStatus>,
     leaving: bool,
 }
 
 impl Shares {
     /// One that is alone and may hold this.
-    pub fn new(whole: Amounts) -> Shares {
+    pub fn new(whole: ResourceCounts) -> Shares {
         Shares { whole, elder: None, younger: None, leaving: false }
     }
 
     /// What the one before it tells; `None` once it has ended.
-    pub fn elder(&mut self, standing: Option<Standing>) {
+    pub fn elder(&mut self, standing: Option<ProcessStatus>) {
         self.elder = standing;
     }
 
     /// What the one after it tells; `None` once it has ended.
-    pub fn younger(&mut self, standing: Option<Standing>) {
+    pub fn younger(&mut self, standing: Option<ProcessStatus>) {
         self.younger = standing;
     }
 
@@ -66,7 +71,7 @@
     }
 
     /// What there is for it and who comes after it.
-    fn ours(&self, held: Amounts) -> Amounts {
+    fn ours(&self, held: ResourceCounts) -> ResourceCounts {
         match &self.elder {
             // The elder's word counts where it has less to share than the configuration says.
             Some(elder) => {
@@ -78,7 +83,7 @@
     }
 
     /// What it may hold, where it holds this.
-    pub fn allowed(&self, held: Amounts) -> Amounts {
+    pub fn allowed(&self, held: ResourceCounts) -> ResourceCounts {
         let ours = self.ours(held);
         match &self.younger {
             Some(younger) => beside(ours, held, self.leaving, younger),
@@ -88,20 +93,20 @@
 
     /// How many processes there are, itself included.
     pub fn processes(&self) -> u32 {
-        let side = |peer: &Option<Standing>| peer.map_or(0, |peer| peer.side.clamp(1, MOST_PROCESSES));
+        let side = |peer: &Option<ProcessStatus>| peer.map_or(0, |peer| peer.side.clamp(1, MOST_PROCESSES));
         1 + side(&self.elder) + side(&self.younger)
     }
 
     /// What it tells the one before it.
-    pub fn to_elder(&self, held: Amounts) -> Standing {
+    pub fn to_elder(&self, held: ResourceCounts) -> ProcessStatus {
         let side = 1 + self.younger.map_or(0, |peer| peer.side.clamp(1, MOST_PROCESSES));
-        Standing { held, whole: self.whole, leaving: self.leaving, serving: !self.leaving, side }
+        ProcessStatus { held, whole: self.whole, leaving: self.leaving, serving: !self.leaving, side }
     }
 
     /// What it tells the one after it.
-    pub fn to_younger(&self, held: Amounts) -> Standing {
+    pub fn to_younger(&self, held: ResourceCounts) -> ProcessStatus {
         let side = 1 + self.elder.map_or(0, |peer| peer.side.clamp(1, MOST_PROCESSES));
-        Standing { held, whole: self.ours(held), leaving: self.leaving, serving: !self.leaving, side }
+        ProcessStatus { held, whole: self.ours(held), leaving: self.leaving, serving: !self.leaving, side }
     }
 }
 
@@ -112,11 +117,11 @@
 mod tests {
     use super::*;
 
-    fn all(count: usize) -> Amounts {
-        Amounts { clients: count, upstreams: count, transfers: count }
+    fn all(count: usize) -> ResourceCounts {
+        ResourceCounts { clients: count, upstreams: count, transfers: count }
     }
 
-    fn count(amounts: Amounts) -> usize {
+    fn count(amounts: ResourceCounts) -> usize {
         assert_eq!((amounts.clients, amounts.upstreams), (amounts.upstreams, amounts.transfers));
         amounts.clients
     }
--- a/crates/sidecar/src/instance.rs
+++ b/crates/sidecar/src/instance.rs
@@ -14,14 +14,14 @@
 use tokio::time::{Instant, sleep_until, timeout};
 
 use crate::budget::Budgets;
-use crate::cross_zone_budget::Crossing;
-use crate::driver::{self, Driver, Happening, Order, Told};
-use crate::front::{self, Front, Names};
-use crate::handover::message::Estate;
+use crate::cross_zone_budget::CrossZoneBudget;
+use crate::driver::{self, Driver, DriverEvent, InstanceCommand, InstanceEvent};
+use crate::front::{self, Front, RequestNames};
+use crate::handover::message::HandoverState;
 use crate::hosts::HostList;
-use crate::lifecycle::{Lifecycle, Wish};
+use crate::lifecycle::{Lifecycle, LifecycleRequest};
 use crate::log::Log;
-use crate::messages::{Final, FromClients, Outlet};
+use crate::messages::{ClientEvent, EventSink, FinalAnswer};
 use crate::metrics::Metrics;
 
 pub use crate::lifecycle::Drain;
@@ -31,7 +31,7 @@
 const LAST_WORDS: Duration = Duration::from_millis(500);
 
 /// What an instance is made of.
-pub struct Parts {
+pub struct InstanceConfig {
     /// The settings.
     pub settings: SettingsObject,
     /// For random numbers.
@@ -41,24 +41,24 @@
     /// The list of upstreams as a predecessor last had it.
     pub known: Option<HostList>,
     /// What a predecessor that still runs has left: it counts before the list.
-    pub estate: Option<Box<Estate>>,
+    pub estate: Option<Box<HandoverState>>,
     /// Where clients connect. Registered with the runtime that the instance is run on.
     pub listener: Arc<TcpListener>,
     /// What it may hold.
     pub budgets: Budgets,
     /// Budgets for traffic between zones, if there are any.
-    pub crossing: Option<Crossing>,
+    pub crossing: Option<CrossZoneBudget>,
     /// Where it logs.
     pub log: Log,
     /// Whom it tells how it fares.
-    pub listening: Outlet<Told>,
+    pub listening: EventSink<InstanceEvent>,
     /// Whether it accepts nothing until [`Control::open`], since a predecessor still does.
     pub standby: bool,
 }
 
 /// How an instance has ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Ended {
+pub enum ExitReason {
     /// All that it had taken was answered.
     Drained,
     /// Its time for that was up.
@@ -73,16 +73,16 @@
     front: Arc<Front>,
     listener: Arc<TcpListener>,
     known: Option<HostList>,
-    estate: Option<Box<Estate>>,
+    estate: Option<Box<HandoverState>>,
     life: Arc<watch::Sender<Lifecycle>>,
     held: watch::Receiver<()>,
-    telling: Outlet<Told>,
+    telling: EventSink<InstanceEvent>,
 }
 
 /// The owner's hold on an instance. All calls return at once.
 #[derive(Clone)]
 pub struct Control {
-    happenings: mpsc::UnboundedSender<Happening>,
+    happenings: mpsc::UnboundedSender<DriverEvent>,
     life: Arc<watch::Sender<Lifecycle>>,
     /// Dropped with the last hold.
     _held: Arc<watch::Sender<()>>,
@@ -92,8 +92,8 @@
 
 impl Instance {
     /// An instance and the hold on it.
-    pub fn new(parts: Parts) -> (Instance, Control) {
-        let Parts {
+    pub fn new(parts: InstanceConfig) -> (Instance, Control) {
+        let InstanceConfig {
             settings,
             seed,
             discovery,
@@ -106,12 +106,12 @@
             listening,
             standby,
         } = parts;
-        let names = Names { classes: settings.classes(), tenants: settings.tenant_names() };
+        let names = RequestNames { classes: settings.classes(), tenants: settings.tenant_names() };
         let metrics = Arc::new(Metrics::new(names.classes.iter().map(|form| form.name.as_str())));
         let longest = Duration::try_from_secs_f64(settings.longest_deadline_ms() / 1e3).unwrap_or_default();
         let (clients, transfers) = (budgets.clients.clone(), budgets.transfers.clone());
         let (life, lives) = watch::channel(Lifecycle::new(standby, Instant::now()));
-        let (driver, happenings) = Driver::new(driver::Parts {
+        let (driver, happenings) = Driver::new(driver::DriverConfig {
             settings,
             seed,
             discovery,
@@ -123,7 +123,7 @@
             life: lives.clone(),
         });
         let (life, (hold, held)) = (Arc::new(life), watch::channel(()));
-        let told = Outlet::new(happenings.clone());
+        let told = EventSink::new(happenings.clone());
         let front = Arc::new(Front::new(names, lives, told, clients, transfers, metrics.clone(), log));
         let instance =
             Instance { driver, front, listener, known, estate, life: life.clone(), held, telling: listening };
@@ -132,11 +132,11 @@
 
     /// Runs until it has drained or failed. When this future is dropped, everything that belongs to the instance
     /// ends with it: connections are closed as they are.
-    pub async fn run(self) -> Ended {
+    pub async fn run(self) -> ExitReason {
         let Instance { driver, front, listener, known, estate, life, mut held, telling } = self;
         let mut driver = Part(tokio::spawn(driver.run(known, estate)));
         let let_go = move || {
-            telling.tell(Told::LetGo);
+            telling.tell(InstanceEvent::ListenerReleased);
         };
         let mut serving = Part(tokio::spawn(front::serve(listener, front, let_go)));
         let mut lives = life.subscribe();
@@ -148,19 +148,19 @@
                     // accepted is for the successor.
                     life.send_modify(|life| life.fail(Instant::now()));
                     let _ = timeout(LAST_WORDS, &mut serving.0).await;
-                    return Ended::Failed(reason("the driver", ended));
+                    return ExitReason::Failed(reason("the driver", ended));
                 }
                 ended = &mut serving.0 => return match ended {
                     // It may have ended as soon as it was told to.
-                    Ok(()) if life.borrow().ends() => Ended::Drained,
-                    ended => Ended::Failed(reason("the listener", ended)),
+                    Ok(()) if life.borrow().ends() => ExitReason::Drained,
+                    ended => ExitReason::Failed(reason("the listener", ended)),
                 },
                 _ = lives.changed() => {}
                 // Nobody holds it any more.
-                _ = held.changed() => return Ended::Overdue,
+                _ = held.changed() => return ExitReason::Overdue,
                 () = until(now.due()) => {
                     if now.is_overdue(Instant::now()) {
-                        return Ended::Overdue;
+                        return ExitReason::Overdue;
                     }
                     life.send_if_modified(|life| life.advance(Instant::now()));
                 }
@@ -181,39 +181,39 @@
     /// Watches discovery at another address from now on. List and connections stay.
     pub fn move_discovery(&self, to: SocketAddr) {
         // An instance that has ended has nothing left to move; this holds for the other orders, too.
-        let _ = self.happenings.send(Happening::Order(Order::Discovery(to)));
+        let _ = self.happenings.send(DriverEvent::Order(InstanceCommand::Discovery(to)));
     }
 
     /// Accepts clients from now on, unless the end has begun.
     pub fn open(&self) {
-        self.wish(Wish::Open);
+        self.wish(LifecycleRequest::Open);
     }
 
     /// Sends clients away: `/up` says no, and nothing of theirs is held once it is answered.
     pub fn evacuate(&self) {
-        self.wish(Wish::Evacuate);
+        self.wish(LifecycleRequest::Evacuate);
     }
 
     /// Takes clients again. False if the end has begun.
     pub fn rejoin(&self) -> bool {
-        self.wish(Wish::Rejoin)
+        self.wish(LifecycleRequest::Rejoin)
     }
 
     /// Begins the end. Called again it changes nothing, but that a drain which closes the listener may become one
     /// that leaves it to a successor.
     pub fn drain(&self, how: Drain) {
-        self.wish(Wish::Drain(how));
+        self.wish(LifecycleRequest::Drain(how));
         if matches!(how, Drain::HandOver { .. }) {
             // Both generations hold connections out of the same budget, and the successor has more use for them.
-            let _ = self.happenings.send(Happening::Order(Order::Retire));
+            let _ = self.happenings.send(DriverEvent::Order(InstanceCommand::Retire));
         }
     }
 
-    fn wish(&self, wish: Wish) -> bool {
+    fn wish(&self, wish: LifecycleRequest) -> bool {
         let mut granted = false;
         self.life.send_if_modified(|life| {
             let before = *life;
-            granted = life.wish(wish, Instant::now());
+            granted = life.request(wish, Instant::now());
             *life != before
         });
         granted
@@ -226,41 +226,41 @@
 
     /// Tells the module how many sidecars there are from now on.
     pub fn set_sidecars(&self, count: u32) {
-        let _ = self.happenings.send(Happening::Order(Order::Sidecars(count)));
+        let _ = self.happenings.send(DriverEvent::Order(InstanceCommand::Sidecars(count)));
     }
 
     /// Brings other budgets for traffic between zones into force, or none. What it counts in the same place goes on.
-    pub fn set_crossing(&self, crossing: Option<Crossing>) {
-        let _ = self.happenings.send(Happening::Order(Order::Crossing(crossing)));
+    pub fn set_crossing(&self, crossing: Option<CrossZoneBudget>) {
+        let _ = self.happenings.send(DriverEvent::Order(InstanceCommand::Crossing(crossing)));
     }
 
     /// The list of upstreams as the instance has it. The receiver fails when the instance has ended.
     pub fn list(&self) -> oneshot::Receiver<HostList> {
         let (reply, list) = oneshot::channel();
-        let _ = self.happenings.send(Happening::Order(Order::List(reply)));
+        let _ = self.happenings.send(DriverEvent::Order(InstanceCommand::List(reply)));
         list
     }
 
     /// What a successor goes on from. The receiver fails when the instance has ended.
-    pub fn estate(&self) -> oneshot::Receiver<Estate> {
+    pub fn estate(&self) -> oneshot::Receiver<HandoverState> {
         let (reply, estate) = oneshot::channel();
-        let _ = self.happenings.send(Happening::Order(Order::Estate(reply)));
+        let _ = self.happenings.send(DriverEvent::Order(InstanceCommand::Estate(reply)));
         estate
     }
 
     /// Sends there what discovery tells, from now on; what finds no room there is dropped.
     pub fn follow(&self, news: mpsc::Sender<HostList>) {
-        let _ = self.happenings.send(Happening::Order(Order::Follow(news)));
+        let _ = self.happenings.send(DriverEvent::Order(InstanceCommand::Follow(news)));
     }
 
     /// Another process of the same sidecar was told this by discovery.
     pub fn news(&self, list: HostList) {
-        let _ = self.happenings.send(Happening::Order(Order::News(list)));
+        let _ = self.happenings.send(DriverEvent::Order(InstanceCommand::News(list)));
     }
 
     /// Has the driver panic, for the rig and for tests.
     pub fn inject_panic(&self) {
-        let _ = self.happenings.send(Happening::Order(Order::Panic));
+        let _ = self.happenings.send(DriverEvent::Order(InstanceCommand::Panic));
     }
 
     /// What is counted.
@@ -292,17 +292,20 @@
         budgets: &Budgets,
         log: Log,
     ) -> (StandIn, StandInControl) {
-        let names = Names { classes: settings.classes(), tenants: settings.tenant_names() };
-        let refuse = Outlet::to(|message| {
-            if let FromClients::Arrived(arrival) = message {
+        let names = RequestNames { classes: settings.classes(), tenants: settings.tenant_names() };
+        let refuse = EventSink::to(|message| {
+            if let ClientEvent::Arrived(arrival) = message {
                 // Its client may have gone.
-                let _ = arrival.reply.send(Final::Refused(STAND_IN_RETRY_MS));
+                let _ = arrival.reply.send(FinalAnswer::Refused(STAND_IN_RETRY_MS));
             }
             true
         });
-        // Leaving: it accepts, and every answer closes its connection.
+        // Draining: it accepts, and every answer closes its connection.
         let mut life = Lifecycle::new(false, Instant::now());
-        life.wish(Wish::Drain(Drain::Close { linger: FOR_GOOD, at_most: FOR_GOOD }), Instant::now());
+        life.request(
+            LifecycleRequest::Drain(Drain::Close { linger: FOR_GOOD, at_most: FOR_GOOD }),
+            Instant::now(),
+        );
         let (life, lives) = watch::channel(life);
         // What it refuses is not told of an instance.
         let metrics = Arc::new(Metrics::new(std::iter::empty()));
@@ -330,7 +333,10 @@
         let now = Instant::now();
         self.0.send_modify(|life| match handed_over {
             true => {
-                life.wish(Wish::Drain(Drain::HandOver { linger: Duration::ZERO, at_most: FOR_GOOD }), now);
+                life.request(
+                    LifecycleRequest::Drain(Drain::HandOver { linger: Duration::ZERO, at_most: FOR_GOOD }),
+                    now,
+                );
             }
             false => drop(life.advance(now + FOR_GOOD)),
         });
--- a/crates/sidecar/src/json_stream.rs
+++ b/crates/sidecar/src/json_stream.rs
@@ -28,7 +28,7 @@
 
 /// Cuts a stream into objects, however it is chunked. Each byte is looked at once.
 #[derive(Debug)]
-pub struct Values {
+pub struct JsonStream {
     buffer: BytesMut,
     /// So many bytes of the buffer have been looked at.
     seen: usize,
@@ -41,10 +41,16 @@
 /// The list of upstreams is three brackets deep. Deeper ones are nonsense, and this bounds what is kept of them.
 const DEEPEST: usize = 32;
 
-impl Values {
+impl JsonStream {
     /// None yet; an object may have so many bytes.
-    pub fn new(most: usize) -> Values {
-        Values { buffer: BytesMut::new(), seen: 0, at: At::Between { any: false }, open: Vec::new(), most }
+    pub fn new(most: usize) -> JsonStream {
+        JsonStream {
+            buffer: BytesMut::new(),
+            seen: 0,
+            at: At::Between { any: false },
+            open: Vec::new(),
+            most,
+        }
     }
 
     /// Takes in what came.
@@ -142,7 +148,7 @@
 mod tests {
     use super::*;
 
-    fn read(values: &mut Values, chunk: &[u8]) -> Vec<String> {
+    fn read(values: &mut JsonStream, chunk: &[u8]) -> Vec<String> {
         values.push(chunk).expect("it is short");
         let told = |next| match next {
             Next::Object(text) => String::from_utf8(text.to_vec()).expect("text"),
@@ -158,7 +164,7 @@
         let text = format!("{{\"a\":[1]}}\n\n{indented}\n{{\"b\":2}}{{\"c\":3}} \r\n\r\n \n{{\"d\"");
         let expected = ["{\"a\":[1]}", "-", indented, "{\"b\":2}", "{\"c\":3}", "-", "-"];
         for size in 1..text.len() {
-            let mut values = Values::new(1_000);
+            let mut values = JsonStream::new(1_000);
             let found: Vec<String> =
                 text.as_bytes().chunks(size).flat_map(|chunk| read(&mut values, chunk)).collect();
             assert_eq!(found, expected, "chunks of {size}");
@@ -174,22 +180,22 @@
         {
             let text = format!("{whole}\n{broken}\n{whole}\n{whole}\n");
             for size in 1..text.len() {
-                let mut values = Values::new(1_000);
+                let mut values = JsonStream::new(1_000);
                 let found: Vec<String> =
                     text.as_bytes().chunks(size).flat_map(|chunk| read(&mut values, chunk)).collect();
                 assert_eq!(found, [whole, "?", whole, whole], "{broken:?} in chunks of {size}");
             }
         }
         let deep = format!("{}\n{whole}\n", "{\"a\":".repeat(100));
-        assert_eq!(read(&mut Values::new(1_000), deep.as_bytes()), ["?", whole]);
+        assert_eq!(read(&mut JsonStream::new(1_000), deep.as_bytes()), ["?", whole]);
     }
 
     #[test]
     fn an_endless_object_is_an_error_and_endless_nonsense_takes_no_room() {
-        let mut values = Values::new(1_000);
+        let mut values = JsonStream::new(1_000);
         assert!(read(&mut values, &[b"{\"".to_vec(), vec![b'x'; 600]].concat()).is_empty());
         assert!(values.push(&[b'x'; 600]).is_err());
-        let mut values = Values::new(1_000);
+        let mut values = JsonStream::new(1_000);
         for _ in 0..100 {
             read(&mut values, &[b'x'; 600]);
         }
@@ -201,7 +207,7 @@
         let mut rng = oorandom::Rand64::new(5);
         let sound = b"{\"seq\":1,\"hosts\":[{\"a\":\"b\"}]}\n\n{\n \"seq\": 2\n}\n";
         for _ in 0..3_000 {
-            let mut values = Values::new(1 << 20);
+            let mut values = JsonStream::new(1 << 20);
             let mut noise = sound.repeat(3);
             for _ in 0..rng.rand_range(1..9) {
                 let at = rng.rand_range(0..noise.len() as u64) as usize;
--- a/crates/sidecar/src/lifecycle.rs
+++ b/crates/sidecar/src/lifecycle.rs
@@ -37,7 +37,7 @@
     /// Emptied by the operators: `/up` says no, every answer closes its connection, and it may serve again.
     Evacuating,
     /// The end has begun: still accepting, but every answer closes its connection.
-    Leaving,
+    Draining,
     /// No client comes any more: only what is open is finished.
     Closing,
     /// The same, and whoever still comes is for a successor that listens on the same socket.
@@ -65,7 +65,7 @@
 
 /// What is wanted of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Wish {
+pub enum LifecycleRequest {
     /// Accept clients, unless the end has begun.
     Open,
     /// Send clients away.
@@ -104,37 +104,37 @@
     }
 
     /// Takes in a wish; whether it is granted. What changes nothing is granted, too.
-    pub fn wish(&mut self, wish: Wish, now: Instant) -> bool {
+    pub fn request(&mut self, wish: LifecycleRequest, now: Instant) -> bool {
         match (self.stage, wish) {
-            (Stage::Standby, Wish::Open) => {
+            (Stage::Standby, LifecycleRequest::Open) => {
                 self.enter(if self.evacuated { Stage::Evacuating } else { Stage::Serving }, now);
             }
-            (_, Wish::Open) => {}
-            (Stage::Serving, Wish::Evacuate) => {
+            (_, LifecycleRequest::Open) => {}
+            (Stage::Serving, LifecycleRequest::Evacuate) => {
                 self.evacuated = true;
                 self.enter(Stage::Evacuating, now);
             }
-            (_, Wish::Evacuate) => self.evacuated = true,
-            (Stage::Evacuating, Wish::Rejoin) => {
+            (_, LifecycleRequest::Evacuate) => self.evacuated = true,
+            (Stage::Evacuating, LifecycleRequest::Rejoin) => {
                 self.evacuated = false;
                 self.enter(Stage::Serving, now);
             }
-            (Stage::Standby | Stage::Serving, Wish::Rejoin) => self.evacuated = false,
-            (Stage::Leaving | Stage::Closing | Stage::HandedOver, Wish::Rejoin) => return false,
+            (Stage::Standby | Stage::Serving, LifecycleRequest::Rejoin) => self.evacuated = false,
+            (Stage::Draining | Stage::Closing | Stage::HandedOver, LifecycleRequest::Rejoin) => return false,
             (
                 Stage::Standby | Stage::Serving | Stage::Evacuating,
-                Wish::Drain(Drain::Close { linger, at_most }),
+                LifecycleRequest::Drain(Drain::Close { linger, at_most }),
             ) => {
-                self.enter(Stage::Leaving, now);
+                self.enter(Stage::Draining, now);
                 (self.next, self.overdue) = (Some(now + linger.min(at_most)), Some(now + at_most));
             }
-            (Stage::HandedOver, Wish::Drain(_)) => {}
-            (_, Wish::Drain(Drain::HandOver { linger, at_most })) => {
+            (Stage::HandedOver, LifecycleRequest::Drain(_)) => {}
+            (_, LifecycleRequest::Drain(Drain::HandOver { linger, at_most })) => {
                 self.enter(Stage::HandedOver, now);
                 self.linger = linger;
                 self.overdue = Some(self.overdue.unwrap_or(now + at_most));
             }
-            (Stage::Leaving | Stage::Closing, Wish::Drain(Drain::Close { .. })) => {}
+            (Stage::Draining | Stage::Closing, LifecycleRequest::Drain(Drain::Close { .. })) => {}
         }
         true
     }
@@ -158,7 +158,7 @@
 
     /// Lets time pass; whether anything has changed.
     pub fn advance(&mut self, now: Instant) -> bool {
-        let due = self.stage == Stage::Leaving && self.next.is_some_and(|next| next <= now);
+        let due = self.stage == Stage::Draining && self.next.is_some_and(|next| next <= now);
         if due {
             self.enter(Stage::Closing, now);
         }
@@ -177,7 +177,7 @@
 
     /// Whether the end has begun.
     pub fn ends(&self) -> bool {
-        matches!(self.stage, Stage::Leaving | Stage::Closing | Stage::HandedOver)
+        matches!(self.stage, Stage::Draining | Stage::Closing | Stage::HandedOver)
     }
 
     /// Whether it accepts connections.
@@ -201,7 +201,7 @@
         match self.stage {
             Stage::Standby | Stage::Serving => false,
             Stage::Evacuating => next_request_at.is_none_or(|at| at > self.since + EVACUATION_LINGER),
-            Stage::Leaving | Stage::Closing | Stage::HandedOver => next_request_at.is_none(),
+            Stage::Draining | Stage::Closing | Stage::HandedOver => next_request_at.is_none(),
         }
     }
 
@@ -212,7 +212,7 @@
             Stage::Standby | Stage::Serving => None,
             Stage::Evacuating => Some(self.since.max(accepted) + EVACUATION_LINGER),
             // It gets its one answer while clients may still come.
-            Stage::Leaving => used.then_some(self.since),
+            Stage::Draining => used.then_some(self.since),
             Stage::Closing if used => Some(self.since),
             Stage::Closing => Some((accepted + ABOUT_TO).min(self.last_call()).max(self.since)),
             Stage::HandedOver if used => Some(self.since + self.linger),
@@ -232,20 +232,26 @@
 mod tests {
     use super::*;
 
-    const CLOSE: Wish =
-        Wish::Drain(Drain::Close { linger: Duration::from_millis(550), at_most: Duration::from_secs(3) });
-    const HAND_OVER: Wish =
-        Wish::Drain(Drain::HandOver { linger: Duration::from_secs(1), at_most: Duration::from_secs(3) });
+    const CLOSE: LifecycleRequest = LifecycleRequest::Drain(Drain::Close {
+        linger: Duration::from_millis(550),
+        at_most: Duration::from_secs(3),
+    });
+    const HAND_OVER: LifecycleRequest = LifecycleRequest::Drain(Drain::HandOver {
+        linger: Duration::from_secs(1),
+        at_most: Duration::from_secs(3),
+    });
 
     #[test]
     fn evacuation_is_undone_by_rejoining_and_by_nothing_else() {
         let now = Instant::now();
         let mut life = Lifecycle::new(false, now);
-        assert!(life.wish(Wish::Rejoin, now) && life.up() && !life.closes_after_answer(None));
-        assert!(life.wish(Wish::Evacuate, now) && life.wish(Wish::Evacuate, now));
+        assert!(life.request(LifecycleRequest::Rejoin, now) && life.up() && !life.closes_after_answer(None));
+        assert!(
+            life.request(LifecycleRequest::Evacuate, now) && life.request(LifecycleRequest::Evacuate, now)
+        );
         assert!(!life.up() && life.accepts() && life.closes_after_answer(None));
-        assert!(life.wish(Wish::Open, now) && !life.up(), "opening is no rejoining");
-        assert!(life.wish(Wish::Rejoin, now));
+        assert!(life.request(LifecycleRequest::Open, now) && !life.up(), "opening is no rejoining");
+        assert!(life.request(LifecycleRequest::Rejoin, now));
         assert_eq!((life.stage(), life.up(), life.idle_until(now, true)), (Stage::Serving, true, None));
     }
 
@@ -253,14 +259,14 @@
     fn who_is_evacuated_before_it_opens_opens_evacuated() {
         let now = Instant::now();
         let mut life = Lifecycle::new(true, now);
-        life.wish(Wish::Evacuate, now);
+        life.request(LifecycleRequest::Evacuate, now);
         assert!(!life.accepts() && !life.up());
-        life.wish(Wish::Open, now);
+        life.request(LifecycleRequest::Open, now);
         assert_eq!(life.stage(), Stage::Evacuating);
         let mut life = Lifecycle::new(true, now);
-        life.wish(Wish::Evacuate, now);
-        life.wish(Wish::Rejoin, now);
-        life.wish(Wish::Open, now);
+        life.request(LifecycleRequest::Evacuate, now);
+        life.request(LifecycleRequest::Rejoin, now);
+        life.request(LifecycleRequest::Open, now);
         assert_eq!(life.stage(), Stage::Serving);
     }
 
@@ -269,13 +275,17 @@
         let start = Instant::now();
         let later = start + Duration::from_secs(1);
         let mut life = Lifecycle::new(false, start);
-        life.wish(Wish::Evacuate, start);
-        assert!(life.wish(CLOSE, start));
-        assert!(!life.wish(Wish::Rejoin, start) && life.wish(Wish::Open, start) && life.wish(CLOSE, later));
+        life.request(LifecycleRequest::Evacuate, start);
+        assert!(life.request(CLOSE, start));
+        assert!(
+            !life.request(LifecycleRequest::Rejoin, start)
+                && life.request(LifecycleRequest::Open, start)
+                && life.request(CLOSE, later)
+        );
         assert!(!life.up(), "it was evacuated and stays so");
         assert_eq!(life.due(), Some(start + Duration::from_millis(550)));
         assert!(!life.advance(start) && life.advance(later) && life.closes() && life.accepts());
-        assert!(life.wish(HAND_OVER, later) && !life.accepts());
+        assert!(life.request(HAND_OVER, later) && !life.accepts());
         assert!(!life.is_overdue(later) && life.is_overdue(start + Duration::from_secs(3)));
     }
 
@@ -287,11 +297,11 @@
         let late = Some(now + EVACUATION_LINGER + Duration::from_millis(1));
         let mut life = Lifecycle::new(false, now);
         assert!([None, before, late].into_iter().all(|next| !life.closes_after_answer(next)), "serving");
-        life.wish(Wish::Evacuate, now);
+        life.request(LifecycleRequest::Evacuate, now);
         assert_eq!([None, before, late].map(|next| life.closes_after_answer(next)), [true, false, true]);
         for end in [CLOSE, HAND_OVER] {
             let mut life = life;
-            life.wish(end, now);
+            life.request(end, now);
             assert_eq!([None, before, late].map(|next| life.closes_after_answer(next)), [true, false, false]);
         }
     }
@@ -303,7 +313,10 @@
         let start = Instant::now();
         let at_most = Duration::from_millis(60 + 640);
         let mut life = Lifecycle::new(false, start);
-        life.wish(Wish::Drain(Drain::Close { linger: Duration::from_millis(550), at_most }), start);
+        life.request(
+            LifecycleRequest::Drain(Drain::Close { linger: Duration::from_millis(550), at_most }),
+            start,
+        );
         let closing = start + Duration::from_millis(550);
         assert!(life.advance(closing));
         let until = life.idle_until(closing, false).expect("it is closed at some time");
@@ -323,12 +336,12 @@
                 now += Duration::from_millis(rng.rand_range(0..900));
                 let before = life;
                 match rng.rand_range(0..7) {
-                    0 => assert!(life.wish(Wish::Open, now)),
-                    1 => assert!(life.wish(Wish::Evacuate, now) && !life.up()),
-                    2 => assert_eq!(life.wish(Wish::Rejoin, now), !before.ends()),
-                    3 if rng.rand_range(0..3) == 0 => assert!(life.wish(CLOSE, now) && life.ends()),
+                    0 => assert!(life.request(LifecycleRequest::Open, now)),
+                    1 => assert!(life.request(LifecycleRequest::Evacuate, now) && !life.up()),
+                    2 => assert_eq!(life.request(LifecycleRequest::Rejoin, now), !before.ends()),
+                    3 if rng.rand_range(0..3) == 0 => assert!(life.request(CLOSE, now) && life.ends()),
                     4 if rng.rand_range(0..3) == 0 => {
-                        assert!(life.wish(HAND_OVER, now) && !life.accepts());
+                        assert!(life.request(HAND_OVER, now) && !life.accepts());
                     }
                     _ => assert_eq!(life.advance(now), life != before),
                 }
@@ -346,7 +359,7 @@
                 let until = life.idle_until(accepted, used);
                 match life.stage() {
                     Stage::Standby | Stage::Serving => assert_eq!(until, None),
-                    Stage::Leaving if !used => assert_eq!(until, None),
+                    Stage::Draining if !used => assert_eq!(until, None),
                     _ => assert!(until.is_some_and(|until| until <= now + EVACUATION_LINGER)),
                 }
             }
--- a/crates/sidecar/src/line_buffer.rs
+++ b/crates/sidecar/src/line_buffer.rs
@@ -3,16 +3,16 @@
 use bytes::BytesMut;
 
 /// Cuts a stream into lines, however it is chunked.
-pub struct Lines {
+pub struct LineBuffer {
     buffer: BytesMut,
     searched: usize,
     most: usize,
 }
 
-impl Lines {
+impl LineBuffer {
     /// None yet; what waits for the end of its line may have so many bytes.
-    pub fn new(most: usize) -> Lines {
-        Lines { buffer: BytesMut::new(), searched: 0, most }
+    pub fn new(most: usize) -> LineBuffer {
+        LineBuffer { buffer: BytesMut::new(), searched: 0, most }
     }
 
     /// Takes in what came.
@@ -45,7 +45,7 @@
     fn lines_are_found_however_they_are_chunked() {
         let text = b"{\"a\":1}\n\n{\"b\":2}\n{\"c\"";
         for size in 1..text.len() {
-            let mut lines = Lines::new(1_000);
+            let mut lines = LineBuffer::new(1_000);
             let mut found = Vec::new();
             for chunk in text.chunks(size) {
                 lines.push(chunk).unwrap();
@@ -59,7 +59,7 @@
 
     #[test]
     fn an_endless_line_is_an_error() {
-        let mut lines = Lines::new(1_000);
+        let mut lines = LineBuffer::new(1_000);
         let chunk = vec![b'x'; 501];
         lines.push(&chunk).unwrap();
         assert!(lines.next_line().is_none());
--- a/crates/sidecar/src/messages.rs
+++ b/crates/sidecar/src/messages.rs
@@ -8,35 +8,35 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-use crate::client_disconnect::Presence;
+use crate::client_disconnect::ClientConnection;
 use crate::request_bound::AttemptTimes;
-use crate::transfer::answer::Payload;
-use crate::transfer::request_body::Kept;
+use crate::transfer::answer::AnswerBody;
+use crate::transfer::request_body::RequestBody;
 
 /// Where a part tells what happened, without knowing who listens or what else they hear.
-pub struct Outlet<T>(Arc<dyn Fn(T) -> bool + Send + Sync>);
+pub struct EventSink<T>(Arc<dyn Fn(T) -> bool + Send + Sync>);
 
-impl<T> Clone for Outlet<T> {
-    fn clone(&self) -> Outlet<T> {
-        Outlet(self.0.clone())
+impl<T> Clone for EventSink<T> {
+    fn clone(&self) -> EventSink<T> {
+        EventSink(self.0.clone())
     }
 }
 
-impl<T: 'static> Outlet<T> {
+impl<T: 'static> EventSink<T> {
     /// Into a channel that carries other messages as well. Who sends bounds what waits there: a part tells of a
     /// connection, an attempt or a watch only once it has ended or changed, and the number of those is bounded.
-    pub fn new<M: From<T> + Send + 'static>(channel: mpsc::UnboundedSender<M>) -> Outlet<T> {
-        Outlet(Arc::new(move |message| channel.send(message.into()).is_ok()))
+    pub fn new<M: From<T> + Send + 'static>(channel: mpsc::UnboundedSender<M>) -> EventSink<T> {
+        EventSink(Arc::new(move |message| channel.send(message.into()).is_ok()))
     }
 
     /// To a function, which must not wait.
-    pub fn to(listener: impl Fn(T) -> bool + Send + Sync + 'static) -> Outlet<T> {
-        Outlet(Arc::new(listener))
+    pub fn to(listener: impl Fn(T) -> bool + Send + Sync + 'static) -> EventSink<T> {
+        EventSink(Arc::new(listener))
     }
 
     /// Where nobody listens.
-    pub fn nowhere() -> Outlet<T> {
-        Outlet(Arc::new(|_| true))
+    pub fn nowhere() -> EventSink<T> {
+        EventSink(Arc::new(|_| true))
     }
 
     /// Tells it. False when the listener has ended; the message is dropped then.
@@ -46,7 +46,7 @@
 }
 
 /// A request as it goes on to upstreams.
-pub struct Forward {
+pub struct ForwardedRequest {
     /// Method.
     pub method: Method,
     /// Path and query, unchanged.
@@ -54,13 +54,13 @@
     /// End-to-end headers.
     pub headers: HeaderMap,
     /// The body, unchanged.
-    pub body: Kept,
+    pub body: RequestBody,
     /// Who asks, where that can be told.
-    pub client: Option<Presence>,
+    pub client: Option<ClientConnection>,
 }
 
 /// A request for the driver.
-pub struct Arrival {
+pub struct RequestArrival {
     /// The id the module knows it by.
     pub request: RequestId,
     /// Its class.
@@ -74,16 +74,16 @@
     /// How long its client waits from then on.
     pub time_left: Duration,
     /// What goes on to upstreams.
-    pub forward: Forward,
+    pub forward: ForwardedRequest,
     /// Where its final answer goes.
-    pub reply: oneshot::Sender<Final>,
+    pub reply: oneshot::Sender<FinalAnswer>,
 }
 
 /// A final answer.
 #[derive(Debug)]
-pub enum Final {
+pub enum FinalAnswer {
     /// An upstream's answer.
-    Served(HeaderMap, Payload),
+    Served(HeaderMap, AnswerBody),
     /// Trying again is harmless, best after this long.
     Refused(Millis),
     /// No promise.
@@ -93,16 +93,16 @@
 }
 
 /// What clients do.
-pub enum FromClients {
+pub enum ClientEvent {
     /// A request came in.
-    Arrived(Box<Arrival>),
+    Arrived(Box<RequestArrival>),
     /// The client of an open request went away.
     Left(RequestId),
 }
 
 /// One attempt on its way.
 #[derive(Debug, Clone, Copy)]
-pub struct Flight {
+pub struct AttemptInfo {
     /// The request.
     pub request: RequestId,
     /// Which of its sends.
@@ -110,7 +110,7 @@
     /// Where to.
     pub upstream: UpstreamId,
     /// Which of the upstream's lives: connections do not outlast one.
-    pub life: u64,
+    pub incarnation: u64,
     /// When the attempt is given up.
     pub until: Instant,
     /// By when it must have its connection: counted once, however many it tries.
@@ -121,7 +121,7 @@
     pub deadline: Instant,
 }
 
-impl Flight {
+impl AttemptInfo {
     /// Its times, as its bounds depend on them.
     pub fn times(&self) -> AttemptTimes {
         AttemptTimes { connect_by: self.connect_by, until: self.until }
@@ -136,11 +136,11 @@
     /// Its headers.
     pub headers: HeaderMap,
     /// Its body.
-    pub body: Payload,
+    pub body: AnswerBody,
 }
 
 /// What an attempt came to.
-pub enum End {
+pub enum AttemptEnd {
     /// It ended so, with the answer if one came.
     Outcome(Outcome, Option<Answer>),
     /// The idle connection had been closed and no byte was written to it: another may be used.
--- a/crates/sidecar/src/metered_stream.rs
+++ b/crates/sidecar/src/metered_stream.rs
@@ -14,13 +14,13 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, Sleep, sleep};
 
-use crate::client_disconnect::{self, Found, Terms};
+use crate::client_disconnect::{self, ConnectionCheck, WriteConditions};
 use crate::execution::Written;
 use crate::io_counts;
 use crate::metrics::Metrics;
 use crate::transfer::framing::Framing;
 use crate::transfer::limits::STREAM_IDLE_TIMEOUT;
-use crate::transfer::stall_timeout::Patience;
+use crate::transfer::stall_timeout::StallTimeout;
 
 /// What has crossed a connection. hyper owns the stream, so this is shared with it.
 pub struct Meter {
@@ -47,10 +47,10 @@
     taken: u64,
     framing: Framing,
     /// On what terms its first byte is written, and whether they were over by then.
-    terms: Option<Terms>,
+    terms: Option<WriteConditions>,
     unwanted: bool,
     /// Where an attempt is counted and the gaps in its answer are told; a probe is neither.
-    told: Option<(Arc<Metrics>, Arc<Patience>)>,
+    told: Option<(Arc<Metrics>, Arc<StallTimeout>)>,
 }
 
 impl Default for Meter {
@@ -111,7 +111,7 @@
     }
 
     /// An exchange begins. What an earlier one left is forgotten.
-    pub fn begin(&self, told: Option<(Arc<Metrics>, Arc<Patience>)>, terms: Option<Terms>) {
+    pub fn begin(&self, told: Option<(Arc<Metrics>, Arc<StallTimeout>)>, terms: Option<WriteConditions>) {
         *lock(&self.exchange) = Exchange { told, terms, ..Exchange::default() };
     }
 
@@ -194,18 +194,18 @@
 }
 
 /// A TCP stream with a meter.
-pub struct Counted {
+pub struct MeteredStream {
     stream: TcpStream,
     meter: Arc<Meter>,
     /// Since when the upstream has taken nothing of what waits for it.
     stuck: Option<Pin<Box<Sleep>>>,
 }
 
-impl Counted {
+impl MeteredStream {
     /// Wraps a stream; the counts start at 0.
-    pub fn new(stream: TcpStream) -> (Counted, Arc<Meter>) {
+    pub fn new(stream: TcpStream) -> (MeteredStream, Arc<Meter>) {
         let meter = Arc::new(Meter::default());
-        (Counted { stream, meter: meter.clone(), stuck: None }, meter)
+        (MeteredStream { stream, meter: meter.clone(), stuck: None }, meter)
     }
 
     /// Before the first byte of a request goes out: bytes that wait in the socket now would be read as its answer, one that the
@@ -218,15 +218,15 @@
         io_counts::read(&Poll::Ready(Ok(())), 0);
         let mut exchange = lock(&self.meter.exchange);
         match client_disconnect::look(&self.stream, exchange.terms.as_ref())? {
-            Found::Clear => {
+            ConnectionCheck::Clear => {
                 self.meter.asked.store(true, Ordering::Relaxed);
                 Ok(())
             }
-            Found::Unwanted => {
+            ConnectionCheck::Unwanted => {
                 exchange.unwanted = true;
                 Err(io::Error::other("nobody wants it any more"))
             }
-            Found::Unusable => {
+            ConnectionCheck::Unusable => {
                 Err(io::Error::new(io::ErrorKind::NotConnected, "the idle connection is of no more use"))
             }
         }
@@ -255,7 +255,7 @@
     }
 }
 
-impl Drop for Counted {
+impl Drop for MeteredStream {
     fn drop(&mut self) {
         if self.meter.abortive.load(Ordering::Relaxed) {
             // Where that cannot be had it is closed as usual.
@@ -264,7 +264,7 @@
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for MeteredStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -278,7 +278,7 @@
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for MeteredStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         self.begin()?;
         let result = Pin::new(&mut self.stream).poll_write(cx, buf);
@@ -316,10 +316,10 @@
 
     use super::*;
 
-    async fn pair() -> (Counted, Arc<Meter>, std::net::TcpStream) {
+    async fn pair() -> (MeteredStream, Arc<Meter>, std::net::TcpStream) {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
-        let (counted, meter) = Counted::new(stream);
+        let (counted, meter) = MeteredStream::new(stream);
         (counted, meter, listener.accept().unwrap().0)
     }
 
--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -44,7 +44,7 @@
 
 /// What a request came to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Came {
+pub enum RequestOutcome {
     /// An upstream's answer.
     Served,
     /// A refusal.
@@ -108,13 +108,13 @@
     }
 
     /// Counts what one came to.
-    pub fn ended(&self, class: ClassId, came: Came) {
+    pub fn ended(&self, class: ClassId, came: RequestOutcome) {
         let Some(class) = self.classes.get(class.0) else { return };
         let counter = match came {
-            Came::Served => &class.served,
-            Came::Refused => &class.refused,
-            Came::Failed => &class.failed,
-            Came::Left => &class.left,
+            RequestOutcome::Served => &class.served,
+            RequestOutcome::Refused => &class.refused,
+            RequestOutcome::Failed => &class.failed,
+            RequestOutcome::Left => &class.left,
         };
         counter.fetch_add(1, Ordering::Release);
     }
@@ -158,7 +158,12 @@
                 for _ in 0..50_000 {
                     let class = ClassId(rng.rand_range(0..3) as usize);
                     metrics.taken(class);
-                    let came = [Came::Served, Came::Refused, Came::Failed, Came::Left];
+                    let came = [
+                        RequestOutcome::Served,
+                        RequestOutcome::Refused,
+                        RequestOutcome::Failed,
+                        RequestOutcome::Left,
+                    ];
                     metrics.ended(class, came[rng.rand_range(0..4) as usize]);
                 }
             });
--- a/crates/sidecar/src/transfer/answer.rs
+++ b/crates/sidecar/src/transfer/answer.rs
@@ -13,43 +13,43 @@
 
 use super::answer_hold::AnswerLengths;
 use super::limits::{MOST_BYTES, WHOLE_BYTES};
-use super::stall_timeout::Patience;
-use crate::budget::Taken;
+use super::stall_timeout::StallTimeout;
+use crate::budget::TransferPermit;
 use crate::connection::Connection;
-use crate::connection_activity::Slot;
-use crate::metrics::Came;
+use crate::connection_activity::ConnectionActivity;
+use crate::metrics::RequestOutcome;
 use crate::request_bound::{RequestState, StreamProgress, bound};
 
 /// An answer's body.
 #[derive(Debug)]
-pub enum Payload {
+pub enum AnswerBody {
     /// All of it.
     Whole(Bytes),
     /// As it comes.
-    Stream(Box<Stream>),
+    Stream(Box<AnswerStream>),
 }
 
-impl Payload {
+impl AnswerBody {
     /// How long it is, where that is known.
     pub fn length(&self) -> Option<u64> {
         match self {
-            Payload::Whole(bytes) => u64::try_from(bytes.len()).ok(),
-            Payload::Stream(stream) => stream.length,
+            AnswerBody::Whole(bytes) => u64::try_from(bytes.len()).ok(),
+            AnswerBody::Stream(stream) => stream.length,
         }
     }
 
     /// Its bytes, if it is held whole.
     pub fn whole(&self) -> Option<&Bytes> {
         match self {
-            Payload::Whole(bytes) => Some(bytes),
-            Payload::Stream(_) => None,
+            AnswerBody::Whole(bytes) => Some(bytes),
+            AnswerBody::Stream(_) => None,
         }
     }
 
     /// Keeps a client's connection from counting as free until it is through. A client of HTTP/1.0 can tell the end of an
     /// answer of unknown length only by the end of its connection.
-    pub fn occupies(&mut self, slot: &Arc<Slot>, version: Version) {
-        if let Payload::Stream(stream) = self {
+    pub fn occupies(&mut self, slot: &Arc<ConnectionActivity>, version: Version) {
+        if let AnswerBody::Stream(stream) = self {
             stream.slot = Some(slot.clone());
             stream.delimited_by_close = version == Version::HTTP_10 && stream.length.is_none();
         }
@@ -57,13 +57,13 @@
 
     /// Whether it is a stream.
     pub fn is_stream(&self) -> bool {
-        matches!(self, Payload::Stream(_))
+        matches!(self, AnswerBody::Stream(_))
     }
 }
 
 /// Why a body ended before its end. What it says goes nowhere: hyper ends the client's connection.
 #[derive(Debug, thiserror::Error)]
-pub enum Torn {
+pub enum StreamError {
     /// The upstream's connection broke, or its framing did.
     #[error("the upstream broke off: {0}")]
     Upstream(#[from] hyper::Error),
@@ -76,43 +76,43 @@
 }
 
 /// Told how a stream has ended, with its connection if that can be used again.
-pub type End = Box<dyn FnOnce(Came, Option<Connection>) + Send>;
+pub type EndCallback = Box<dyn FnOnce(RequestOutcome, Option<Connection>) + Send>;
 
 /// An answer that goes on as it comes. Its end is told when it is dropped, whole or not.
-pub struct Stream {
+pub struct AnswerStream {
     first: Option<Bytes>,
     rest: Incoming,
     /// As the upstream stated it.
     length: Option<u64>,
     passed: u64,
     connection: Option<Connection>,
-    end: Option<End>,
+    end: Option<EndCallback>,
     /// When its client stops waiting for a short answer.
     deadline: Instant,
-    learnt: Learnt,
+    learnt: StreamEstimates,
     /// Since when it has waited for the upstream, while it does.
     waiting_since: Option<Instant>,
     timer: Pin<Box<Sleep>>,
     ended: bool,
     torn: bool,
     /// Why it is to be torn, once what went before has been written.
-    tearing: Option<Torn>,
-    slot: Option<Arc<Slot>>,
+    tearing: Option<StreamError>,
+    slot: Option<Arc<ConnectionActivity>>,
     delimited_by_close: bool,
-    _room: Taken,
+    _room: TransferPermit,
 }
 
 /// What the answers of an instance have taught, and what is learnt from this one.
 #[derive(Clone)]
-pub struct Learnt {
+pub struct StreamEstimates {
     /// How long answers pause.
-    pub patience: Arc<Patience>,
+    pub patience: Arc<StallTimeout>,
     /// How long those turn out that state no length.
     pub lengths: Arc<AnswerLengths>,
 }
 
 /// What a stream is made of.
-pub struct Parts {
+pub struct StreamParts {
     /// Bytes that have been read already.
     pub first: Bytes,
     /// Where the others come from.
@@ -122,20 +122,20 @@
     /// The connection that they come on.
     pub connection: Connection,
     /// Called at its end.
-    pub end: End,
+    pub end: EndCallback,
     /// The room that it takes.
-    pub room: Taken,
+    pub room: TransferPermit,
     /// When its client stops waiting for a short answer.
     pub deadline: Instant,
     /// What was learnt from others.
-    pub learnt: Learnt,
+    pub learnt: StreamEstimates,
 }
 
-impl Stream {
+impl AnswerStream {
     /// One that has just begun.
-    pub fn new(parts: Parts) -> Stream {
-        let Parts { first, rest, length, connection, end, room, deadline, learnt } = parts;
-        Stream {
+    pub fn new(parts: StreamParts) -> AnswerStream {
+        let StreamParts { first, rest, length, connection, end, room, deadline, learnt } = parts;
+        AnswerStream {
             first: Some(first).filter(|first| !first.is_empty()),
             rest,
             length,
@@ -155,10 +155,10 @@
         }
     }
 
-    fn pass(&mut self, data: Bytes, cx: &Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Torn>>> {
+    fn pass(&mut self, data: Bytes, cx: &Context<'_>) -> Poll<Option<Result<Frame<Bytes>, StreamError>>> {
         self.passed = self.passed.saturating_add(data.len() as u64);
         if self.passed > MOST_BYTES {
-            return self.tear_later(Torn::TooLong, cx);
+            return self.tear_later(StreamError::TooLong, cx);
         }
         self.waiting_since = None;
         Poll::Ready(Some(Ok(Frame::data(data))))
@@ -166,13 +166,17 @@
 
     /// Tears the answer at the next poll. hyper throws away what it has not written when a body fails: where nothing of the
     /// answer had been, a client would take its connection for an idle one that was closed, and send the request again.
-    fn tear_later(&mut self, why: Torn, cx: &Context<'_>) -> Poll<Option<Result<Frame<Bytes>, Torn>>> {
+    fn tear_later(
+        &mut self,
+        why: StreamError,
+        cx: &Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamError>>> {
         self.tearing = Some(why);
         cx.waker().wake_by_ref();
         Poll::Pending
     }
 
-    fn tear(&mut self, why: Torn) -> Poll<Option<Result<Frame<Bytes>, Torn>>> {
+    fn tear(&mut self, why: StreamError) -> Poll<Option<Result<Frame<Bytes>, StreamError>>> {
         self.torn = true;
         if let Some(slot) = self.slot.as_ref().filter(|_| self.delimited_by_close) {
             slot.reset_on_close();
@@ -206,14 +210,14 @@
     }
 }
 
-impl Body for Stream {
+impl Body for AnswerStream {
     type Data = Bytes;
-    type Error = Torn;
+    type Error = StreamError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Torn>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamError>>> {
         let this = &mut *self;
         if let Some(why) = this.tearing.take() {
             return this.tear(why);
@@ -229,12 +233,14 @@
                     Ok(data) => return this.pass(data, cx),
                     Err(_) => {}
                 },
-                Poll::Ready(Some(Err(error))) => return this.tear_later(Torn::Upstream(error), cx),
+                Poll::Ready(Some(Err(error))) => return this.tear_later(StreamError::Upstream(error), cx),
                 Poll::Ready(None) => {
                     this.ended = true;
                     return Poll::Ready(None);
                 }
-                Poll::Pending if this.poll_overdue(cx).is_ready() => return this.tear_later(Torn::Still, cx),
+                Poll::Pending if this.poll_overdue(cx).is_ready() => {
+                    return this.tear_later(StreamError::Still, cx);
+                }
                 Poll::Pending => return Poll::Pending,
             }
         }
@@ -250,7 +256,7 @@
     }
 }
 
-impl Drop for Stream {
+impl Drop for AnswerStream {
     fn drop(&mut self) {
         let whole = self.is_whole();
         let is_long = self.passed > WHOLE_BYTES as u64;
@@ -258,9 +264,9 @@
             self.learnt.lengths.learn(is_long);
         }
         let came = match (whole, self.torn) {
-            (true, _) => Came::Served,
-            (false, true) => Came::Failed,
-            (false, false) => Came::Left,
+            (true, _) => RequestOutcome::Served,
+            (false, true) => RequestOutcome::Failed,
+            (false, false) => RequestOutcome::Left,
         };
         if let Some(slot) = self.slot.take() {
             slot.free();
@@ -276,38 +282,38 @@
     }
 }
 
-impl fmt::Debug for Stream {
+impl fmt::Debug for AnswerStream {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "Stream({} of {:?} bytes)", self.passed, self.length)
     }
 }
 
-impl Body for Payload {
+impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = Torn;
+    type Error = StreamError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Torn>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, StreamError>>> {
         match &mut *self {
-            Payload::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
-            Payload::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
-            Payload::Stream(stream) => Pin::new(&mut **stream).poll_frame(cx),
+            AnswerBody::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
+            AnswerBody::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
+            AnswerBody::Stream(stream) => Pin::new(&mut **stream).poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Payload::Whole(bytes) => bytes.is_empty(),
-            Payload::Stream(stream) => stream.is_end_stream(),
+            AnswerBody::Whole(bytes) => bytes.is_empty(),
+            AnswerBody::Stream(stream) => stream.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Payload::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
-            Payload::Stream(stream) => stream.size_hint(),
+            AnswerBody::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            AnswerBody::Stream(stream) => stream.size_hint(),
         }
     }
 }
--- a/crates/sidecar/src/transfer/body_buffer.rs
+++ b/crates/sidecar/src/transfer/body_buffer.rs
@@ -6,12 +6,12 @@
 
 /// The pieces of a body that is held whole. One that comes in one piece is not copied.
 #[derive(Default)]
-pub struct Gathered {
+pub struct BodyBuffer {
     first: Bytes,
     more: BytesMut,
 }
 
-impl Gathered {
+impl BodyBuffer {
     /// How many bytes there are.
     pub fn length(&self) -> usize {
         self.first.len() + self.more.len()
--- a/crates/sidecar/src/transfer/limits.rs
+++ b/crates/sidecar/src/transfer/limits.rs
@@ -24,7 +24,7 @@
 
 /// What to do with an answer's body, by its stated length.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Plan {
+pub enum BodyHandling {
     /// It is read whole before any of it goes on.
     Whole,
     /// It goes on as it comes.
@@ -36,12 +36,12 @@
 }
 
 /// The plan for an answer that states such a length, if it states one.
-pub fn plan(length: Option<u64>) -> Plan {
+pub fn plan(length: Option<u64>) -> BodyHandling {
     match length {
-        None => Plan::Wait,
-        Some(length) if length <= WHOLE_BYTES as u64 => Plan::Whole,
-        Some(length) if length <= MOST_BYTES => Plan::Stream,
-        Some(_) => Plan::TooLong,
+        None => BodyHandling::Wait,
+        Some(length) if length <= WHOLE_BYTES as u64 => BodyHandling::Whole,
+        Some(length) if length <= MOST_BYTES => BodyHandling::Stream,
+        Some(_) => BodyHandling::TooLong,
     }
 }
 
@@ -74,12 +74,14 @@
 
     #[test]
     fn what_is_short_is_held_and_what_is_absurd_is_not_carried() {
-        let bounds = [(0, Plan::Whole), (65_536, Plan::Whole), (65_537, Plan::Stream)];
-        for (length, expected) in
-            bounds.into_iter().chain([(MOST_BYTES, Plan::Stream), (MOST_BYTES + 1, Plan::TooLong)])
+        let bounds =
+            [(0, BodyHandling::Whole), (65_536, BodyHandling::Whole), (65_537, BodyHandling::Stream)];
+        for (length, expected) in bounds
+            .into_iter()
+            .chain([(MOST_BYTES, BodyHandling::Stream), (MOST_BYTES + 1, BodyHandling::TooLong)])
         {
             assert_eq!(plan(Some(length)), expected, "{length}");
         }
-        assert_eq!((plan(None), plan(Some(u64::MAX))), (Plan::Wait, Plan::TooLong));
+        assert_eq!((plan(None), plan(Some(u64::MAX))), (BodyHandling::Wait, BodyHandling::TooLong));
     }
 }
--- a/crates/sidecar/src/transfer/request_body.rs
+++ b/crates/sidecar/src/transfer/request_body.rs
@@ -9,77 +9,77 @@
 use http_body_util::Full;
 use hyper::body::{Body, Frame, SizeHint};
 
-use super::upload::{Broken, Passing, Upload};
+use super::upload::{Upload, UploadError, UploadStream};
 
 /// The body of a request.
 #[derive(Debug, Clone)]
-pub enum Kept {
+pub enum RequestBody {
     /// All of it.
     Whole(Bytes),
     /// What has come so far, and where the rest comes from.
     Upload(Arc<Upload>),
 }
 
-impl Kept {
+impl RequestBody {
     /// How long it is, where that is known.
     pub fn length(&self) -> Option<u64> {
         match self {
-            Kept::Whole(bytes) => u64::try_from(bytes.len()).ok(),
-            Kept::Upload(upload) => upload.length(),
+            RequestBody::Whole(bytes) => u64::try_from(bytes.len()).ok(),
+            RequestBody::Upload(upload) => upload.length(),
         }
     }
 
     /// The upload, if it is one.
     pub fn upload(&self) -> Option<&Arc<Upload>> {
         match self {
-            Kept::Whole(_) => None,
-            Kept::Upload(upload) => Some(upload),
+            RequestBody::Whole(_) => None,
+            RequestBody::Upload(upload) => Some(upload),
         }
     }
 }
 
 /// What an attempt writes.
-pub enum Outgoing {
+pub enum AttemptBody {
     /// All of it at once.
     Whole(Full<Bytes>),
     /// As it comes.
-    Passing(Passing),
+    Passing(UploadStream),
 }
 
-impl Outgoing {
+impl AttemptBody {
     /// One without a body.
-    pub fn empty() -> Outgoing {
-        Outgoing::Whole(Full::new(Bytes::new()))
+    pub fn empty() -> AttemptBody {
+        AttemptBody::Whole(Full::new(Bytes::new()))
     }
 }
 
-impl Body for Outgoing {
+impl Body for AttemptBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = UploadError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, UploadError>>> {
         match &mut *self {
-            Outgoing::Whole(body) => Pin::new(body)
+            AttemptBody::Whole(body) => Pin::new(body)
                 .poll_frame(cx)
                 .map(|frame| frame.map(|frame| frame.map_err(|error: Infallible| match error {}))),
-            Outgoing::Passing(body) => Pin::new(body).poll_frame(cx),
+            AttemptBody::Passing(body) => Pin::new(body).poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Outgoing::Whole(body) => body.is_end_stream(),
-            Outgoing::Passing(body) => body.is_end_stream(),
+            AttemptBody::Whole(body) => body.is_end_stream(),
+            AttemptBody::Passing(body) => body.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Outgoing::Whole(body) => body.size_hint(),
-            Outgoing::Passing(body) => body.size_hint(),
+            AttemptBody::Whole(body) => body.size_hint(),
+            AttemptBody::Passing(body) => body.size_hint(),
         }
     }
 }
--- a/crates/sidecar/src/transfer/stall_timeout.rs
+++ b/crates/sidecar/src/transfer/stall_timeout.rs
@@ -19,15 +19,15 @@
 
 /// What was learnt, shared by all attempts of an instance.
 #[derive(Debug)]
-pub struct Patience {
+pub struct StallTimeout {
     /// The longest gap of late that went on, in microseconds.
     gap: AtomicU64,
     asked: AtomicU64,
 }
 
-impl Default for Patience {
-    fn default() -> Patience {
-        Patience { gap: AtomicU64::new(micros(FIRST)), asked: AtomicU64::new(0) }
+impl Default for StallTimeout {
+    fn default() -> StallTimeout {
+        StallTimeout { gap: AtomicU64::new(micros(FIRST)), asked: AtomicU64::new(0) }
     }
 }
 
@@ -35,7 +35,7 @@
     u64::try_from(time.as_micros()).unwrap_or(u64::MAX)
 }
 
-impl Patience {
+impl StallTimeout {
     /// How long the next answer that stops is waited for.
     pub fn limit(&self) -> Duration {
         if self.asked.fetch_add(1, Ordering::Relaxed) % TRY_OUT == TRY_OUT - 1 {
@@ -67,7 +67,7 @@
     use super::*;
 
     /// The limits of so many answers, of which each went on after this gap if it was waited for that long.
-    fn after(patience: &Patience, answers: usize, gap: Duration) -> usize {
+    fn after(patience: &StallTimeout, answers: usize, gap: Duration) -> usize {
         let mut cut = 0;
         for _ in 0..answers {
             if patience.limit() < gap {
@@ -82,7 +82,7 @@
 
     #[test]
     fn it_falls_where_answers_do_not_pause_and_grows_where_they_do() {
-        let patience = Patience::default();
+        let patience = StallTimeout::default();
         after(&patience, 2_000, Duration::from_micros(300));
         let limits: Vec<Duration> = (0..8).map(|_| patience.limit()).collect();
         assert_eq!(limits.iter().filter(|limit| **limit == LEAST).count(), 7);
--- a/crates/sidecar/src/transfer/upload.rs
+++ b/crates/sidecar/src/transfer/upload.rs
@@ -15,11 +15,11 @@
 use tokio::time::{Instant, Sleep, sleep_until};
 
 use super::limits::{MOST_BYTES, body_by};
-use crate::budget::Taken;
+use crate::budget::TransferPermit;
 
 /// What became of a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub enum UploadState {
     /// It is still coming, or has not been asked for.
     Coming,
     /// Its last byte came then.
@@ -47,8 +47,8 @@
     began: Instant,
     gathered: Instant,
     source: Mutex<Source>,
-    fate: watch::Sender<Fate>,
-    _room: Taken,
+    fate: watch::Sender<UploadState>,
+    _room: TransferPermit,
 }
 
 /// Nothing that is held under it can panic.
@@ -58,7 +58,13 @@
 
 impl Upload {
     /// A body of which so much has come; its head came then.
-    pub fn new(first: Bytes, rest: Incoming, length: Option<u64>, began: Instant, room: Taken) -> Upload {
+    pub fn new(
+        first: Bytes,
+        rest: Incoming,
+        length: Option<u64>,
+        began: Instant,
+        room: TransferPermit,
+    ) -> Upload {
         let source = Mutex::new(Source::Kept(Box::new(rest)));
         Upload {
             first,
@@ -66,7 +72,7 @@
             began,
             gathered: Instant::now(),
             source,
-            fate: watch::Sender::new(Fate::Coming),
+            fate: watch::Sender::new(UploadState::Coming),
             _room: room,
         }
     }
@@ -82,27 +88,27 @@
     }
 
     /// What became of it.
-    pub fn fate(&self) -> Fate {
+    pub fn fate(&self) -> UploadState {
         *self.fate.borrow()
     }
 
     /// Whether it never came whole.
     pub fn is_broken(&self) -> bool {
-        matches!(self.fate(), Fate::Broken(_))
+        matches!(self.fate(), UploadState::Broken(_))
     }
 
     /// Comes back once it no longer comes.
-    pub async fn settled(&self) -> Fate {
+    pub async fn settled(&self) -> UploadState {
         let mut fates = self.fate.subscribe();
         // It cannot fail: the sender is here.
-        let _ = fates.wait_for(|fate| *fate != Fate::Coming).await;
+        let _ = fates.wait_for(|fate| *fate != UploadState::Coming).await;
         self.fate()
     }
 
     /// The body for an attempt; `None` if it can have none.
-    pub fn body(this: &Arc<Upload>) -> Option<Passing> {
+    pub fn body(this: &Arc<Upload>) -> Option<UploadStream> {
         match std::mem::replace(&mut *lock(&this.source), Source::Gone) {
-            Source::Kept(rest) => Some(Passing {
+            Source::Kept(rest) => Some(UploadStream {
                 upload: this.clone(),
                 first: Some(this.first.clone()),
                 rest: Some(rest),
@@ -119,7 +125,7 @@
 
 /// What an attempt writes: the kept bytes, then the rest as it comes. Dropped before any of the rest was taken it leaves all
 /// for the next attempt.
-pub struct Passing {
+pub struct UploadStream {
     upload: Arc<Upload>,
     first: Option<Bytes>,
     rest: Option<Box<Incoming>>,
@@ -134,10 +140,10 @@
 /// A body that never came whole.
 #[derive(Debug, thiserror::Error)]
 #[error("the client's body did not come whole")]
-pub struct Broken;
+pub struct UploadError;
 
-impl Passing {
-    fn pass(&mut self, data: Bytes) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+impl UploadStream {
+    fn pass(&mut self, data: Bytes) -> Poll<Option<Result<Frame<Bytes>, UploadError>>> {
         self.passed = self.passed.saturating_add(data.len() as u64);
         if self.passed > MOST_BYTES {
             return self.breaks(StatusCode::PAYLOAD_TOO_LARGE);
@@ -149,26 +155,26 @@
         Poll::Ready(Some(Ok(Frame::data(data))))
     }
 
-    fn breaks(&mut self, status: StatusCode) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
-        self.upload.fate.send_replace(Fate::Broken(status));
-        Poll::Ready(Some(Err(Broken)))
+    fn breaks(&mut self, status: StatusCode) -> Poll<Option<Result<Frame<Bytes>, UploadError>>> {
+        self.upload.fate.send_replace(UploadState::Broken(status));
+        Poll::Ready(Some(Err(UploadError)))
     }
 
     fn ends(&mut self) {
-        if self.upload.fate() == Fate::Coming {
-            self.upload.fate.send_replace(Fate::Whole(Instant::now()));
+        if self.upload.fate() == UploadState::Coming {
+            self.upload.fate.send_replace(UploadState::Whole(Instant::now()));
         }
     }
 }
 
-impl Body for Passing {
+impl Body for UploadStream {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = UploadError;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, UploadError>>> {
         let this = &mut *self;
         if let Some(since) = this.unasked.take() {
             this.held += since.elapsed();
@@ -216,7 +222,7 @@
     }
 }
 
-impl Drop for Passing {
+impl Drop for UploadStream {
     fn drop(&mut self) {
         if let Some(rest) = self.rest.take().filter(|_| !self.touched) {
             *lock(&self.upload.source) = Source::Kept(rest);
