--- a/crates/sidecar/src/upstream.rs
+++ b/crates/sidecar/src/upstream.rs
@@ -15,22 +15,22 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-use crate::budget::{Permit, Room, Taken};
-use crate::client_disconnect::Terms;
+use crate::budget::{TransferLimit, TransferPermit, UpstreamPermit};
+use crate::client_disconnect::WriteConditions;
 use crate::connection::Connection;
 use crate::execution::{self, How, Written};
 use crate::log::Log;
-use crate::messages::{Answer, End, Flight, Outlet};
+use crate::messages::{Answer, AttemptEnd, AttemptInfo, EventSink};
 use crate::metered_stream::Meter;
-use crate::metrics::{Came, Metrics};
+use crate::metrics::{Metrics, RequestOutcome};
 use crate::request_bound::{RequestState, bound};
-use crate::transfer::answer::{self, Payload, Stream};
+use crate::transfer::answer::{self, AnswerBody, AnswerStream};
 use crate::transfer::answer_hold::{AnswerLengths, HoldTimes, Pace, SHORT_HOLD, hold_until};
-use crate::transfer::body_buffer::Gathered;
-use crate::transfer::limits::{self, Plan, WHOLE_BYTES};
-use crate::transfer::request_body::{Kept, Outgoing};
-use crate::transfer::stall_timeout::Patience;
-use crate::transfer::upload::{Fate, Upload};
+use crate::transfer::body_buffer::BodyBuffer;
+use crate::transfer::limits::{self, BodyHandling, WHOLE_BYTES};
+use crate::transfer::request_body::{AttemptBody, RequestBody};
+use crate::transfer::stall_timeout::StallTimeout;
+use crate::transfer::upload::{Upload, UploadState};
 
 /// Why there is no answer.
 enum Broken {
@@ -56,14 +56,14 @@
     /// All of it.
     Whole(Answer),
     /// Its head and first bytes; it goes on as it comes. It has room for that if it was held.
-    Begun { head: Parts, first: Bytes, rest: Incoming, length: Option<u64>, room: Option<Taken> },
+    Begun { head: Parts, first: Bytes, rest: Incoming, length: Option<u64>, room: Option<TransferPermit> },
     /// Its head; what follows is of no use to anyone.
     Head(Answer),
 }
 
 /// What the holding of an answer of unknown length goes by.
 struct Holder<'a> {
-    flight: &'a Flight,
+    flight: &'a AttemptInfo,
     common: &'a Common,
 }
 
@@ -74,7 +74,7 @@
     until: Instant,
     pace: Pace,
     /// The room that it takes once it has lasted for longer than [`SHORT_HOLD`]; it goes on in the same.
-    room: Option<Taken>,
+    room: Option<TransferPermit>,
 }
 
 impl<'a> Hold<'a> {
@@ -119,8 +119,8 @@
 
 /// Sends a request once and reads its answer: whole, or until it may go on as it comes. What nobody waits for is not held.
 async fn exchange(
-    sender: &mut SendRequest<Outgoing>,
-    mut request: Request<Outgoing>,
+    sender: &mut SendRequest<AttemptBody>,
+    mut request: Request<AttemptBody>,
     meter: &Arc<Meter>,
     holder: Option<&Holder<'_>>,
 ) -> Result<Got, Broken> {
@@ -135,13 +135,13 @@
     let length = body.size_hint().exact();
     let served = head.status == StatusCode::OK;
     let plan = match limits::plan(length) {
-        Plan::TooLong if served => return Err(Broken::Unfit("an answer that is too long")),
+        BodyHandling::TooLong if served => return Err(Broken::Unfit("an answer that is too long")),
         // What it says beside its status goes to nobody.
-        Plan::TooLong | Plan::Stream if !served => return Ok(Got::Head(head_only(head))),
+        BodyHandling::TooLong | BodyHandling::Stream if !served => return Ok(Got::Head(head_only(head))),
         plan => plan,
     };
-    let mut hold = holder.filter(|_| plan == Plan::Wait && served).map(Hold::new);
-    let mut gathered = Gathered::default();
+    let mut hold = holder.filter(|_| plan == BodyHandling::Wait && served).map(Hold::new);
+    let mut gathered = BodyBuffer::default();
     loop {
         let frame = tokio::select! {
             biased;
@@ -155,7 +155,7 @@
                 if let Some(Hold { holder, room: Some(_), .. }) = &hold {
                     holder.common.lengths.learn(false);
                 }
-                let (Parts { status, headers, .. }, body) = (head, Payload::Whole(gathered.take()));
+                let (Parts { status, headers, .. }, body) = (head, AnswerBody::Whole(gathered.take()));
                 return Ok(Got::Whole(Answer { status, headers, body }));
             }
             Some(Ok(frame)) => {
@@ -171,9 +171,9 @@
         }
         let is_long = gathered.length() > WHOLE_BYTES;
         match plan {
-            Plan::Wait if is_long && !served => return Ok(Got::Head(head_only(head))),
-            Plan::Wait if is_long => break,
-            Plan::Stream => break,
+            BodyHandling::Wait if is_long && !served => return Ok(Got::Head(head_only(head))),
+            BodyHandling::Wait if is_long => break,
+            BodyHandling::Stream => break,
             _ => {}
         }
     }
@@ -184,7 +184,7 @@
 /// An answer of which nothing but its status is of use.
 fn head_only(head: Parts) -> Answer {
     let Parts { status, headers, .. } = head;
-    Answer { status, headers, body: Payload::Whole(Bytes::new()) }
+    Answer { status, headers, body: AnswerBody::Whole(Bytes::new()) }
 }
 
 /// Comes back when a hold is over; never where there is none.
@@ -197,7 +197,7 @@
 
 /// Comes back when an answer that has begun comes no further for longer than is worth waiting. While it waits for room nobody
 /// reads it, and that is no fault of the upstream's.
-async fn stalled(meter: &Meter, patience: &Patience, waits_for_room: &AtomicBool) {
+async fn stalled(meter: &Meter, patience: &StallTimeout, waits_for_room: &AtomicBool) {
     loop {
         meter.answer_began().await;
         let limit = patience.limit();
@@ -225,26 +225,26 @@
 }
 
 /// What becomes of connections and of what they carry.
-pub enum FromUpstreams {
+pub enum UpstreamEvent {
     /// A connection for an attempt came up or did not.
-    Connected(Flight, Result<Box<Connection>, String>),
+    Connected(AttemptInfo, Result<Box<Connection>, String>),
     /// An attempt ended.
     Ended {
         /// Which.
-        flight: Flight,
+        flight: AttemptInfo,
         /// How.
-        end: End,
+        end: AttemptEnd,
         /// What crossed its connection, for the trace.
         wire: Wire,
     },
     /// The body of an attempt is still coming, or has come.
-    Uploads(Flight, Fate),
+    Uploads(AttemptInfo, UploadState),
     /// An answer that went on as it came has ended.
     Streamed {
         /// Whose.
         request: RequestId,
         /// How.
-        came: Came,
+        came: RequestOutcome,
     },
     /// A connection is free.
     Idle {
@@ -267,16 +267,16 @@
 /// Connects for an attempt, until `given_up` is dropped or used.
 pub async fn connect(
     dial: SocketAddr,
-    permit: Permit,
-    flight: Flight,
+    permit: UpstreamPermit,
+    flight: AttemptInfo,
     given_up: oneshot::Receiver<()>,
-    told: Outlet<FromUpstreams>,
+    told: EventSink<UpstreamEvent>,
 ) {
     let result = tokio::select! {
         result = Connection::open(dial, bound(RequestState::Connecting(flight.times())).at, permit) => result,
         _ = given_up => Err("given up".to_owned()),
     };
-    told.tell(FromUpstreams::Connected(flight, result.map(Box::new)));
+    told.tell(UpstreamEvent::Connected(flight, result.map(Box::new)));
 }
 
 /// What all attempts of an instance share.
@@ -287,57 +287,57 @@
     /// Where those that were written whole are counted.
     pub metrics: Arc<Metrics>,
     /// How long answers that stop are waited for.
-    pub patience: Arc<Patience>,
+    pub patience: Arc<StallTimeout>,
     /// How long those turn out that state no length.
     pub lengths: Arc<AnswerLengths>,
     /// Room for answers that go on as they come.
-    pub transfers: Room,
+    pub transfers: TransferLimit,
 }
 
 /// What an attempt writes.
 pub struct Writing {
     /// The request, but for its body.
-    pub request: Request<Outgoing>,
+    pub request: Request<AttemptBody>,
     /// Its body.
-    pub body: Kept,
+    pub body: RequestBody,
     /// On what terms its first byte is written.
-    pub terms: Option<Terms>,
+    pub terms: Option<WriteConditions>,
 }
 
 /// Carries one attempt over a connection until it ends, its time is up or `give_up` is dropped or used.
 pub async fn attempt(
     mut connection: Connection,
     writing: Writing,
-    flight: Flight,
+    flight: AttemptInfo,
     mut give_up: oneshot::Receiver<()>,
     common: Common,
-    told: Outlet<FromUpstreams>,
+    told: EventSink<UpstreamEvent>,
 ) {
     let Writing { mut request, body, terms } = writing;
     // It may have been given up, or the driver may have ended, before this task had its first turn.
     if !matches!(give_up.try_recv(), Err(oneshot::error::TryRecvError::Empty)) {
-        told.tell(FromUpstreams::Ended {
+        told.tell(UpstreamEvent::Ended {
             flight,
-            end: End::Outcome(Outcome::NotSent, None),
+            end: AttemptEnd::Outcome(Outcome::NotSent, None),
             wire: Wire::default(),
         });
-        return give_back(Some(connection), flight.upstream, flight.life, &told);
+        return give_back(Some(connection), flight.upstream, flight.incarnation, &told);
     }
     let (meter, port) = (connection.meter.clone(), connection.port);
     let client_waits = flight.deadline.saturating_duration_since(Instant::now());
     meter.begin(Some((common.metrics.clone(), common.patience.clone())), terms);
     let upload = body.upload().cloned();
     *request.body_mut() = match body {
-        Kept::Whole(bytes) => Outgoing::Whole(Full::new(bytes)),
-        Kept::Upload(upload) => match Upload::body(&upload) {
-            Some(body) => Outgoing::Passing(body),
+        RequestBody::Whole(bytes) => AttemptBody::Whole(Full::new(bytes)),
+        RequestBody::Upload(upload) => match Upload::body(&upload) {
+            Some(body) => AttemptBody::Passing(body),
             None => {
-                told.tell(FromUpstreams::Ended {
+                told.tell(UpstreamEvent::Ended {
                     flight,
-                    end: End::Outcome(Outcome::NotSent, None),
+                    end: AttemptEnd::Outcome(Outcome::NotSent, None),
                     wire: Wire::default(),
                 });
-                return give_back(Some(connection), flight.upstream, flight.life, &told);
+                return give_back(Some(connection), flight.upstream, flight.incarnation, &told);
             }
         },
     };
@@ -362,8 +362,8 @@
                     // What answers before it has all of a request goes on reading it: that must not arrive any more.
                     if meter.request() == Written::Whole {
                         let end = ended(How::Answered(says), Written::Whole, Some(answer));
-                        told.tell(FromUpstreams::Ended { flight, end, wire: Wire { port, bytes: meter.taken() } });
-                        return give_back(connection.settle().await, flight.upstream, flight.life, &told);
+                        told.tell(UpstreamEvent::Ended { flight, end, wire: Wire { port, bytes: meter.taken() } });
+                        return give_back(connection.settle().await, flight.upstream, flight.incarnation, &told);
                     }
                     (How::Answered(says), Some(answer))
                 }
@@ -374,28 +374,28 @@
                 Ok(Got::Begun { head, first, rest, length, room: Some(room) }) => {
                     let streamed = told.clone();
                     let end = Box::new(move |came, connection: Option<Connection>| {
-                        streamed.tell(FromUpstreams::Streamed { request: flight.request, came });
+                        streamed.tell(UpstreamEvent::Streamed { request: flight.request, came });
                         // Outside a runtime nobody could use it again.
                         if let (Some(connection), Ok(runtime)) = (connection, Handle::try_current()) {
                             runtime.spawn(async move {
                                 let connection = connection.settle().await;
-                                give_back(connection, flight.upstream, flight.life, &streamed);
+                                give_back(connection, flight.upstream, flight.incarnation, &streamed);
                             });
                         }
                     });
                     let deadline = match upload.as_deref().map(Upload::fate) {
-                        Some(Fate::Whole(at)) => at + client_waits,
+                        Some(UploadState::Whole(at)) => at + client_waits,
                         _ => flight.deadline,
                     };
-                    let learnt = answer::Learnt {
+                    let learnt = answer::StreamEstimates {
                         patience: common.patience.clone(),
                         lengths: common.lengths.clone(),
                     };
-                    let parts = answer::Parts { first, rest, length, connection, end, room, deadline, learnt };
-                    let body = Payload::Stream(Box::new(Stream::new(parts)));
+                    let parts = answer::StreamParts { first, rest, length, connection, end, room, deadline, learnt };
+                    let body = AnswerBody::Stream(Box::new(AnswerStream::new(parts)));
                     let answer = Answer { status: head.status, headers: head.headers, body };
-                    let end = End::Outcome(Outcome::Ok, Some(answer));
-                    told.tell(FromUpstreams::Ended { flight, end, wire: Wire { port, bytes: meter.taken() } });
+                    let end = AttemptEnd::Outcome(Outcome::Ok, Some(answer));
+                    told.tell(UpstreamEvent::Ended { flight, end, wire: Wire { port, bytes: meter.taken() } });
                     return;
                 }
                 Ok(Got::Begun { room: None, .. }) => (How::Spoilt, None),
@@ -424,43 +424,43 @@
     let how = if meter.is_unwanted() { How::CalledOff } else { how };
     let written = meter.request();
     let end = match execution::is_stale(how, execution::execution(how, written), used) {
-        true => End::Stale,
+        true => AttemptEnd::Stale,
         false => ended(how, written, answer),
     };
-    told.tell(FromUpstreams::Ended { flight, end, wire: Wire { port, bytes: meter.taken() } });
+    told.tell(UpstreamEvent::Ended { flight, end, wire: Wire { port, bytes: meter.taken() } });
 }
 
 /// What the driver is told of an attempt that has ended.
-fn ended(how: How, written: Written, answer: Option<Answer>) -> End {
-    End::Outcome(execution::outcome(how, execution::execution(how, written)), answer)
+fn ended(how: How, written: Written, answer: Option<Answer>) -> AttemptEnd {
+    AttemptEnd::Outcome(execution::outcome(how, execution::execution(how, written)), answer)
 }
 
 /// Comes back when an attempt's time is up. That of an upload counts from its last byte.
-async fn due(flight: &Flight, upload: Option<&Upload>, told: &Outlet<FromUpstreams>) {
+async fn due(flight: &AttemptInfo, upload: Option<&Upload>, told: &EventSink<UpstreamEvent>) {
     let until = bound(RequestState::Sent(flight.times())).at;
     let Some(upload) = upload else { return sleep_until(until).await };
     let allowed = until.saturating_duration_since(Instant::now());
-    if upload.fate() == Fate::Coming {
-        told.tell(FromUpstreams::Uploads(*flight, Fate::Coming));
+    if upload.fate() == UploadState::Coming {
+        told.tell(UpstreamEvent::Uploads(*flight, UploadState::Coming));
     }
     match upload.settled().await {
-        Fate::Whole(at) => {
-            told.tell(FromUpstreams::Uploads(*flight, Fate::Whole(at)));
+        UploadState::Whole(at) => {
+            told.tell(UpstreamEvent::Uploads(*flight, UploadState::Whole(at)));
             sleep_until(at + allowed).await;
         }
         // The exchange ends by itself.
-        Fate::Coming | Fate::Broken(_) => std::future::pending().await,
+        UploadState::Coming | UploadState::Broken(_) => std::future::pending().await,
     }
 }
 
 /// Probes an upstream over an idle connection, or a new one.
 pub async fn probe(
     source: Source,
-    request: Request<Outgoing>,
+    request: Request<AttemptBody>,
     upstream: UpstreamId,
     life: u64,
     until: Instant,
-    told: Outlet<FromUpstreams>,
+    told: EventSink<UpstreamEvent>,
 ) {
     let opened = match source {
         Source::Idle(connection) => Ok(*connection),
@@ -473,17 +473,22 @@
         let result = timeout_at(until, exchange(&mut connection.sender, request, &meter, None)).await;
         if let Ok(Ok(Got::Whole(got))) = result {
             answer = Some(got);
-            told.tell(FromUpstreams::Probed { upstream, answer });
+            told.tell(UpstreamEvent::Probed { upstream, answer });
             return give_back(connection.settle().await, upstream, life, &told);
         }
         connection.close().await;
     }
-    told.tell(FromUpstreams::Probed { upstream, answer });
+    told.tell(UpstreamEvent::Probed { upstream, answer });
 }
 
-fn give_back(connection: Option<Connection>, upstream: UpstreamId, life: u64, told: &Outlet<FromUpstreams>) {
+fn give_back(
+    connection: Option<Connection>,
+    upstream: UpstreamId,
+    life: u64,
+    told: &EventSink<UpstreamEvent>,
+) {
     if let Some(connection) = connection {
-        told.tell(FromUpstreams::Idle { upstream, life, connection: Box::new(connection) });
+        told.tell(UpstreamEvent::Idle { upstream, life, connection: Box::new(connection) });
     }
 }
 
@@ -492,7 +497,7 @@
     /// One that is open.
     Idle(Box<Connection>),
     /// A new one to this address, by this time.
-    Dial(SocketAddr, Instant, Permit),
+    Dial(SocketAddr, Instant, UpstreamPermit),
 }
 
 #[cfg(test)]
--- a/crates/sidecar/src/upstream/tests.rs
+++ b/crates/sidecar/src/upstream/tests.rs
@@ -12,26 +12,26 @@
 
 use super::*;
 use crate::budget::Budgets;
-use crate::client_disconnect::Presence;
+use crate::client_disconnect::ClientConnection;
 
 /// A body that a peer's kernel and ours never hold together: what is cut before its end was written in part.
 const MORE_THAN_THE_KERNEL_TAKES: usize = 6 << 20;
 /// As long as nothing takes unless it never comes.
 const FOREVER: Duration = Duration::from_secs(30);
 
-type Heard = Arc<Mutex<Vec<FromUpstreams>>>;
+type Heard = Arc<Mutex<Vec<UpstreamEvent>>>;
 
 /// A connection to this address, and what an attempt over it needs to know.
-async fn at_hand(dial: SocketAddr) -> (Connection, Flight) {
+async fn at_hand(dial: SocketAddr) -> (Connection, AttemptInfo) {
     let until = Instant::now() + FOREVER;
     let permit = Budgets::of(1).permit(dial).unwrap();
     let connection = Connection::open(dial, until, permit).await.unwrap();
     let (request, attempt, upstream) = (RequestId(1), AttemptNo(0), UpstreamId(1));
-    let flight = Flight {
+    let flight = AttemptInfo {
         request,
         attempt,
         upstream,
-        life: 0,
+        incarnation: 0,
         until,
         connect_by: until,
         aim_at: until,
@@ -46,14 +46,14 @@
         metrics: Arc::new(Metrics::new(std::iter::empty())),
         patience: Arc::default(),
         lengths: Arc::default(),
-        transfers: Room::new(1),
+        transfers: TransferLimit::new(1),
     }
 }
 
-fn listening() -> (Heard, Outlet<FromUpstreams>) {
+fn listening() -> (Heard, EventSink<UpstreamEvent>) {
     let told = Heard::default();
     let heard = told.clone();
-    let outlet = Outlet::to(move |message| {
+    let outlet = EventSink::to(move |message| {
         heard.lock().unwrap().push(message);
         true
     });
@@ -66,7 +66,7 @@
     let ends: Vec<Outcome> = messages
         .iter()
         .filter_map(|message| match message {
-            FromUpstreams::Ended { end: End::Outcome(outcome, _), .. } => Some(*outcome),
+            UpstreamEvent::Ended { end: AttemptEnd::Outcome(outcome, _), .. } => Some(*outcome),
             _ => None,
         })
         .collect();
@@ -83,9 +83,9 @@
 }
 
 /// A request, with so many bytes of body, as the driver makes one.
-fn post(length: usize) -> (Request<Outgoing>, Kept) {
+fn post(length: usize) -> (Request<AttemptBody>, RequestBody) {
     let request = Request::post("/bill?k=1").header("host", "x").header("content-length", length);
-    (request.body(Outgoing::empty()).unwrap(), Kept::Whole(Bytes::from(vec![b'x'; length])))
+    (request.body(AttemptBody::empty()).unwrap(), RequestBody::Whole(Bytes::from(vec![b'x'; length])))
 }
 
 /// Whether these bytes hold a whole request: read by the rules of RFC 9112 and by no code of the program.
@@ -108,10 +108,10 @@
     let (heard, outlet) = listening();
     let (give_up, given_up) = oneshot::channel();
     drop(give_up);
-    let outgoing = Request::get("/fetch").header("host", "x").body(Outgoing::empty()).unwrap();
+    let outgoing = Request::get("/fetch").header("host", "x").body(AttemptBody::empty()).unwrap();
     attempt(
         connection,
-        Writing { request: outgoing, body: Kept::Whole(Bytes::new()), terms: None },
+        Writing { request: outgoing, body: RequestBody::Whole(Bytes::new()), terms: None },
         flight,
         given_up,
         common(),
@@ -139,7 +139,7 @@
             let value = HeaderValue::from_bytes(&vec![0xe4; rng.rand_range(0..200) as usize]).unwrap();
             request = request.header(format!("X-Some-{number}"), value);
         }
-        let mut request = request.header("host", "x").body(Outgoing::empty()).unwrap();
+        let mut request = request.header("host", "x").body(AttemptBody::empty()).unwrap();
         request.headers_mut().insert(header::CONTENT_LENGTH, HeaderValue::from(length));
         // So many bytes are read, one by one or all at once, and then the connection is reset.
         let most = match rng.rand_range(0..3) {
@@ -164,7 +164,7 @@
         let (connection, flight) = at_hand(dial).await;
         let (heard, outlet) = listening();
         let (_give_up, given_up) = oneshot::channel();
-        let body = Kept::Whole(Bytes::from(vec![b'x'; length]));
+        let body = RequestBody::Whole(Bytes::from(vec![b'x'; length]));
         attempt(connection, Writing { request, body, terms: None }, flight, given_up, common(), outlet).await;
         let outcome = told_end(&heard);
         let came_whole = peer.join().unwrap();
@@ -216,8 +216,8 @@
     });
     let (heard, told) = listening();
     // The peer reads on as soon as the driver is told that another attempt may begin.
-    let outlet = Outlet::to(move |message| {
-        let ended = matches!(message, FromUpstreams::Ended { .. });
+    let outlet = EventSink::to(move |message| {
+        let ended = matches!(message, UpstreamEvent::Ended { .. });
         told.tell(message) && (!ended || go.send(()).is_ok())
     });
     let (_give_up, given_up) = oneshot::channel();
@@ -238,7 +238,7 @@
         let accepted = clients.accept().unwrap().0;
         accepted.set_nonblocking(true).unwrap();
         let socket = Arc::new(Mutex::new(tokio::net::TcpStream::from_std(accepted).unwrap()));
-        let presence = Presence::of(&socket);
+        let presence = ClientConnection::of(&socket);
         let stays = (!leaves).then_some(client);
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let (connection, mut flight) = at_hand(listener.local_addr().unwrap()).await;
@@ -247,7 +247,7 @@
         let (_give_up, given_up) = oneshot::channel();
         flight.until = Instant::now() + Duration::from_millis(100);
         let (request, body) = post(90);
-        let terms = Some(Terms { client: presence, until: flight.until });
+        let terms = Some(WriteConditions { client: presence, until: flight.until });
         attempt(connection, Writing { request, body, terms }, flight, given_up, common(), outlet).await;
         let mut came = Vec::new();
         let _ = stream.read_to_end(&mut came);
@@ -292,7 +292,7 @@
         attempt.await.unwrap();
         let messages = std::mem::take(&mut *heard.lock().unwrap());
         let streamed = messages.iter().any(|message| match message {
-            FromUpstreams::Ended { end: End::Outcome(Outcome::Ok, Some(answer)), .. } => {
+            UpstreamEvent::Ended { end: AttemptEnd::Outcome(Outcome::Ok, Some(answer)), .. } => {
                 answer.body.is_stream()
             }
             _ => false,
--- a/crates/sidecar/src/watch_liveness.rs
+++ b/crates/sidecar/src/watch_liveness.rs
@@ -31,7 +31,7 @@
 
 /// How long a watch waits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Times {
+pub struct WatchTimeouts {
     /// For a sign of life: an empty line, or a whole list.
     pub silence: Duration,
     /// For a call to be answered, connecting included.
@@ -40,13 +40,13 @@
     pub back_off: [Duration; 2],
 }
 
-impl Times {
+impl WatchTimeouts {
     /// Where lists are pushed to an agent beside the sidecar, and nothing new may go to an upstream for longer than `grace`
     /// after a drain was told.
-    pub fn pushed(grace: Duration) -> Times {
+    pub fn pushed(grace: Duration) -> WatchTimeouts {
         let [least, most] = PUSHED_CALL;
         let last = (grace / 10).clamp(LEAST_BACK_OFF, BACK_OFF[1]);
-        Times {
+        WatchTimeouts {
             silence: SILENCE,
             call: (grace / 4).clamp(least, most),
             back_off: [BACK_OFF[0].min(last), last],
@@ -54,8 +54,8 @@
     }
 
     /// Where one service is asked by all.
-    pub fn asked() -> Times {
-        Times { silence: SILENCE, call: ASKED_CALL, back_off: BACK_OFF }
+    pub fn asked() -> WatchTimeouts {
+        WatchTimeouts { silence: SILENCE, call: ASKED_CALL, back_off: BACK_OFF }
     }
 }
 
@@ -84,7 +84,7 @@
     #[test]
     fn two_watches_that_fall_silent_in_a_row_leave_time_for_a_third() {
         for grace in GRACES.map(Duration::from_millis) {
-            let times = Times::pushed(grace);
+            let times = WatchTimeouts::pushed(grace);
             let [first, last] = times.back_off;
             // The first falls silent; the second is answered at the last moment and then says nothing, either.
             let sum = times.silence + first * 2 + times.call + times.silence + last;
@@ -93,7 +93,7 @@
             assert!(times.silence + (times.call + last) * 5 <= TOLD, "{grace:?}");
         }
         // Where all ask, the slowest call that is answered at all is answered in time, and failed ones are repeated.
-        let times = Times::asked();
+        let times = WatchTimeouts::asked();
         for place in [0.0, 0.5, 1.0] {
             let first = again(times.silence, 0, place).expect("there is time");
             assert!(times.silence + first + times.call < TOLD);
@@ -110,7 +110,7 @@
     #[test]
     fn what_an_agent_gets_at_the_return_of_discovery_is_asked_for_within_the_grace() {
         for grace in GRACES.into_iter().filter(|grace| *grace >= 250).map(Duration::from_millis) {
-            let times = Times::pushed(grace);
+            let times = WatchTimeouts::pushed(grace);
             assert!(times.call + times.back_off[1] < grace / 2, "{grace:?}: {times:?}");
         }
     }
--- a/crates/sidecar/src/write_check.rs
+++ b/crates/sidecar/src/write_check.rs
@@ -12,7 +12,7 @@
 
 /// What is known of its upstream.
 #[derive(Debug, Clone, Copy)]
-pub struct Upstream {
+pub struct UpstreamState {
     /// Whether it is still the process that the attempt was meant for: another may be cold, and knows no keys.
     pub same_life: bool,
     /// Whether it takes new work.
@@ -21,7 +21,7 @@
 
 /// What is known of an attempt.
 #[derive(Debug, Clone, Copy)]
-pub struct Known {
+pub struct AttemptState {
     /// Whether its request is still open: its client waits and no other answer has ended it.
     pub open: bool,
     /// Whether it was given up.
@@ -31,14 +31,14 @@
     /// Whether it has waited for a connection for longer than was counted on: a key's window might end before it arrives.
     pub too_late: bool,
     /// Its upstream, unless that is forgotten.
-    pub upstream: Option<Upstream>,
+    pub upstream: Option<UpstreamState>,
 }
 
 /// Whether it may be written, and else how it ends. Either way it has not run.
 ///
 /// # Errors
 /// What the attempt ends as.
-pub fn verdict(known: &Known) -> Result<(), Outcome> {
+pub fn verdict(known: &AttemptState) -> Result<(), Outcome> {
     let wanted = known.upstream.is_some_and(|upstream| upstream.same_life && upstream.serves);
     match (known.open && !known.given_up, known.time_is_up || known.too_late, wanted) {
         (false, ..) => Err(Outcome::NotSent),
@@ -56,9 +56,14 @@
         let mut written = 0;
         for bits in 0u32..128 {
             let bit = |place: u32| bits >> place & 1 == 1;
-            let upstream = bit(4).then(|| Upstream { same_life: bit(5), serves: bit(6) });
-            let known =
-                Known { open: bit(0), given_up: bit(1), time_is_up: bit(2), too_late: bit(3), upstream };
+            let upstream = bit(4).then(|| UpstreamState { same_life: bit(5), serves: bit(6) });
+            let known = AttemptState {
+                open: bit(0),
+                given_up: bit(1),
+                time_is_up: bit(2),
+                too_late: bit(3),
+                upstream,
+            };
             match verdict(&known) {
                 Ok(()) => {
                     written += 1;
--- a/crates/sidecar/tests/client_disconnect.rs
+++ b/crates/sidecar/tests/client_disconnect.rs
@@ -9,14 +9,14 @@
 use hyper::{HeaderMap, Method, Uri};
 use sagemast_decide::api::{ClassId, RequestId, TenantId};
 use sagemast_sidecar::budget::Budgets;
-use sagemast_sidecar::client_disconnect::Presence;
-use sagemast_sidecar::driver::{Driver, Happening, Parts};
+use sagemast_sidecar::client_disconnect::ClientConnection;
+use sagemast_sidecar::driver::{Driver, DriverConfig, DriverEvent};
 use sagemast_sidecar::hosts::HostList;
 use sagemast_sidecar::lifecycle::Lifecycle;
 use sagemast_sidecar::log::Log;
-use sagemast_sidecar::messages::{Arrival, Final, Forward, FromClients, Outlet};
+use sagemast_sidecar::messages::{ClientEvent, EventSink, FinalAnswer, ForwardedRequest, RequestArrival};
 use sagemast_sidecar::metrics::Metrics;
-use sagemast_sidecar::transfer::request_body::Kept;
+use sagemast_sidecar::transfer::request_body::RequestBody;
 use socket2::SockRef;
 use tokio::sync::{mpsc, oneshot, watch};
 use tokio::time::{Instant, sleep, timeout};
@@ -101,7 +101,7 @@
 
 /// A driver before two upstreams.
 struct Stage {
-    happenings: mpsc::UnboundedSender<Happening>,
+    happenings: mpsc::UnboundedSender<DriverEvent>,
     asked: mpsc::UnboundedReceiver<Asked>,
     next: u64,
     _life: watch::Sender<Lifecycle>,
@@ -117,7 +117,7 @@
         let text = format!(r#"{{"seq":1,"whole":true,"hosts":[{}]}}"#, entries.join(","));
         let known: HostList = serde_json::from_str(&text).expect("a list");
         let (life, lives) = watch::channel(Lifecycle::new(false, Instant::now()));
-        let (driver, happenings) = Driver::new(Parts {
+        let (driver, happenings) = Driver::new(DriverConfig {
             settings: serde_json::from_str(SETTINGS).expect("settings"),
             seed: 1,
             // Nobody is there.
@@ -126,7 +126,7 @@
             crossing: None,
             metrics: Arc::new(Metrics::new(std::iter::once("a"))),
             log: Log::process(),
-            listener: Outlet::nowhere(),
+            listener: EventSink::nowhere(),
             life: lives,
         });
         tokio::spawn(driver.run(Some(known), None));
@@ -134,18 +134,18 @@
     }
 
     /// A request comes in; its target and where its answer goes.
-    fn arrives(&mut self, client: Option<Presence>) -> (String, oneshot::Receiver<Final>) {
+    fn arrives(&mut self, client: Option<ClientConnection>) -> (String, oneshot::Receiver<FinalAnswer>) {
         self.next += 1;
         let (request, target) = (RequestId(self.next), format!("/a{}", self.next));
         let (reply, answer) = oneshot::channel();
-        let forward = Forward {
+        let forward = ForwardedRequest {
             method: Method::GET,
             target: target.parse::<Uri>().expect("a target"),
             headers: HeaderMap::new(),
-            body: Kept::Whole(Default::default()),
+            body: RequestBody::Whole(Default::default()),
             client,
         };
-        let arrival = Arrival {
+        let arrival = RequestArrival {
             request,
             class: ClassId(0),
             tenant: TenantId(0),
@@ -155,7 +155,7 @@
             forward,
             reply,
         };
-        let arrived = Happening::Clients(FromClients::Arrived(Box::new(arrival)));
+        let arrived = DriverEvent::Clients(ClientEvent::Arrived(Box::new(arrival)));
         assert!(self.happenings.send(arrived).is_ok(), "the driver runs");
         (target, answer)
     }
@@ -171,7 +171,7 @@
         let both = [self.asked().await, self.asked().await];
         both.into_iter().for_each(|asked| asked.answer(SERVED));
         for answer in answers {
-            assert!(matches!(answer.await, Ok(Final::Served(..))));
+            assert!(matches!(answer.await, Ok(FinalAnswer::Served(..))));
         }
         sleep(Duration::from_millis(50)).await;
     }
@@ -197,7 +197,7 @@
                 stage.warm_up().await;
             }
             let (socket, client) = client();
-            let (target, answer) = stage.arrives(Some(Presence::of(&socket)));
+            let (target, answer) = stage.arrives(Some(ClientConnection::of(&socket)));
             let first = stage.asked().await;
             assert_eq!(first.target, target);
             // Nobody tells the driver.
@@ -207,12 +207,12 @@
                 let second = stage.asked().await;
                 assert_eq!(second.target, target, "who stays gets a second attempt");
                 second.answer(SERVED);
-                assert!(matches!(answer.await, Ok(Final::Served(..))));
+                assert!(matches!(answer.await, Ok(FinalAnswer::Served(..))));
                 continue;
             }
             // It has ended for the driver, too, and nothing more is sent.
             let ended = timeout(LONG, answer).await.expect("in time").expect("an answer");
-            assert!(!matches!(ended, Final::Served(..)), "{disconnect:?}: {ended:?}");
+            assert!(!matches!(ended, FinalAnswer::Served(..)), "{disconnect:?}: {ended:?}");
             sleep(Duration::from_millis(100)).await;
             let more = stage.asked.try_recv().map(|asked| asked.target);
             assert!(more.is_err(), "warm {warm}, {disconnect:?}: sent on as {more:?}");
--- a/crates/sidecar/tests/staleness.rs
+++ b/crates/sidecar/tests/staleness.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 use sagemast_sidecar::budget::Budgets;
-use sagemast_sidecar::driver::{Driver, Parts};
+use sagemast_sidecar::driver::{Driver, DriverConfig};
 use sagemast_sidecar::hosts::HostList;
 use sagemast_sidecar::lifecycle::Lifecycle;
 use sagemast_sidecar::log::Log;
-use sagemast_sidecar::messages::Outlet;
+use sagemast_sidecar::messages::EventSink;
 use sagemast_sidecar::metrics::Metrics;
 use socket2::SockRef;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -164,7 +164,7 @@
     fn start(discovery: SocketAddr, seed: u64, log: Log) -> Sidecar {
         let (life, lives) = watch::channel(Lifecycle::new(false, Instant::now()));
         let metrics = Arc::new(Metrics::new(std::iter::once("a")));
-        let (driver, happenings) = Driver::new(Parts {
+        let (driver, happenings) = Driver::new(DriverConfig {
             settings: serde_json::from_str(SETTINGS).expect("settings"),
             seed,
             discovery,
@@ -172,7 +172,7 @@
             crossing: None,
             metrics: metrics.clone(),
             log,
-            listener: Outlet::nowhere(),
+            listener: EventSink::nowhere(),
             life: lives,
         });
         let known: HostList = serde_json::from_str(&list(1)).expect("a list");
--- a/crates/udp/src/watch.rs
+++ b/crates/udp/src/watch.rs
@@ -2,11 +2,11 @@
 
 use std::net::SocketAddr;
 
-use sagemast_sidecar::discovery::{FromDiscovery, Watch};
+use sagemast_sidecar::discovery::{DiscoveryEvent, Watch};
 use sagemast_sidecar::hosts::HostList;
 use sagemast_sidecar::log::Log;
-use sagemast_sidecar::messages::Outlet;
-use sagemast_sidecar::watch_liveness::Times;
+use sagemast_sidecar::messages::EventSink;
+use sagemast_sidecar::watch_liveness::WatchTimeouts;
 use tokio::sync::oneshot;
 
 /// Ends the watch when it is dropped.
@@ -21,10 +21,10 @@
 ) -> std::io::Result<Watching> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let (over, is_over) = oneshot::channel::<()>();
-    let news = Outlet::to(move |told| match told {
-        FromDiscovery::Listed { list, .. } => tell(list),
+    let news = EventSink::to(move |told| match told {
+        DiscoveryEvent::Listed { list, .. } => tell(list),
         // What is known stands.
-        FromDiscovery::Failed { .. } => true,
+        DiscoveryEvent::Failed { .. } => true,
     });
     std::thread::Builder::new().name(format!("watch-{name}")).spawn(move || {
         runtime.block_on(async {
@@ -34,7 +34,7 @@
                 seq: 0,
                 news,
                 log,
-                times: Times::asked(),
+                times: WatchTimeouts::asked(),
                 place: 0.0,
                 silent: None,
             };
