--- a/crates/decide/src/api.rs
+++ b/crates/decide/src/api.rs
@@ -1,21 +1,20 @@
 //! The interface of the decision module: settings, events in, actions out.
 //!
-//! Times are milliseconds on the caller's own clock, which only moves forward. The module never
-//! reads a clock and does no I/O: the sidecar turns what happens into [`Event`]s and carries out
-//! the [`Action`]s that come back.
+//! Times are milliseconds on the caller's own clock, which only moves forward. The module never reads a clock
+//! and does no I/O: the sidecar reports what happens as [`Event`]s and carries out the returned [`Action`]s.
 
 /// Milliseconds: a point on the caller's clock, or a span.
 pub type Millis = f64;
 
-/// One try of a client, as it entered this sidecar.
+/// One request of a client. A client's own retry is a new request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u64);
 
-/// A server that requests can be sent to. The same id means the same server across restarts.
+/// A server that requests can be sent to. A server keeps its id across restarts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct UpstreamId(pub u64);
 
-/// The number of a send of one request: 0 for the first, 1 for the next.
+/// The number of an attempt within its request, from 0.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AttemptNo(pub u32);
 
@@ -23,128 +22,129 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClassId(pub usize);
 
-/// Index of a tenant in [`Settings::tenants`]; ignored where there are none.
+/// Index of a tenant in [`Settings::tenants`]; ignored where there are no tenants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TenantId(pub usize);
 
-/// A place whose members reach each other cheaply.
+/// A zone: its members reach each other at low cost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ZoneId(pub u64);
 
-/// A small set of servers inside one zone that share their memory of keys.
+/// A small set of servers within one zone that share their record of idempotency keys.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CellId(pub u64);
 
-/// A kind of machine, as discovery lists it: servers of one kind are taken to be alike until heard from.
+/// A kind of machine, as discovery lists it. Servers of one kind are assumed to be alike until they report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct KindId(pub u64);
 
-/// Which servers discard repeats of a keyed request.
+/// The servers that discard repeats of a request with an idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum KeyScope {
     /// Every server.
     All,
-    /// The servers of the zone that may have run it.
+    /// The servers in the zone of the attempt that may have run.
     Zone,
-    /// The servers of the cell that may have run it.
+    /// The servers in the cell of the attempt that may have run.
     Cell,
 }
 
-/// What running a request twice would do.
+/// The effect of running a request twice.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Effect {
-    /// No harm.
+    /// Harmless.
     Idempotent,
-    /// No harm within the scope and for the window counted from the first send that may have run.
+    /// Harmless on the servers in `scope` within `window`, which starts with the first send that may have
+    /// run.
     IdempotentByKey {
-        /// Who discards repeats.
+        /// The servers that discard repeats.
         scope: KeyScope,
-        /// For how long.
+        /// How long they discard repeats.
         window: Millis,
     },
-    /// Must never run twice.
+    /// Harmful: the request must never run twice.
     NonIdempotent,
 }
 
 /// A class of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Class {
-    /// Answers within this time earn the full worth.
+    /// Answers within this time have the full worth.
     pub aim: Millis,
-    /// What an answer in time is worth.
+    /// Worth of an answer within the aim.
     pub worth: f64,
-    /// The share of the worth that a later answer still earns.
+    /// The share of the worth that a later answer has.
     pub late_worth: f64,
-    /// Whether it may run again.
+    /// The effect of running a request twice.
     pub effect: Effect,
 }
 
 /// A customer with a share of the service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
-    /// Requests a second within its share, summed over all sidecars.
+    /// Requests per second, summed over all sidecars.
     pub quota_per_s: f64,
 }
 
-/// What the caller's surroundings allow.
+/// The capabilities and limits of the sidecar's environment.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Limits {
-    /// Sends of one request, at most.
+    /// The most attempts of one request.
     pub max_attempts: u32,
-    /// Whether two attempts of one request may be out at the same time.
+    /// Whether two attempts of one request may be in flight at the same time.
     pub allow_parallel_attempts: bool,
     /// Whether probes may be sent.
     pub probes: bool,
     /// Whether attempts may be cancelled.
     pub cancel: bool,
-    /// The longest wait that clients heed when refused; 0 where they heed none.
+    /// The longest retry-after time that refused clients respect; 0 where they respect none.
     pub max_retry_after: Millis,
     /// The shortest time between two rounds of events.
     pub tick: Millis,
 }
 
-/// The figures of the two rules about servers that leave or have just started.
+/// Limits on the load of a server that has just started.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SlowStartLimits {
     /// A server starts with at least this share of its capacity.
     pub initial_capacity_share: f64,
-    /// And has all of it after this long.
+    /// A server has its full capacity after this time.
     pub warm_up: Millis,
-    /// Sent more than this multiple of its present capacity...
+    /// A server that is warming up fails under more than this multiple of its present capacity.
     pub overload_multiple: f64,
-    /// ...for this long, a cold server falls over.
+    /// The time for which it has to be overloaded to fail.
     pub overload_window: Millis,
 }
 
-/// How news of servers arrives.
+/// How updates of the server list arrive.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Discovery {
-    /// By itself.
+    /// Without being asked for.
     Pushed,
     /// Only after [`Action::Subscribe`].
     Subscribed {
-        /// An unsubscribed sidecar must ask at least this often.
+        /// The longest time without a subscription between two calls.
         must_ask_in: Millis,
     },
 }
 
-/// What tells one sidecar from the others.
+/// How one sidecar differs from the others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Identity {
-    /// Nothing does: it knows all servers.
+    /// Not at all: every such sidecar uses all servers.
     Anonymous,
-    /// Its number, from 0, among so many that are all numbered.
+    /// By a number; all sidecars are numbered.
     Ranked {
-        /// Its number.
+        /// Its number, from 0.
         rank: u32,
-        /// How many there are.
+        /// The number of sidecars.
         count: u32,
     },
-    /// A number drawn from its name ([`crate::subset::key`]): the same after a restart.
+    /// By a hash of its name ([`crate::subset::key`]), which stays the same after a restart.
     Named(u64),
 }
 
-/// What the module is told at start. It never learns names.
+/// The configuration of the module. It has no names: classes, tenants and zones are numbers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Settings {
     /// Request classes, by [`ClassId`].
@@ -155,30 +155,30 @@
     pub over_quota_worth: f64,
     /// The zone of this sidecar.
     pub zone: ZoneId,
-    /// How many sidecars there are, this one included.
+    /// The number of sidecars, this one included.
     pub sidecars: u32,
-    /// Who it is among them: which servers it knows follows from that.
+    /// The identity of this sidecar, which determines its subset of the servers.
     pub identity: Identity,
-    /// What one zone crossing costs, as a fraction of a mean request's worth.
+    /// Cost of sending a request to another zone, as a fraction of a mean request's worth.
     pub cross_zone_cost: f64,
-    /// What one probe costs, as a fraction of a mean request's worth.
+    /// Cost of a probe, as a fraction of a mean request's worth.
     pub probe_cost: f64,
-    /// What another attempt costs, as a fraction of a mean request's worth: work done for nothing, and a connection.
+    /// Cost of a further attempt, as a fraction of a mean request's worth: wasted work and a connection.
     pub attempt_cost: f64,
-    /// Allowances.
+    /// Capabilities and limits.
     pub limits: Limits,
-    /// Rule figures.
+    /// Limits for servers that have just started.
     pub slow_start: SlowStartLimits,
-    /// How news of servers arrives.
+    /// How updates of the server list arrive.
     pub discovery: Discovery,
 }
 
-/// Whether a server takes new work.
+/// Whether a server takes new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// It does.
+    /// It takes new requests.
     Serving,
-    /// It finishes what it has, or is gone: nothing new goes there.
+    /// It only finishes the requests that it has, or is gone.
     Draining,
 }
 
@@ -191,41 +191,41 @@
     pub zone: ZoneId,
     /// Its cell.
     pub cell: CellId,
-    /// What kind of machine it is.
+    /// Its kind of machine.
     pub kind: KindId,
-    /// Whether it takes new work.
+    /// Whether it takes new requests.
     pub lifecycle: Lifecycle,
-    /// Its size compared with others; 1 where nothing is known.
+    /// Its capacity relative to other servers; 1 if unknown.
     pub weight: f64,
-    /// When it last started, where that is not long ago.
+    /// When its incarnation started; `None` if long ago.
     pub started: Option<Millis>,
-    /// A number drawn from its name, the same at every sidecar ([`crate::subset::key`]).
+    /// A hash of its name, the same at every sidecar ([`crate::subset::key`]).
     pub key: u64,
 }
 
-/// News from discovery.
+/// An update from discovery.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ListUpdate {
-    /// The complete list as last held before a restart; may be old.
+    /// The complete list from before a restart; may be out of date.
     Restored(Vec<Listing>),
-    /// The complete list; who is missing is gone.
+    /// The complete list; servers that it lacks are gone.
     Complete(Vec<Listing>),
-    /// Only what changed.
+    /// Only the entries that have changed.
     Changed(Vec<Listing>),
-    /// A call failed or the subscription broke; the list held stays.
+    /// A call failed or the subscription ended; the current list stays in use.
     Unavailable,
 }
 
 /// A server's own report of its load. Any figure may be missing or absurd.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Report {
-    /// Requests it holds.
+    /// Requests in flight.
     pub in_flight: Option<f64>,
-    /// How busy its cores are, 0 to 1.
+    /// Utilisation of its cores, from 0 to 1.
     pub utilisation: Option<f64>,
-    /// Requests served a second.
+    /// Requests served per second.
     pub served_per_s: Option<f64>,
-    /// Errors a second.
+    /// Errors per second.
     pub errors_per_s: Option<f64>,
 }
 
@@ -236,9 +236,9 @@
     Ok,
     /// An error answer; it may have run.
     Error,
-    /// Turned away unseen; it never ran.
+    /// The server had no capacity and rejected it; it never ran.
     Full,
-    /// No answer in time; it may have run or may yet.
+    /// No answer in time; it may have run or may run later.
     TimedOut,
     /// No connection; it never ran.
     Unreachable,
@@ -246,7 +246,7 @@
     Reset,
     /// Cancelled; it may have run.
     Cancelled,
-    /// Never left this sidecar.
+    /// It never left this sidecar.
     NotSent,
 }
 
@@ -262,24 +262,24 @@
 pub struct FinishedAttempt {
     /// The request.
     pub request: RequestId,
-    /// Which of its sends.
+    /// The number of the attempt.
     pub attempt: AttemptNo,
-    /// Where it went.
+    /// The server that it was sent to.
     pub upstream: UpstreamId,
-    /// How it ended.
+    /// The outcome.
     pub outcome: Outcome,
-    /// Time since the send.
+    /// Time since it was sent.
     pub latency: Millis,
     /// Whether the client has its final answer.
     pub client_answered: bool,
-    /// A report that came with it.
+    /// A load report that came with the answer.
     pub report: Option<Report>,
 }
 
-/// Something that happened. Events at one time are handed over in order.
+/// Something that happened. Events of the same time are passed in their order.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A client's try came in and is owed one final answer.
+    /// A request came in; its client is owed one final answer.
     RequestArrived {
         /// Its id, never used again.
         request: RequestId,
@@ -290,35 +290,35 @@
         /// How long the client waits.
         time_left: Millis,
     },
-    /// An attempt ended; each [`Action::Send`] gets this once.
+    /// An attempt ended. Follows each [`Action::Send`] exactly once.
     AttemptFinished(FinishedAttempt),
-    /// The body of an attempt that is out is still coming from its client, or its last byte is out now. Until then a
-    /// server has not begun with it, and a request's times count from there.
+    /// The client is still uploading the body of an attempt in flight, or the last byte has been sent on.
+    /// Servers begin with the last byte, so the times of the request count from there.
     UploadProgress {
         /// The request.
         request: RequestId,
-        /// Which of its sends.
+        /// The number of the attempt.
         attempt: AttemptNo,
-        /// Whether it is still coming.
+        /// Whether the upload is still in progress.
         in_progress: bool,
     },
-    /// The client left; nothing more is owed.
+    /// The client disconnected; no answer is owed any more.
     ClientDisconnected(RequestId),
-    /// A probe came back.
+    /// A probe ended.
     ProbeFinished {
-        /// Who was asked.
+        /// The server that was probed.
         upstream: UpstreamId,
         /// Whether it answered.
         answered: bool,
-        /// Its report.
+        /// Its load report.
         report: Option<Report>,
     },
-    /// News from discovery.
+    /// An update from discovery.
     ListReceived(ListUpdate),
-    /// How many sidecars there are from now on, this one included: the allowance of cold servers is split
-    /// among them. Told before more begin and after some have ended.
+    /// The number of sidecars from now on, this one included. They share the allowance of each server that is
+    /// warming up, so the event comes before more sidecars start and after some have ended.
     SidecarCountChanged(u32),
-    /// A timer set with [`Action::SetTimer`] came due.
+    /// A timer set with [`Action::SetTimer`] fired.
     TimerFired(u64),
 }
 
@@ -329,38 +329,38 @@
     Send {
         /// The request.
         request: RequestId,
-        /// Where to.
+        /// The server to send it to.
         upstream: UpstreamId,
-        /// Give the attempt up after this long.
+        /// The time after which the attempt ends as timed out.
         timeout: Millis,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
-        /// Which of its sends.
+        /// The number of the attempt.
         attempt: AttemptNo,
     },
-    /// Final answer: not done, trying again is harmless.
+    /// Final answer: refused; a retry is harmless.
     Refuse {
         /// The request.
         request: RequestId,
-        /// How long the client should stay away.
+        /// How long the client should wait before it retries.
         retry_after: Millis,
     },
-    /// Final answer: failed, with no promise about effects.
+    /// Final answer: failed, and possibly executed.
     Fail(RequestId),
     /// Ask a server for its load.
     Probe(UpstreamId),
-    /// Hand back [`Event::TimerFired`] with this token at this time or soon after.
+    /// Pass in [`Event::TimerFired`] with this token at this time or soon after.
     SetTimer {
-        /// When.
+        /// When the timer fires.
         at: Millis,
-        /// What to hand back.
+        /// The token of the event.
         token: u64,
     },
-    /// Ask discovery for changes from here on.
+    /// Subscribe to changes of the server list.
     Subscribe,
-    /// A line for the operators.
+    /// Write a line to the operator's log.
     Log(String),
 }
--- a/crates/decide/src/outlier_ejection.rs
+++ b/crates/decide/src/outlier_ejection.rs
@@ -1,47 +1,50 @@
-//! Outlier ejection with half-open trials: what an outcome means for the server that it came from.
+//! Outlier ejection with half-open trials: the effect of outcomes on the health of a server.
 
 use crate::api::*;
 use crate::state::{Health, Upstream};
 
 /// Weight of a new outcome in the failure rate of one server.
-const SMOOTH: f64 = 0.15;
-/// A server is ejected when its failure rate is this far above that of its peers.
-const EJECT_ABOVE: f64 = 0.4;
-/// At most this share of the servers may be ejected: if more look bad, we or the network may be at fault.
-const EJECT_SHARE: f64 = 0.4;
-/// First and longest time a server stays ejected before a trial.
-const EJECT_FOR: [Millis; 2] = [1_000.0, 8_000.0];
+const SMOOTHING: f64 = 0.15;
+/// A server is ejected when its failure rate exceeds that of its peers by more than this.
+const MAX_EXCESS_FAILURE_RATE: f64 = 0.4;
+/// The largest share of servers that may be ejected: if more fail, the cause may be this sidecar or the
+/// network.
+const MAX_EJECTED_SHARE: f64 = 0.4;
+/// The first and the longest time until a trial.
+const MIN_EJECTION: Millis = 1_000.0;
+const MAX_EJECTION: Millis = 8_000.0;
 
-/// Whether one more of so many may be ejected where so many are.
+/// Whether a further server may be ejected.
 pub(crate) fn may_eject(ejected: usize, servers: usize) -> bool {
     let count = servers as f64;
-    count > 1.0 && ejected as f64 + 1.0 <= (EJECT_SHARE * count).max(1.0)
+    count > 1.0 && ejected as f64 + 1.0 <= (MAX_EJECTED_SHARE * count).max(1.0)
 }
 
-/// Counts an outcome for or against a server, among peers that fail as often. What is to be said of it, if its health
-/// changes. One that is `lost`, for no connection to it comes up, is ejected at once: that is no matter of chance, and one
-/// more request would only wait for it again. `luck` is between 0 and 1.
+/// Records the outcome of an attempt in the failure rate and the health of its server. `peers` is the failure
+/// rate of all servers, `random` is from 0 to 1. Returns a text for the log if the health changes. An
+/// unreachable server is ejected at once: the cause is not chance, and the next request would only wait for
+/// the connection, too.
 pub(crate) fn record(
-    upstream: &mut Upstream,
+    server: &mut Upstream,
     failed: bool,
-    lost: bool,
-    (now, peers, may_eject, luck): (Millis, f64, bool, f64),
+    unreachable: bool,
+    (now, peers, may_eject, random): (Millis, f64, bool, f64),
 ) -> Option<&'static str> {
-    let (bar, spread) = (EJECT_ABOVE + peers, 0.75 + 0.5 * luck);
-    let eject = |wait: Millis| Health::Ejected { until: now + wait * spread, wait };
-    upstream.failure_rate += SMOOTH * (f64::from(u8::from(failed)) - upstream.failure_rate);
-    let (health, said) = match upstream.health {
-        Health::Ready if failed && may_eject && (lost || upstream.failure_rate > bar) => {
-            (eject(EJECT_FOR[0]), Some(if lost { "out of reach" } else { "ejected for failures" }))
+    let (max_failure_rate, jitter) = (MAX_EXCESS_FAILURE_RATE + peers, 0.75 + 0.5 * random);
+    let eject = |wait: Millis| Health::Ejected { until: now + wait * jitter, wait };
+    server.failure_rate += SMOOTHING * (f64::from(u8::from(failed)) - server.failure_rate);
+    let (health, change) = match server.health {
+        Health::Ready if failed && may_eject && (unreachable || server.failure_rate > max_failure_rate) => {
+            (eject(MIN_EJECTION), Some(if unreachable { "out of reach" } else { "ejected for failures" }))
         }
         Health::Ejected { until, wait } if failed && now >= until => {
-            (eject((wait * 2.0).min(EJECT_FOR[1])), None)
+            (eject((wait * 2.0).min(MAX_EJECTION)), None)
         }
-        Health::Ejected { .. } if !failed && upstream.failure_rate < bar => {
+        Health::Ejected { .. } if !failed && server.failure_rate < max_failure_rate => {
             (Health::Ready, Some("back after trials"))
         }
         Health::Ready | Health::Ejected { .. } => return None,
     };
-    (upstream.health, upstream.is_half_open) = (health, false);
-    said
+    (server.health, server.is_half_open) = (health, false);
+    change
 }
--- a/crates/decide/src/query.rs
+++ b/crates/decide/src/query.rs
@@ -1,17 +1,18 @@
-//! What the module can be asked without changing it.
+//! Queries that don't change the module.
 
 use crate::Balancer;
 use crate::api::UpstreamId;
 use crate::fleet::CandidateScope;
 
 impl Balancer {
-    /// How many serving servers take no part in the draw now, for their failures.
+    /// The number of serving servers that are ejected for their failures.
     pub fn ejected_count(&self) -> usize {
         let (ready, all) = self.upstreams.size(CandidateScope::All);
         all - ready
     }
 
-    /// Whether a server is one of those that requests are drawn from: connections to others are of little use.
+    /// Whether a server is in the subset that requests are sent to. Connections to other servers are of
+    /// little use.
     pub fn is_member(&self, id: UpstreamId) -> bool {
         self.upstreams.is_member(id)
     }
--- a/crates/decide/src/reports.rs
+++ b/crates/decide/src/reports.rs
@@ -1,82 +1,93 @@
-//! What a server's own report of its load tells: its capacity κ from in flight and utilisation, and that of its kind.
+//! Estimates from load reports: the capacity κ of a server and that of its kind, from in-flight counts and
+//! utilisation.
 
 use crate::api::*;
 use crate::estimates::Estimates;
 use crate::state::Upstream;
 
-/// In-flight is averaged over about this time, as servers average their utilisation.
-const MEANS_OVER: Millis = 700.0;
-/// From here on a server counts as saturated: in-flight / utilisation then only bounds κ from above.
-const SATURATED: f64 = 0.9;
-/// A rising κ is believed this much slower.
-const RISE: f64 = 0.1;
-/// Below this reported utilisation in-flight / utilisation is mostly rounding, but in-flight over this bounds
-/// κ from below.
-const UTILISATION_FLOOR: f64 = 0.1;
-/// Weight of a new sample in what all servers feed.
-const SMOOTH_ALL: f64 = 0.02;
-/// A server that says that it holds more has sent nonsense.
-const MOST_IN_FLIGHT: f64 = 1e9;
+/// In-flight counts are averaged over about this time, as servers average their utilisation.
+const AVERAGING_TIME: Millis = 700.0;
+/// From this utilisation on a server counts as saturated: in-flight / utilisation is then an upper bound on κ
+/// only.
+const SATURATED_UTILISATION: f64 = 0.9;
+/// Factor on the weight of samples that raise κ, so that it rises slowly.
+const RISE_FACTOR: f64 = 0.1;
+/// Below this utilisation in-flight / utilisation is mostly rounding error, but in-flight divided by this is
+/// a lower bound on κ.
+const MIN_UTILISATION: f64 = 0.1;
+/// Weight of a new sample in the averages that all servers feed.
+const FLEET_SMOOTHING: f64 = 0.02;
+/// Larger in-flight counts in a report are invalid.
+const MAX_REPORTED_IN_FLIGHT: f64 = 1e9;
 
-/// The requests that a report says, if they can be.
+/// The in-flight count of a report, if it is valid.
 pub(crate) fn valid_in_flight(report: &Report) -> Option<f64> {
-    report.in_flight.filter(|m| (0.0..=MOST_IN_FLIGHT).contains(m))
+    report.in_flight.filter(|in_flight| (0.0..=MAX_REPORTED_IN_FLIGHT).contains(in_flight))
 }
 
-/// How long after the first report of all means are worth dividing: servers that start with us begin theirs at 0, and early
-/// ratios would call them huge.
+/// How long after the very first report κ is not estimated. Servers that start together with this sidecar
+/// begin their averages at 0, so early ratios would make them look huge.
 pub(crate) fn settling_time(scale: f64) -> Millis {
-    2.0 * MEANS_OVER * scale
+    2.0 * AVERAGING_TIME * scale
 }
 
-/// Enters a report with so many in flight that still says something `until` then; the sends that it does not hold are these,
-/// or those since it was asked for. Gives the weight of it in the means.
+/// Records the load of a report that is valid until `until`, and returns the report's weight in averages. The
+/// report lacks the sends in `unreported`, by default those since its probe was sent.
 pub(crate) fn record_load(
-    upstream: &mut Upstream,
+    server: &mut Upstream,
     (in_flight, utilisation): (f64, Option<f64>),
     (now, until, scale): (Millis, Millis, f64),
-    unheard: Option<(u64, usize)>,
+    unreported: Option<(u64, usize)>,
 ) -> f64 {
-    // Utilisation is a running mean while in-flight is of the moment: only means of both may be divided.
-    let weight = 1.0 - (-(now - upstream.reported_at) / (MEANS_OVER * scale)).exp();
-    let unheard = unheard.unwrap_or((upstream.first_send_after_probe, upstream.sends_after_probe));
-    upstream.record_report(in_flight, now, until, unheard);
-    upstream.utilisation = utilisation;
-    upstream.mean_in_flight += weight * (in_flight - upstream.mean_in_flight);
+    // Reported utilisation is a running mean, the in-flight count is momentary: only means of both may be
+    // divided.
+    let weight = 1.0 - (-(now - server.reported_at) / (AVERAGING_TIME * scale)).exp();
+    let unreported = unreported.unwrap_or((server.first_send_after_probe, server.sends_after_probe));
+    server.record_report(in_flight, now, until, unreported);
+    server.utilisation = utilisation;
+    server.mean_in_flight += weight * (in_flight - server.mean_in_flight);
     weight
 }
 
-/// Learns its κ from a report that weighs so much and says that it is so busy.
-pub(crate) fn update_capacity(upstream: &mut Upstream, utilisation: f64, weight: f64) {
-    if utilisation < UTILISATION_FLOOR {
-        let (least, known) = (upstream.mean_in_flight / UTILISATION_FLOOR, upstream.capacity.unwrap_or(1.0));
-        if least > known {
-            let step = if upstream.capacity.is_some() { weight * RISE } else { 1.0 };
-            upstream.capacity = Some(known + step * (least - known));
+/// Updates the capacity κ of a server after a report of this utilisation, which has this weight in averages.
+pub(crate) fn update_capacity(server: &mut Upstream, utilisation: f64, weight: f64) {
+    if utilisation < MIN_UTILISATION {
+        let (lower_bound, capacity) =
+            (server.mean_in_flight / MIN_UTILISATION, server.capacity.unwrap_or(1.0));
+        if lower_bound > capacity {
+            let step = if server.capacity.is_some() { weight * RISE_FACTOR } else { 1.0 };
+            server.capacity = Some(capacity + step * (lower_bound - capacity));
         }
         return;
     }
-    // A queue is in the in-flight count, too, so a reading only bounds κ from above: it falls to the reading at
-    // once, but rises slowly, and not at all while all cores are busy.
-    let rise = if utilisation < SATURATED { weight * RISE } else { 0.0 };
-    let sample = (upstream.mean_in_flight / utilisation.min(1.0)).max(1.0);
-    // A server that is first heard of in a jam has told nothing of its size: its whole queue would be taken for cores,
-    // and every sidecar that hears of it once would send it more. Its kind tells more.
-    if upstream.capacity.is_none() && utilisation >= SATURATED {
+    // Queued requests are in the in-flight count, too, so a sample is an upper bound on κ: κ falls to the
+    // sample at once, but rises slowly, and not at all while all cores are busy.
+    let rise = if utilisation < SATURATED_UTILISATION { weight * RISE_FACTOR } else { 0.0 };
+    let sample = (server.mean_in_flight / utilisation.min(1.0)).max(1.0);
+    // A server whose first report is one of saturation has an unknown capacity. Its whole queue would be
+    // taken for cores, and every sidecar that gets one such report would send it more. Its kind gives a
+    // better estimate.
+    if server.capacity.is_none() && utilisation >= SATURATED_UTILISATION {
         return;
     }
-    upstream.capacity_samples += 1.0;
-    let known = *upstream.capacity.get_or_insert(sample);
-    upstream.capacity = Some(known + (sample - known) * if sample < known { 1.0 } else { rise });
+    server.capacity_samples += 1.0;
+    let capacity = *server.capacity.get_or_insert(sample);
+    server.capacity = Some(capacity + (sample - capacity) * if sample < capacity { 1.0 } else { rise });
 }
 
-/// Learns what servers of its kind, and all of them, are like.
-pub(crate) fn update_kind_capacity(seen: &mut Estimates, kind: KindId, in_flight: f64, utilisation: f64) {
-    if (UTILISATION_FLOOR..SATURATED).contains(&utilisation) {
-        seen.kinds.entry(kind).or_default().reported(in_flight, utilisation, SMOOTH_ALL);
-        seen.fleet.reported(in_flight, utilisation, SMOOTH_ALL);
-    } else if utilisation >= SATURATED {
-        seen.kinds.entry(kind).or_default().saturated(in_flight);
-        seen.fleet.saturated(in_flight);
+/// Updates the capacity estimates of a kind of machine and of the fleet after a report from a server of that
+/// kind.
+pub(crate) fn update_kind_capacity(
+    estimates: &mut Estimates,
+    kind: KindId,
+    in_flight: f64,
+    utilisation: f64,
+) {
+    if (MIN_UTILISATION..SATURATED_UTILISATION).contains(&utilisation) {
+        estimates.kinds.entry(kind).or_default().reported(in_flight, utilisation, FLEET_SMOOTHING);
+        estimates.fleet.reported(in_flight, utilisation, FLEET_SMOOTHING);
+    } else if utilisation >= SATURATED_UTILISATION {
+        estimates.kinds.entry(kind).or_default().saturated(in_flight);
+        estimates.fleet.saturated(in_flight);
     }
 }
--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -1,5 +1,5 @@
-//! Reads the settings object and load reports. The simulator's first message and the sidecar's configuration
-//! hold the same object, so both programs read it here.
+//! Reads settings and load reports. The simulator's first message and the sidecar's configuration hold the
+//! same settings object, so both programs read it here.
 
 use std::collections::HashMap;
 
@@ -8,7 +8,7 @@
 use crate::api::*;
 use crate::subset;
 
-/// The settings object as it stands on the wire. Keys that are not listed here are passed over.
+/// The settings object as written on the wire and in the configuration. Unknown keys are ignored.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Config {
     classes: Vec<WireClass>,
@@ -25,9 +25,9 @@
     peers_total: u32,
     #[serde(default)]
     rank: Option<u32>,
-    /// Drawn from a name, where that tells sidecars apart.
+    /// A hash of the sidecar's name, where names identify sidecars.
     #[serde(skip)]
-    named: Option<u64>,
+    name_key: Option<u64>,
     #[serde(default)]
     fees: HashMap<String, f64>,
     allowed: Allowed,
@@ -57,15 +57,15 @@
     put: bool,
 }
 
-/// What requests of a class look like.
+/// The form in which requests of a class arrive.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClassForm {
-    /// The first part of the path.
+    /// The first segment of the path.
     pub name: String,
-    /// What running one twice would do.
+    /// The effect of running a request twice.
     pub effect: Effect,
-    /// Whether one that is safe to repeat may also come as PUT, with a body (RFC 9110, 9.2.2: idempotent). The
-    /// platform's own classes never do.
+    /// Whether idempotent requests may also arrive as PUT, with a body (RFC 9110, section 9.2.2). Those of
+    /// the platform's own classes never do.
     pub put: bool,
 }
 
@@ -117,7 +117,7 @@
     15_000.0
 }
 
-/// As long as the operators' page has it where a deployment says nothing.
+/// The default that the operators' documentation states.
 fn default_drain_grace() -> f64 {
     1_000.0
 }
@@ -154,7 +154,7 @@
 }
 
 impl Config {
-    /// The settings in the module's terms.
+    /// Converts to the settings of the decision module.
     pub fn settings(&self) -> Settings {
         Settings {
             classes: self.classes.iter().map(WireClass::class).collect(),
@@ -162,14 +162,14 @@
             over_quota_worth: self.over_share_worth,
             zone: ZoneId(self.zone),
             sidecars: self.peers_total,
-            identity: match (self.rank, self.named) {
-                (_, Some(name)) => Identity::Named(name),
+            identity: match (self.rank, self.name_key) {
+                (_, Some(key)) => Identity::Named(key),
                 (Some(rank), None) => Identity::Ranked { rank, count: self.peers_total },
                 (None, None) => Identity::Anonymous,
             },
             cross_zone_cost: self.fees.get("cross_zone").copied().unwrap_or(0.0),
             probe_cost: self.fees.get("probe").copied().unwrap_or(0.0),
-            attempt_cost: ["waste", "handshake"].iter().filter_map(|fee| self.fees.get(*fee)).sum(),
+            attempt_cost: ["waste", "handshake"].iter().filter_map(|key| self.fees.get(*key)).sum(),
             limits: Limits {
                 max_attempts: self.allowed.max_attempts,
                 allow_parallel_attempts: self.allowed.may_duplicate,
@@ -191,49 +191,54 @@
         }
     }
 
-    /// Whether the settings number the sidecars.
+    /// Whether sidecars are identified by number.
     pub fn is_ranked(&self) -> bool {
         self.rank.is_some()
     }
 
-    /// Tells sidecars apart by their names: this is the one of this name, whatever number it may have.
+    /// Identifies this sidecar by its name instead of its number, if it has one.
     pub fn with_identity_from_name(mut self, name: &str) -> Config {
-        self.named = Some(subset::key(name));
+        self.name_key = Some(subset::key(name));
         self
     }
 
-    /// Tells all that no sidecar could work with, each as key and fault; the simulator's own settings always pass.
+    /// All values that no sidecar could work with, each as a key and an error text. The simulator's own
+    /// settings always pass.
     pub fn validation_errors(&self) -> Vec<(String, String)> {
-        let mut faults = Vec::new();
-        let mut fault = |key: String, text: String| faults.push((key, text));
+        let mut errors = Vec::new();
+        let mut add_error = |key: String, text: String| errors.push((key, text));
         if self.classes.is_empty() {
-            fault("classes".to_owned(), "there are none".to_owned());
+            add_error("classes".to_owned(), "at least one class is needed".to_owned());
         }
-        let sound = |value: f64| value.is_finite() && value > 0.0 && value < 1e9;
+        let is_valid = |value: f64| value.is_finite() && value > 0.0 && value < 1e9;
         for (number, class) in self.classes.iter().enumerate() {
             if class.name.is_empty() {
-                fault(format!("classes[{number}].name"), "a class has no name".to_owned());
+                add_error(format!("classes[{number}].name"), "the class has no name".to_owned());
             }
             if self.classes[..number].iter().any(|other| other.name == class.name) {
-                fault(format!("classes[{number}].name"), format!("two classes are named {:?}", class.name));
+                add_error(
+                    format!("classes[{number}].name"),
+                    format!("two classes are named {:?}", class.name),
+                );
             }
             if class.put && class.effect != WireEffect::Repeatable {
-                let text = "only a class that is repeatable may come as PUT; leave it out".to_owned();
-                fault(format!("classes[{number}].put"), text);
+                let text =
+                    "only requests of a repeatable class may arrive as PUT; remove this key".to_owned();
+                add_error(format!("classes[{number}].put"), text);
             }
-            let figures =
+            let values =
                 [("aim", class.aim), ("hard_limit", class.hard_limit), ("importance", class.importance)];
-            for (key, value) in figures.into_iter().filter(|(_, value)| !sound(*value)) {
-                fault(
+            for (key, value) in values.into_iter().filter(|(_, value)| !is_valid(*value)) {
+                add_error(
                     format!("classes[{number}].{key}"),
                     format!("it is {value}; a positive number is needed"),
                 );
             }
         }
         if self.allowed.max_attempts == 0 {
-            fault("allowed.max_attempts".to_owned(), "it is 0; at least 1 is needed".to_owned());
+            add_error("allowed.max_attempts".to_owned(), "it is 0; at least 1 is needed".to_owned());
         }
-        let figures = [
+        let values = [
             ("allowed.keepalive", self.allowed.keepalive),
             ("allowed.connect_timeout", self.allowed.connect_timeout),
             ("invariants.cold_share", self.invariants.cold_share),
@@ -241,17 +246,17 @@
             ("invariants.fall_multiple", self.invariants.fall_multiple),
             ("invariants.fall", self.invariants.fall),
         ];
-        for (key, value) in figures.into_iter().filter(|(_, value)| !sound(*value)) {
-            fault(key.to_owned(), format!("it is {value}; a positive number is needed"));
+        for (key, value) in values.into_iter().filter(|(_, value)| !is_valid(*value)) {
+            add_error(key.to_owned(), format!("it is {value}; a positive number is needed"));
         }
         let grace = self.invariants.drain_grace;
         if !(0.0..1e9).contains(&grace) {
-            fault("invariants.drain_grace".to_owned(), format!("it is {grace}; 0 or more is needed"));
+            add_error("invariants.drain_grace".to_owned(), format!("it is {grace}; 0 or more is needed"));
         }
-        faults
+        errors
     }
 
-    /// The forms of the classes, by class id.
+    /// The forms of requests, by class id.
     pub fn classes(&self) -> Vec<ClassForm> {
         let form = |class: &WireClass| ClassForm {
             name: class.name.clone(),
@@ -276,47 +281,48 @@
         &self.kinds
     }
 
-    /// The number of a zone. One that the settings do not name gets a number that no other has.
+    /// The id of a zone. A zone that the settings do not list gets an id from a hash of its name.
     pub fn zone_id(&self, name: &str) -> u64 {
-        number_of(&self.azs, name)
+        index_or_hash(&self.azs, name)
     }
 
-    /// The number of a kind of machine, likewise.
+    /// The id of a kind of machine. A kind that the settings do not list gets an id from a hash of its name.
     pub fn kind_id(&self, name: &str) -> u64 {
-        number_of(&self.kinds, name)
+        index_or_hash(&self.kinds, name)
     }
 
-    /// The longest that any client waits, over all its tries.
+    /// The longest time that a client of any class waits, including its retries.
     pub fn longest_deadline_ms(&self) -> Millis {
         self.classes.iter().map(|class| class.hard_limit).fold(0.0, f64::max)
     }
 
-    /// The shortest time in which any class is to be answered.
+    /// The shortest aim of all classes.
     pub fn shortest_aim_ms(&self) -> Millis {
         self.classes.iter().map(|class| class.aim).fold(f64::INFINITY, f64::min)
     }
 
-    /// After this long without use connections are closed.
+    /// Connections are closed after this idle time.
     pub fn keepalive_ms(&self) -> Millis {
         self.allowed.keepalive
     }
 
-    /// A connection that has not come up by then has failed.
+    /// A connection attempt that takes longer has failed.
     pub fn connect_timeout_ms(&self) -> Millis {
         self.allowed.connect_timeout
     }
 
-    /// Nothing new may go to an upstream later than this after the sidecar was told that it drains or is gone.
+    /// After the sidecar is notified that an upstream drains or is gone, new requests may still go there for
+    /// this time.
     pub fn drain_grace_ms(&self) -> Millis {
         self.invariants.drain_grace
     }
 
-    /// Whether answers to requests hold load reports.
+    /// Whether answers to requests carry load reports.
     pub fn reports_in_answers(&self) -> bool {
         self.telemetry.how == "piggyback"
     }
 
-    /// The figures of a load report, in the order of a positional one.
+    /// The figures of a load report, in the order of a positional report.
     pub fn columns(&self) -> Vec<Column> {
         self.telemetry.columns.iter().map(|name| Column::named(name)).collect()
     }
@@ -345,15 +351,15 @@
 /// A figure in a load report that the module can use.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Column {
-    /// Requests in hand.
+    /// Requests in flight.
     InFlight,
-    /// How busy the cores are.
+    /// Utilisation of the cores.
     Utilisation,
-    /// Requests served a second.
+    /// Requests served per second.
     Served,
-    /// Errors a second.
+    /// Errors per second.
     Errors,
-    /// One that the module has no use for.
+    /// A figure that the module does not use.
     Other,
 }
 
@@ -369,7 +375,7 @@
     }
 }
 
-/// Puts the figures of a report in their places.
+/// Builds a report from the values of a positional report.
 pub fn report_from_columns(columns: &[Column], stats: &[f64]) -> Report {
     let mut report = Report::default();
     for (column, value) in columns.iter().zip(stats) {
@@ -384,21 +390,21 @@
     report
 }
 
-/// The place of a name in a list; for a stranger a number past the end, drawn from the name itself.
-fn number_of(names: &[String], name: &str) -> u64 {
-    let stranger = || name.bytes().fold(1 << 32, |sum: u64, byte| sum.wrapping_mul(257) + u64::from(byte));
-    names.iter().position(|known| known == name).map_or_else(stranger, |place| place as u64)
+/// The index of a name in a list; for a name that is not listed, a hash of the name beyond all indices.
+fn index_or_hash(names: &[String], name: &str) -> u64 {
+    let hash = || name.bytes().fold(1 << 32, |sum: u64, byte| sum.wrapping_mul(257) + u64::from(byte));
+    names.iter().position(|listed| listed == name).map_or_else(hash, |index| index as u64)
 }
 
-/// Reads a load report of the form `TEXT inflight=7, util=0.61`: the figures that the settings name. `None`
-/// where there is no sound one.
+/// Reads the figures that the settings list from a load report of the form `TEXT inflight=7, util=0.61`.
+/// `None` if it has no valid one.
 pub fn report_from_text(columns: &[Column], text: &str) -> Option<Report> {
     let figures = text.trim().strip_prefix("TEXT")?;
     let (mut used, mut stats) = (Vec::new(), Vec::new());
     for figure in figures.split(',') {
         let Some((name, value)) = figure.split_once('=') else { continue };
         let column = Column::named(name.trim());
-        let value = value.trim().parse().ok().filter(|v: &f64| (0.0..=MOST).contains(v));
+        let value = value.trim().parse().ok().filter(|v: &f64| (0.0..=MAX_REPORTED_VALUE).contains(v));
         if let (true, Some(value)) = (columns.contains(&column), value) {
             used.push(column);
             stats.push(value);
@@ -407,23 +413,24 @@
     (!used.is_empty()).then(|| report_from_columns(&used, &stats))
 }
 
-/// No figure of a load report is larger in earnest.
-const MOST: f64 = 1e6;
+/// Larger figures in a load report are invalid.
+const MAX_REPORTED_VALUE: f64 = 1e6;
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
     #[test]
-    fn a_report_is_read_from_text() {
+    fn report_from_text_reads_listed_figures_and_rejects_invalid_texts() {
         let columns = [Column::InFlight, Column::Errors, Column::Utilisation];
         let read = |text| report_from_text(&columns, text);
-        let report = read("TEXT inflight=7, queue=2, util=0.61").expect("two figures of three");
+        let report = read("TEXT inflight=7, queue=2, util=0.61").expect("two of three figures are there");
         assert_eq!((report.in_flight, report.utilisation), (Some(7.0), Some(0.61)));
         assert_eq!((report.errors_per_s, report.served_per_s), (None, None));
-        for absurd in ["", "TEXT", "JSON {}", "TEXT inflight=NaN", "TEXT inflight=-1,util=1e99", "TEXT qps=4"]
+        for invalid in
+            ["", "TEXT", "JSON {}", "TEXT inflight=NaN", "TEXT inflight=-1,util=1e99", "TEXT qps=4"]
         {
-            assert_eq!(read(absurd), None, "{absurd}");
+            assert_eq!(read(invalid), None, "{invalid}");
         }
     }
 }
--- a/crates/decide/src/throttle.rs
+++ b/crates/decide/src/throttle.rs
@@ -1,48 +1,52 @@
-//! Adaptive throttling: how much of what comes is sent on at all while little of it is answered in time.
+//! Adaptive throttling: refuses a share of the requests while few answers are in time.
 //!
-//! Servers that tell nothing of their load, and of which each sidecar has a few requests out, look idle to each of many sidecars
-//! while all together drown them: everything is accepted and nothing is in time. What shows is the share that is. A request is
-//! turned away by chance so that no more is sent than `ALLOW` times what was answered in time of late. While most is in time
-//! that is everything; when nothing is, a little still goes out to find out. Asked only where no server tells of its load. Pure:
-//! time and luck are arguments.
+//! Servers that don't report their load, with a few requests in flight from each of many sidecars, look idle
+//! to every sidecar while all together overload them: everything is accepted and no answer is in time. The
+//! share of answers in time shows this. Requests are refused at random so that at most `MAX_SENT_PER_IN_TIME`
+//! times as many are sent as were answered in time recently. While most answers are in time, all requests are
+//! sent; while none is, a few still are, to detect the recovery. Used only where no server reports its load.
+//! Time and random values are arguments.
 
 use crate::api::Millis;
 
-/// While more than this share comes late, less is sent than was asked for: the share that room for requests is steered by, too.
+/// While a larger share of answers is late, fewer requests are sent than arrive. The longest acceptable wait
+/// for a server is controlled by the same share.
 pub(crate) const TARGET_LATE_SHARE: f64 = 0.15;
-/// So many times what was answered in time may be sent.
-const ALLOW: f64 = 1.0 / (1.0 - TARGET_LATE_SHARE);
-/// What counts fades over so many aims: what comes too late is known to after one, and a jam is over or there after two.
-const SPAN: f64 = 2.0;
-/// So many are taken for answered in time beside those that were: who sends hardly anything turns nobody away.
-const GRACE: f64 = 2.0;
+/// Requests that may be sent per answer in time.
+const MAX_SENT_PER_IN_TIME: f64 = 1.0 / (1.0 - TARGET_LATE_SHARE);
+/// Counts decay over this many aims. A late answer is noticed after one aim; an overload is over or
+/// established after two.
+const DECAY_AIMS: f64 = 2.0;
+/// Added to the answers in time, so that a sidecar with hardly any requests refuses none.
+const EXTRA_IN_TIME: f64 = 2.0;
 
-/// What was asked for and what was answered in time of late.
+/// Decaying counts of requests and of answers in time.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Throttle {
-    /// Requests that have ended or were turned away here: what is still out may yet be in time.
-    asked: f64,
+    /// Requests that have ended or were refused here. Those in flight may yet be in time.
+    requests: f64,
     in_time: f64,
-    at: Millis,
+    decayed_at: Millis,
 }
 
 impl Throttle {
-    /// The chance with which a request with this aim is to be turned away.
+    /// The probability with which a request with this aim is to be refused.
     pub fn refusal_probability(&mut self, now: Millis, aim: Millis) -> f64 {
-        let keep = (-(now - self.at).max(0.0) / (SPAN * aim.max(1.0))).exp();
-        (self.asked, self.in_time, self.at) = (self.asked * keep, self.in_time * keep, now);
-        ((self.asked - ALLOW * (self.in_time + GRACE)) / (self.asked + 1.0)).max(0.0)
+        let keep = (-(now - self.decayed_at).max(0.0) / (DECAY_AIMS * aim.max(1.0))).exp();
+        (self.requests, self.in_time, self.decayed_at) = (self.requests * keep, self.in_time * keep, now);
+        let allowed = MAX_SENT_PER_IN_TIME * (self.in_time + EXTRA_IN_TIME);
+        ((self.requests - allowed) / (self.requests + 1.0)).max(0.0)
     }
 
-    /// One was turned away.
+    /// Counts a request that was refused.
     pub fn record_refused(&mut self) {
-        self.asked += 1.0;
+        self.requests += 1.0;
     }
 
-    /// One that was sent has ended, in time or not. What failed, was called off or never left says nothing of how crowded servers
-    /// are, and is not told.
+    /// Counts a request that was sent and has ended. Not to be called for requests that failed, were
+    /// cancelled or never left: they don't show how loaded servers are.
     pub fn record_finished(&mut self, in_time: bool) {
-        self.asked += 1.0;
+        self.requests += 1.0;
         self.in_time += f64::from(u8::from(in_time));
     }
 }
--- a/crates/decide/src/throttle/tests.rs
+++ b/crates/decide/src/throttle/tests.rs
@@ -1,50 +1,53 @@
-//! What is turned away where most, half and nothing is answered in time, and how soon that ends.
+//! The share of requests that is refused while most, some or no answers are in time, and how soon refusals
+//! end.
 
 use super::*;
 
-/// The share that is turned away in so many seconds of 20 requests each, of which this share of those sent is in time.
-fn turned_away(throttle: &mut Throttle, now: &mut Millis, seconds: u32, in_time: f64) -> f64 {
+/// Plays 20 requests per second, of which `in_time` of those sent are answered in time. Returns the share
+/// refused.
+fn refused_share(throttle: &mut Throttle, now: &mut Millis, seconds: u32, in_time: f64) -> f64 {
     let mut rng = oorandom::Rand64::new(u128::from(seconds));
-    let (mut turned, all) = (0, seconds * 20);
+    let (mut refused, all) = (0, seconds * 20);
     for _ in 0..all {
         *now += 50.0;
         if rng.rand_float() < throttle.refusal_probability(*now, 600.0) {
             throttle.record_refused();
-            turned += 1;
+            refused += 1;
         } else {
             throttle.record_finished(rng.rand_float() < in_time);
         }
     }
-    f64::from(turned) / f64::from(all)
+    f64::from(refused) / f64::from(all)
 }
 
 #[test]
-fn nobody_is_turned_away_while_most_are_in_time() {
+fn no_request_is_refused_while_most_answers_are_in_time() {
     for share in [1.0, 0.95] {
-        let turned = turned_away(&mut Throttle::default(), &mut 0.0, 200, share);
-        assert!(turned < 0.005, "{share}: {turned}");
+        let refused = refused_share(&mut Throttle::default(), &mut 0.0, 200, share);
+        assert!(refused < 0.005, "{share}: {refused}");
     }
-    // At the share that is aimed at it is a matter of chance, and no more than that.
-    let turned = turned_away(&mut Throttle::default(), &mut 0.0, 200, 1.0 - TARGET_LATE_SHARE);
-    assert!(turned < 0.06, "{turned}");
+    // At the target share, random fluctuations cause a few refusals.
+    let refused = refused_share(&mut Throttle::default(), &mut 0.0, 200, 1.0 - TARGET_LATE_SHARE);
+    assert!(refused < 0.06, "{refused}");
 }
 
 #[test]
-fn who_serves_nobody_in_time_sends_little_and_comes_back_soon() {
+fn most_requests_are_refused_while_no_answer_is_in_time_and_few_soon_after() {
     let (mut throttle, mut now) = (Throttle::default(), 0.0);
-    turned_away(&mut throttle, &mut now, 10, 0.0);
-    let jam = turned_away(&mut throttle, &mut now, 10, 0.0);
-    assert!((0.7..0.95).contains(&jam), "{jam}: a little still goes out");
-    turned_away(&mut throttle, &mut now, 10, 1.0);
-    assert!(turned_away(&mut throttle, &mut now, 5, 1.0) < 0.02, "and all of it once that is answered");
+    refused_share(&mut throttle, &mut now, 10, 0.0);
+    let refused = refused_share(&mut throttle, &mut now, 10, 0.0);
+    assert!((0.7..0.95).contains(&refused), "{refused}: a few requests are still sent");
+    refused_share(&mut throttle, &mut now, 10, 1.0);
+    let refused = refused_share(&mut throttle, &mut now, 5, 1.0);
+    assert!(refused < 0.02, "{refused}: all requests are sent again");
 }
 
 #[test]
-fn a_quiet_sidecar_is_never_turned_away_by_chance() {
+fn sidecar_with_one_request_per_second_never_refuses() {
     let (mut throttle, mut now) = (Throttle::default(), 0.0);
     for _ in 0..500 {
         now += 1_000.0;
-        assert_eq!(throttle.refusal_probability(now, 600.0), 0.0, "one a second, and none in time");
+        assert_eq!(throttle.refusal_probability(now, 600.0), 0.0, "no answer was in time");
         throttle.record_finished(false);
     }
 }
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small stage for the module: settings, servers and events, without any bench.
+//! A harness that drives one decision module: settings, a server list and events.
 #![allow(dead_code)]
 
 use sagemast_decide::Balancer;
@@ -66,11 +66,11 @@
     }
 }
 
-/// Drives one module and keeps what it did last.
+/// One decision module and the time of its next event.
 pub struct Harness {
     pub balancer: Balancer,
     pub now: Millis,
-    next: u64,
+    last_request: u64,
 }
 
 impl Harness {
@@ -79,12 +79,12 @@
     }
 
     pub fn seeded(settings: Settings, servers: Vec<Listing>, seed: u64) -> Harness {
-        let mut stage = Harness { balancer: Balancer::new(settings, seed), now: 1_000.0, next: 0 };
-        stage.event(Event::ListReceived(ListUpdate::Restored(servers)));
-        stage
+        let mut harness = Harness { balancer: Balancer::new(settings, seed), now: 1_000.0, last_request: 0 };
+        harness.event(Event::ListReceived(ListUpdate::Restored(servers)));
+        harness
     }
 
-    /// Reports the same from all these servers for long enough to be believed.
+    /// Reports the same load from all these servers for long enough to be used for estimates of capacity.
     pub fn report_steadily(&mut self, ids: &[u64], in_flight: f64, utilisation: f64) {
         for _ in 0..40 {
             self.now += 50.0;
@@ -93,20 +93,20 @@
     }
 
     pub fn event(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.balancer.handle(self.now, event, &mut out);
-        out
+        let mut actions = Vec::new();
+        self.balancer.handle(self.now, event, &mut actions);
+        actions
     }
 
-    /// A request comes in; its id and what was done. Where it is held for probes, none is answered.
+    /// Lets a request arrive. Returns its id and the actions; if it waits for probes, these go unanswered.
     pub fn arrive(&mut self, class: ClassId) -> (RequestId, Vec<Action>) {
-        self.next += 1;
-        let request = RequestId(self.next);
+        self.last_request += 1;
+        let request = RequestId(self.last_request);
         let event = Event::RequestArrived { request, class, tenant: TenantId(0), time_left: 500.0 };
         let mut actions = self.event(event);
-        let mine =
+        let is_its_timer =
             |action: &Action| matches!(action, Action::SetTimer { token, .. } if *token == request.0 >> 1);
-        while actions.last().is_some_and(mine) {
+        while actions.last().is_some_and(is_its_timer) {
             actions.extend(self.event(Event::TimerFired(request.0 >> 1)));
         }
         (request, actions)
@@ -135,7 +135,7 @@
         self.answer_probe(id, in_flight, utilisation);
     }
 
-    /// The same, with what was done upon it.
+    /// The same, with the resulting actions.
     pub fn answer_probe(&mut self, id: u64, in_flight: f64, utilisation: f64) -> Vec<Action> {
         let report =
             Report { in_flight: Some(in_flight), utilisation: Some(utilisation), ..Report::default() };
@@ -143,7 +143,7 @@
     }
 }
 
-/// Where the first send among these actions goes.
+/// The server of the first attempt among these actions.
 pub fn sent_to(actions: &[Action]) -> Option<UpstreamId> {
     actions.iter().find_map(|action| match action {
         Action::Send { upstream, .. } => Some(*upstream),
