--- a/crates/cli/src/sidecar.rs
+++ b/crates/cli/src/sidecar.rs
@@ -62,7 +62,7 @@
     // own waits there: to send by the list that it was started with would be to send to what has begun to drain since.
     let (ready, shared) = (Arc::new(Notify::new()), inherited.is_some());
     let told_ready = ready.clone();
-    let listening = EventSink::to(move |told| {
+    let listening = EventSink::from_fn(move |told| {
         if told == InstanceEvent::Ready {
             told_ready.notify_one();
         }
@@ -95,7 +95,8 @@
     let succession =
         place.map(|place| handover::run(place, elder, control.clone(), held, sidecars, log.clone()));
     // One that has no list at all by then says so to whoever comes.
-    let waits = watch_liveness::first(Duration::from_secs_f64(config.settings.shortest_aim_ms() / 1e3));
+    let waits =
+        watch_liveness::startup_wait(Duration::from_secs_f64(config.settings.shortest_aim_ms() / 1e3));
     let started = Instant::now();
     let mut opens = (!shared).then_some(started + waits);
     let mut running = tokio::spawn(instance.run());
--- a/crates/cli/tests/long_lists.rs
+++ b/crates/cli/tests/long_lists.rs
@@ -5,8 +5,8 @@
 //!
 //! | what | constant | value | at 1,200 |
 //! | --- | --- | --- | --- |
-//! | bytes of one list from discovery | `discovery::LIST_BYTES` | 2 MiB | 0.5 MiB at most, indented |
-//! | depth of its brackets | `json_stream::DEEPEST` | 32 | 3 |
+//! | bytes of one list from discovery | `discovery::MAX_LIST_BYTES` | 2 MiB | 0.5 MiB at most, indented |
+//! | depth of its brackets | `json_stream::MAX_NESTING_DEPTH` | 32 | 3 |
 //! | bytes of one line between processes | `handover::message::LINE_BYTES` | 8 MiB | under 1 MiB |
 //! | servers that a new process takes over | `snapshot::MOST_SERVERS` | 100,000 | 1,200 |
 //! | kinds that it takes over | `snapshot::MOST_KINDS` | 1,024 | one a kind, not a server |
--- a/crates/daemon/src/supervisor.rs
+++ b/crates/daemon/src/supervisor.rs
@@ -394,7 +394,7 @@
         match note {
             Note::Started(generation) => self.feed(Event::Started(generation)),
             Note::Told(generation, InstanceEvent::Ready) => self.feed(Event::Ready(generation)),
-            Note::Told(generation, InstanceEvent::Listed) => self.keep_list(generation),
+            Note::Told(generation, InstanceEvent::ListChanged) => self.keep_list(generation),
             Note::Told(generation, InstanceEvent::ListenerReleased) => {
                 if let Some(life) = self.lives.get_mut(&generation).filter(|life| life.listens) {
                     life.listens = false;
@@ -540,7 +540,7 @@
             budgets: self.grants.of(&name, &spec),
             crossing: self.crossings.of(&name, &spec, &self.kept),
             log: log.clone(),
-            listening: EventSink::to(move |told| notes.send(Note::Told(generation, told)).is_ok()),
+            listening: EventSink::from_fn(move |told| notes.send(Note::Told(generation, told)).is_ok()),
             standby,
             // Instances come and go, so that numbers among them would change: names do not.
             settings: (*spec.settings).clone().named(&name),
--- a/crates/sidecar/benches/ordinary_path.rs
+++ b/crates/sidecar/benches/ordinary_path.rs
@@ -142,7 +142,7 @@
                 budgets: Budgets::of(64),
                 crossing: None,
                 log: Log::process(),
-                listening: EventSink::nowhere(),
+                listening: EventSink::discard(),
                 standby: false,
             });
             instance.run().await;
--- a/crates/sidecar/src/client.rs
+++ b/crates/sidecar/src/client.rs
@@ -90,7 +90,7 @@
         let read = (&*SockRef::from(&*lock(&self.stream))).read(&mut room[..most]);
         match read {
             Ok(read) => {
-                io_counts::read(&Poll::Ready(Ok(())), read);
+                io_counts::record_read(&Poll::Ready(Ok(())), read);
                 let read = &room[..read];
                 // The end of the stream is given as it is: nothing.
                 let fed = if read.is_empty() { 0 } else { came(&mut self.framing, &self.slot, read) };
@@ -132,7 +132,7 @@
         while self.ahead.len() < AHEAD_BYTES {
             let mut buffer = ReadBuf::new(&mut room);
             let result = Pin::new(&mut *lock(&self.stream)).poll_read(cx, &mut buffer);
-            io_counts::read(&result, buffer.filled().len());
+            io_counts::record_read(&result, buffer.filled().len());
             ready!(result)?;
             if buffer.filled().is_empty() {
                 return Poll::Ready(Ok(()));
@@ -159,7 +159,7 @@
 
     /// Ends with an error when the client has taken nothing for too long.
     fn wrote(&mut self, cx: &mut Context<'_>, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
-        io_counts::wrote(&result);
+        io_counts::record_write(&result);
         self.slot.set_write_blocked(result.is_pending());
         if result.is_ready() {
             self.stuck = None;
@@ -211,7 +211,7 @@
         let before = buf.filled().len();
         let result = Pin::new(&mut *lock(&this.stream)).poll_read(cx, buf);
         let read = buf.filled().get(before..).unwrap_or_default();
-        io_counts::read(&result, read.len());
+        io_counts::record_read(&result, read.len());
         if !read.is_empty() {
             let fed = came(&mut this.framing, &this.slot, read);
             this.keep_ahead(&read[fed..]);
--- a/crates/sidecar/src/discovery.rs
+++ b/crates/sidecar/src/discovery.rs
@@ -21,12 +21,12 @@
 use crate::watch_liveness::{self, WatchTimeouts};
 
 /// The longest list: thousands of hosts, indented. A stream without an end must not fill the memory.
-const LIST_BYTES: usize = 2 << 20;
+const MAX_LIST_BYTES: usize = 2 << 20;
 
 /// What a watch has to tell.
 pub enum DiscoveryEvent {
     /// A list or changes.
-    Listed {
+    ListReceived {
         /// To which watch.
         watch: u64,
         /// What.
@@ -46,25 +46,25 @@
     /// Discovery's address.
     pub address: SocketAddr,
     /// Its number: what an earlier one left on its way to the driver is not to be believed any more.
-    pub number: u64,
+    pub id: u64,
     /// The version that the sidecar has.
     pub seq: u64,
     /// Where it tells them.
-    pub news: EventSink<DiscoveryEvent>,
+    pub events: EventSink<DiscoveryEvent>,
     /// Where it says what went wrong.
     pub log: Log,
     /// How long it waits.
-    pub times: WatchTimeouts,
+    pub timeouts: WatchTimeouts,
     /// This sidecar's place, from 0 to 1, among those that open a silent watch anew.
-    pub place: f64,
+    pub spread_position: f64,
     /// The last sign of life of a watch that has fallen silent, until another gives one.
-    pub silent: Option<Instant>,
+    pub silent_since: Option<Instant>,
 }
 
 impl Watch {
     /// Watches for good, for settings under which news come by themselves.
-    pub async fn keep(mut self) {
-        let [first, last] = self.times.back_off;
+    pub async fn run(mut self) {
+        let [first, last] = self.timeouts.back_off;
         let (mut wait, mut said) = (first, String::new());
         loop {
             let before = self.seq;
@@ -84,26 +84,28 @@
 
     /// Watches once, for settings under which the module asks; it hears of the end and asks again when it sees fit. A watch
     /// that has fallen silent is another matter: what it misses counts as told soon, so it is opened anew at once.
-    pub async fn ask(mut self) {
+    pub async fn run_until_failure(mut self) {
         let (mut tries, mut counted_since) = (0, None);
         loop {
             let Err(end) = self.once().await;
             self.log.line(format!("discovery: {end:#}"));
             // Without a silence there is no hurry; with one, the calls after it are counted until one is answered.
-            let Some(since) = self.silent else { break };
+            let Some(since) = self.silent_since else { break };
             if counted_since.replace(since) != Some(since) {
                 tries = 0;
             }
-            let Some(wait) = watch_liveness::again(since.elapsed(), tries, self.place) else { break };
+            let Some(wait) = watch_liveness::again(since.elapsed(), tries, self.spread_position) else {
+                break;
+            };
             tries += 1;
             sleep(wait).await;
         }
-        self.news.tell(DiscoveryEvent::Failed { watch: self.number, seq: self.seq });
+        self.events.send(DiscoveryEvent::Failed { watch: self.id, seq: self.seq });
     }
 
     async fn once(&mut self) -> Result<Infallible> {
         // Connecting and the head of the answer share one time: a budget is the sum of its parts.
-        let answer_by = Instant::now() + self.times.call;
+        let answer_by = Instant::now() + self.timeouts.call;
         let stream = timeout_at(answer_by, TcpStream::connect(self.address))
             .await
             .map_err(|_| anyhow!("connecting took too long"))?
@@ -121,7 +123,7 @@
         if response.status() != StatusCode::OK {
             bail!("answered {}", response.status());
         }
-        let mut values = JsonStream::new(LIST_BYTES);
+        let mut values = JsonStream::new(MAX_LIST_BYTES);
         let end = self.listen(response.into_body(), &mut values).await;
         if values.is_within() {
             // What it would have said is missed: only the whole list can make up for it.
@@ -134,9 +136,9 @@
     async fn listen(&mut self, mut body: Incoming, values: &mut JsonStream) -> Result<Infallible> {
         let mut alive = Instant::now();
         loop {
-            let Ok(frame) = timeout_at(alive + self.times.silence, body.frame()).await else {
+            let Ok(frame) = timeout_at(alive + self.timeouts.silence, body.frame()).await else {
                 // What this one misses counts as told so long after it fell silent, whatever fell silent before.
-                self.silent = Some(alive);
+                self.silent_since = Some(alive);
                 bail!("the watch fell silent");
             };
             let frame = frame.context("the watch ended")??;
@@ -149,7 +151,7 @@
                     Next::Object(text) => broken = self.tell(&text)?.or(broken),
                     Next::Broken(reason) => broken = Some(reason.to_owned()),
                 }
-                (alive, self.silent) = (Instant::now(), None);
+                (alive, self.silent_since) = (Instant::now(), None);
             }
             if let Some(reason) = broken {
                 // What else came with it counts, but only the whole list can make up for what was missed.
@@ -168,7 +170,7 @@
             }
             Ok(list) => {
                 self.seq = list.seq;
-                if !self.news.tell(DiscoveryEvent::Listed { watch: self.number, list }) {
+                if !self.events.send(DiscoveryEvent::ListReceived { watch: self.id, list }) {
                     bail!("the driver has ended");
                 }
                 Ok(None)
--- a/crates/sidecar/src/driver.rs
+++ b/crates/sidecar/src/driver.rs
@@ -56,21 +56,21 @@
 /// What the owner of an instance asks of its driver.
 pub enum InstanceCommand {
     /// Watch discovery here from now on; the list and the connections stay.
-    Discovery(SocketAddr),
+    WatchDiscovery(SocketAddr),
     /// There are so many sidecars from now on, this one included.
-    Sidecars(u32),
+    SetSidecarCount(u32),
     /// Other budgets for traffic between zones are in force from now on, or none.
-    Crossing(Option<CrossZoneBudget>),
+    SetCrossZoneBudget(Option<CrossZoneBudget>),
     /// A successor needs the connections: keep none that is idle from now on.
     Retire,
     /// Hand over the list of upstreams as it stands.
-    List(oneshot::Sender<HostList>),
+    GetHostList(oneshot::Sender<HostList>),
     /// Hand over what a successor goes on from.
-    Estate(oneshot::Sender<HandoverState>),
+    GetHandoverState(oneshot::Sender<HandoverState>),
     /// Tell others of the same sidecar what discovery tells, from now on.
-    Follow(mpsc::Sender<HostList>),
+    ForwardLists(mpsc::Sender<HostList>),
     /// Another process of the same sidecar was told this by discovery.
-    News(HostList),
+    PeerList(HostList),
     /// Fail, as a fault in the code would make it fail. Only the rig and tests ask for this.
     Panic,
 }
@@ -78,24 +78,24 @@
 /// Something that the driver is told.
 pub enum DriverEvent {
     /// By clients.
-    Clients(ClientEvent),
+    Client(ClientEvent),
     /// By connections to upstreams.
-    Upstreams(UpstreamEvent),
+    Upstream(UpstreamEvent),
     /// By the discovery watch.
     Discovery(DiscoveryEvent),
     /// By the owner of the instance.
-    Order(InstanceCommand),
+    Command(InstanceCommand),
 }
 
 impl From<ClientEvent> for DriverEvent {
     fn from(message: ClientEvent) -> DriverEvent {
-        DriverEvent::Clients(message)
+        DriverEvent::Client(message)
     }
 }
 
 impl From<UpstreamEvent> for DriverEvent {
     fn from(message: UpstreamEvent) -> DriverEvent {
-        DriverEvent::Upstreams(message)
+        DriverEvent::Upstream(message)
     }
 }
 
@@ -153,7 +153,7 @@
     /// It has a list of upstreams, from discovery itself unless that keeps it waiting: `/up` answers 200.
     Ready,
     /// The list has changed.
-    Listed,
+    ListChanged,
     /// It has let its listener go: it accepts nobody any more.
     ListenerReleased,
 }
@@ -169,15 +169,15 @@
     /// What it may hold.
     pub budgets: Budgets,
     /// Budgets for traffic between zones, if there are any.
-    pub crossing: Option<CrossZoneBudget>,
+    pub cross_zone_budget: Option<CrossZoneBudget>,
     /// What it counts.
     pub metrics: Arc<Metrics>,
     /// Where it logs.
     pub log: Log,
     /// Whom it tells how it fares.
-    pub listener: EventSink<InstanceEvent>,
+    pub events: EventSink<InstanceEvent>,
     /// How long it may go on.
-    pub life: watch::Receiver<lifecycle::Lifecycle>,
+    pub lifecycle: watch::Receiver<lifecycle::Lifecycle>,
 }
 
 /// The driver.
@@ -239,8 +239,17 @@
 impl Driver {
     /// A driver that knows the settings and nothing else, and the channel that leads to it.
     pub fn new(parts: DriverConfig) -> (Driver, mpsc::UnboundedSender<DriverEvent>) {
-        let DriverConfig { settings, seed, discovery, budgets, crossing, metrics, log, listener, life } =
-            parts;
+        let DriverConfig {
+            settings,
+            seed,
+            discovery,
+            budgets,
+            cross_zone_budget: crossing,
+            metrics,
+            log,
+            events: listener,
+            lifecycle: life,
+        } = parts;
         let (happenings, inbox) = mpsc::unbounded_channel();
         let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         let mut told = settings.settings();
@@ -281,8 +290,8 @@
             news: EventSink::new(happenings.clone()),
             discovery,
             times: match subscribed {
-                true => WatchTimeouts::asked(),
-                false => WatchTimeouts::pushed(Duration::from_secs_f64(settings.drain_grace_ms() / 1e3)),
+                true => WatchTimeouts::shared_service(),
+                false => WatchTimeouts::local_agent(Duration::from_secs_f64(settings.drain_grace_ms() / 1e3)),
             },
             // A whole number below 2 to the power of 53 is one as a float, too.
             place: (seed >> 11) as f64 / (1u64 << 53) as f64,
@@ -323,7 +332,8 @@
         }
         if !self.subscribed {
             self.watch();
-            let first = watch_liveness::first(Duration::from_secs_f64(self.settings.shortest_aim_ms() / 1e3));
+            let first =
+                watch_liveness::startup_wait(Duration::from_secs_f64(self.settings.shortest_aim_ms() / 1e3));
             self.set_timer(Instant::now() + first, Timer::Current);
         }
         loop {
@@ -348,18 +358,18 @@
         self.watches += 1;
         let watch = Watch {
             address: self.discovery,
-            number: self.watches,
+            id: self.watches,
             seq: self.seq,
-            news: self.news.clone(),
+            events: self.news.clone(),
             log: self.log.clone(),
-            times: self.times,
-            place: self.place,
-            silent: None,
+            timeouts: self.times,
+            spread_position: self.place,
+            silent_since: None,
         };
         self.watch = Some(AbortOnDrop(if self.subscribed {
-            tokio::spawn(watch.ask())
+            tokio::spawn(watch.run_until_failure())
         } else {
-            tokio::spawn(watch.keep())
+            tokio::spawn(watch.run())
         }));
     }
 
@@ -432,8 +442,8 @@
 
     fn happened(&mut self, happening: DriverEvent) {
         match happening {
-            DriverEvent::Clients(ClientEvent::Arrived(arrival)) => self.arrived(*arrival),
-            DriverEvent::Clients(ClientEvent::Left(request)) => {
+            DriverEvent::Client(ClientEvent::Arrived(arrival)) => self.arrived(*arrival),
+            DriverEvent::Client(ClientEvent::Disconnected(request)) => {
                 if let Some(open) = self.close(request) {
                     self.log.trace(|| self.answer_line(&open, "none: its client has left"));
                     if open.timer.is_some() {
@@ -442,34 +452,34 @@
                 }
                 self.leave(request);
             }
-            DriverEvent::Upstreams(message) => self.heard_of_upstream(message),
+            DriverEvent::Upstream(message) => self.heard_of_upstream(message),
             DriverEvent::Discovery(message) => self.heard_of_list(message),
-            DriverEvent::Order(InstanceCommand::Discovery(address)) => {
+            DriverEvent::Command(InstanceCommand::WatchDiscovery(address)) => {
                 self.discovery = address;
                 self.watch();
             }
-            DriverEvent::Order(InstanceCommand::Sidecars(count)) => {
+            DriverEvent::Command(InstanceCommand::SetSidecarCount(count)) => {
                 self.sidecars = count;
                 self.event(Event::SidecarCountChanged(count));
             }
-            DriverEvent::Order(InstanceCommand::Crossing(crossing)) => {
+            DriverEvent::Command(InstanceCommand::SetCrossZoneBudget(crossing)) => {
                 let now = self.millis(Instant::now());
                 CrossZoneBudget::bring_into_force(crossing, &mut self.module, self.sidecars, now);
             }
-            DriverEvent::Order(InstanceCommand::Retire) => {
+            DriverEvent::Command(InstanceCommand::Retire) => {
                 self.retired = true;
                 self.servers.pools().for_each(Pool::clear);
             }
-            DriverEvent::Order(InstanceCommand::List(reply)) => {
+            DriverEvent::Command(InstanceCommand::GetHostList(reply)) => {
                 // Who asked may have gone.
                 let _ = reply.send(self.servers.list(self.seq));
             }
-            DriverEvent::Order(InstanceCommand::Estate(reply)) => {
+            DriverEvent::Command(InstanceCommand::GetHandoverState(reply)) => {
                 let _ = reply.send(self.estate());
             }
-            DriverEvent::Order(InstanceCommand::Follow(news)) => self.followers = Some(news),
-            DriverEvent::Order(InstanceCommand::News(list)) => self.heard_from_peer(&list),
-            DriverEvent::Order(InstanceCommand::Panic) => panic!("told to fail"),
+            DriverEvent::Command(InstanceCommand::ForwardLists(news)) => self.followers = Some(news),
+            DriverEvent::Command(InstanceCommand::PeerList(list)) => self.heard_from_peer(&list),
+            DriverEvent::Command(InstanceCommand::Panic) => panic!("told to fail"),
         }
     }
 
@@ -496,7 +506,7 @@
 
     fn heard_of_list(&mut self, message: DiscoveryEvent) {
         match message {
-            DiscoveryEvent::Listed { watch, list } if watch == self.watches => {
+            DiscoveryEvent::ListReceived { watch, list } if watch == self.watches => {
                 self.current = true;
                 self.listed(&list, false);
                 if let Some(followers) = &self.followers {
@@ -509,7 +519,7 @@
                 self.event(Event::ListReceived(ListUpdate::Unavailable));
             }
             // Of a watch that another has taken the place of.
-            DiscoveryEvent::Listed { .. } | DiscoveryEvent::Failed { .. } => {}
+            DiscoveryEvent::ListReceived { .. } | DiscoveryEvent::Failed { .. } => {}
         }
     }
 
@@ -551,7 +561,8 @@
     }
 
     fn arrived(&mut self, arrival: RequestArrival) {
-        let RequestArrival { request, class, tenant, id, at, time_left, forward, reply } = arrival;
+        let RequestArrival { request, class, tenant, id, received_at: at, time_left, forward, reply } =
+            arrival;
         // Upstreams know a request by its id. One that says it is another's would be taken for that one's
         // next attempt.
         if !self.ids.insert(id.clone()) {
@@ -833,7 +844,7 @@
     /// Ends an attempt that never began, after the actions at hand.
     fn end_later(&self, flight: AttemptInfo, outcome: Outcome) {
         let (end, wire) = (AttemptEnd::Outcome(outcome, None), Wire::default());
-        self.upstreams.tell(UpstreamEvent::Ended { flight, end, wire });
+        self.upstreams.send(UpstreamEvent::Ended { flight, end, wire });
     }
 
     fn ended(&mut self, flight: AttemptInfo, end: AttemptEnd, wire: Wire) {
@@ -924,7 +935,7 @@
         let now = Instant::now();
         let nothing = UpstreamEvent::Probed { upstream, answer: None };
         let Some(server) = self.servers.get_mut(upstream) else {
-            self.upstreams.tell(nothing);
+            self.upstreams.send(nothing);
             return;
         };
         let (dial, life) = (server.dial(), server.life);
@@ -933,7 +944,7 @@
             None => match self.permit(dial) {
                 Some(permit) => Source::Dial(dial, now + self.connect_time, permit),
                 None => {
-                    self.upstreams.tell(nothing);
+                    self.upstreams.send(nothing);
                     return;
                 }
             },
@@ -950,7 +961,7 @@
     /// Tells that it is ready, once it is.
     fn tell_ready(&self) {
         if self.has_list && self.current && !self.metrics.ready.swap(true, Ordering::Release) {
-            self.listener.tell(InstanceEvent::Ready);
+            self.listener.send(InstanceEvent::Ready);
         }
     }
 
@@ -968,7 +979,7 @@
         if !listings.is_empty() || (whole && !restored) {
             self.has_list = true;
             self.tell_ready();
-            self.listener.tell(InstanceEvent::Listed);
+            self.listener.send(InstanceEvent::ListChanged);
         }
         self.event(Event::ListReceived(match (restored, whole) {
             (true, _) => ListUpdate::Restored(listings),
--- a/crates/sidecar/src/driver/tests.rs
+++ b/crates/sidecar/src/driver/tests.rs
@@ -34,11 +34,11 @@
         seed: 1,
         discovery: dial,
         budgets: Budgets::of(8),
-        crossing: None,
+        cross_zone_budget: None,
         metrics: Arc::new(Metrics::new(std::iter::once("a"))),
         log: Log::process(),
-        listener: EventSink::nowhere(),
-        life: lives,
+        events: EventSink::discard(),
+        lifecycle: lives,
     });
     driver.listed(&list(1, dial, "ready", 5), false);
     let (reply, answer) = oneshot::channel();
@@ -47,7 +47,7 @@
         class: ClassId(0),
         tenant: TenantId(0),
         id: "2".into(),
-        at: Instant::now(),
+        received_at: Instant::now(),
         time_left: Duration::from_secs(60),
         forward: ForwardedRequest {
             method: Method::GET,
@@ -75,7 +75,7 @@
         ("gone", false, |played| played.driver.listed(&list(2, played.dial, "gone", 5), false)),
         ("another life", false, |played| played.driver.listed(&list(2, played.dial, "ready", 9), false)),
         ("the client leaves", false, |played| {
-            played.driver.happened(DriverEvent::Clients(ClientEvent::Left(RequestId(2))));
+            played.driver.happened(DriverEvent::Client(ClientEvent::Disconnected(RequestId(2))));
         }),
         ("its wait is over", false, |played| {
             let by = Instant::now().checked_sub(WRITE_IN * 2).expect("the clock has run for longer");
--- a/crates/sidecar/src/execution.rs
+++ b/crates/sidecar/src/execution.rs
@@ -26,9 +26,9 @@
     /// Not a byte.
     Nothing,
     /// Some of it, and not the last byte.
-    Part,
+    Partial,
     /// The last byte, or nobody can tell.
-    Whole,
+    Complete,
 }
 
 /// What a whole answer says.
@@ -77,8 +77,8 @@
     match (how, written) {
         (How::Answered(Says::TurnedAway), _) => Execution::NeverRan,
         // Whoever answers has seen something, whatever we know of what was written.
-        (How::Answered(_) | How::Spoilt, _) | (_, Written::Whole) => Execution::MayHaveRun,
-        (_, Written::Part) => Execution::NeverRan,
+        (How::Answered(_) | How::Spoilt, _) | (_, Written::Complete) => Execution::MayHaveRun,
+        (_, Written::Partial) => Execution::NeverRan,
         (_, Written::Nothing) => Execution::NotBegun,
     }
 }
--- a/crates/sidecar/src/execution/tests.rs
+++ b/crates/sidecar/src/execution/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-const WRITTEN: [Written; 3] = [Written::Nothing, Written::Part, Written::Whole];
+const WRITTEN: [Written; 3] = [Written::Nothing, Written::Partial, Written::Complete];
 const SAYS: [Says; 4] = [Says::Served, Says::TurnedAway, Says::AtFault, Says::Failed];
 
 fn hows() -> impl Iterator<Item = How> {
@@ -26,7 +26,7 @@
 #[test]
 fn a_request_whose_last_byte_was_written_may_have_run_unless_it_was_turned_away() {
     for how in hows() {
-        let never = execution(how, Written::Whole) != Execution::MayHaveRun;
+        let never = execution(how, Written::Complete) != Execution::MayHaveRun;
         assert_eq!(never, how == How::Answered(Says::TurnedAway), "{how:?}");
     }
 }
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -406,7 +406,7 @@
 impl Drop for Guard<'_> {
     fn drop(&mut self) {
         if !self.answered {
-            self.front.told.tell(ClientEvent::Left(self.request));
+            self.front.told.send(ClientEvent::Disconnected(self.request));
         }
     }
 }
@@ -451,9 +451,9 @@
     let (reply, answer) = oneshot::channel();
     let (headers, client) = (end_to_end(&head.headers), slot.client());
     let forward = ForwardedRequest { method: head.method, target, headers, body, client };
-    let arrival = RequestArrival { request, class, tenant, id, at, time_left, forward, reply };
+    let arrival = RequestArrival { request, class, tenant, id, received_at: at, time_left, forward, reply };
     let mut guard = Guard { request, front, answered: false };
-    front.told.tell(ClientEvent::Arrived(Box::new(arrival)));
+    front.told.send(ClientEvent::Arrived(Box::new(arrival)));
     let answer = answer.await;
     guard.answered = true;
     match answer {
--- a/crates/sidecar/src/front/tests.rs
+++ b/crates/sidecar/src/front/tests.rs
@@ -21,7 +21,7 @@
 fn refusing() -> (Arc<Front>, watch::Sender<Lifecycle>) {
     let (life, lives) = watch::channel(Lifecycle::new(false, Instant::now()));
     let form = ClassForm { name: "a".to_owned(), effect: Effect::Idempotent, put: false };
-    let told = EventSink::to(|message| {
+    let told = EventSink::from_fn(|message| {
         if let ClientEvent::Arrived(arrival) = message {
             let _ = arrival.reply.send(FinalAnswer::Refused(0.0));
         }
--- a/crates/sidecar/src/hosts.rs
+++ b/crates/sidecar/src/hosts.rs
@@ -78,7 +78,7 @@
     }
 
     /// The hosts whose entries cannot be read, as far as their names can.
-    pub fn unread_names(&self) -> impl Iterator<Item = &str> {
+    pub fn undecodable_names(&self) -> impl Iterator<Item = &str> {
         let unread = |entry: &&serde_json::Value| Host::deserialize(*entry).is_err();
         self.hosts.iter().filter(unread).filter_map(|entry| entry.get("host")?.as_str())
     }
--- a/crates/sidecar/src/instance.rs
+++ b/crates/sidecar/src/instance.rs
@@ -116,11 +116,11 @@
             seed,
             discovery,
             budgets,
-            crossing,
+            cross_zone_budget: crossing,
             metrics: metrics.clone(),
             log: log.clone(),
-            listener: listening.clone(),
-            life: lives.clone(),
+            events: listening.clone(),
+            lifecycle: lives.clone(),
         });
         let (life, (hold, held)) = (Arc::new(life), watch::channel(()));
         let told = EventSink::new(happenings.clone());
@@ -136,7 +136,7 @@
         let Instance { driver, front, listener, known, estate, life, mut held, telling } = self;
         let mut driver = Part(tokio::spawn(driver.run(known, estate)));
         let let_go = move || {
-            telling.tell(InstanceEvent::ListenerReleased);
+            telling.send(InstanceEvent::ListenerReleased);
         };
         let mut serving = Part(tokio::spawn(front::serve(listener, front, let_go)));
         let mut lives = life.subscribe();
@@ -181,7 +181,7 @@
     /// Watches discovery at another address from now on. List and connections stay.
     pub fn move_discovery(&self, to: SocketAddr) {
         // An instance that has ended has nothing left to move; this holds for the other orders, too.
-        let _ = self.happenings.send(DriverEvent::Order(InstanceCommand::Discovery(to)));
+        let _ = self.happenings.send(DriverEvent::Command(InstanceCommand::WatchDiscovery(to)));
     }
 
     /// Accepts clients from now on, unless the end has begun.
@@ -205,7 +205,7 @@
         self.wish(LifecycleRequest::Drain(how));
         if matches!(how, Drain::HandOver { .. }) {
             // Both generations hold connections out of the same budget, and the successor has more use for them.
-            let _ = self.happenings.send(DriverEvent::Order(InstanceCommand::Retire));
+            let _ = self.happenings.send(DriverEvent::Command(InstanceCommand::Retire));
         }
     }
 
@@ -226,41 +226,41 @@
 
     /// Tells the module how many sidecars there are from now on.
     pub fn set_sidecars(&self, count: u32) {
-        let _ = self.happenings.send(DriverEvent::Order(InstanceCommand::Sidecars(count)));
+        let _ = self.happenings.send(DriverEvent::Command(InstanceCommand::SetSidecarCount(count)));
     }
 
     /// Brings other budgets for traffic between zones into force, or none. What it counts in the same place goes on.
     pub fn set_crossing(&self, crossing: Option<CrossZoneBudget>) {
-        let _ = self.happenings.send(DriverEvent::Order(InstanceCommand::Crossing(crossing)));
+        let _ = self.happenings.send(DriverEvent::Command(InstanceCommand::SetCrossZoneBudget(crossing)));
     }
 
     /// The list of upstreams as the instance has it. The receiver fails when the instance has ended.
     pub fn list(&self) -> oneshot::Receiver<HostList> {
         let (reply, list) = oneshot::channel();
-        let _ = self.happenings.send(DriverEvent::Order(InstanceCommand::List(reply)));
+        let _ = self.happenings.send(DriverEvent::Command(InstanceCommand::GetHostList(reply)));
         list
     }
 
     /// What a successor goes on from. The receiver fails when the instance has ended.
     pub fn estate(&self) -> oneshot::Receiver<HandoverState> {
         let (reply, estate) = oneshot::channel();
-        let _ = self.happenings.send(DriverEvent::Order(InstanceCommand::Estate(reply)));
+        let _ = self.happenings.send(DriverEvent::Command(InstanceCommand::GetHandoverState(reply)));
         estate
     }
 
     /// Sends there what discovery tells, from now on; what finds no room there is dropped.
     pub fn follow(&self, news: mpsc::Sender<HostList>) {
-        let _ = self.happenings.send(DriverEvent::Order(InstanceCommand::Follow(news)));
+        let _ = self.happenings.send(DriverEvent::Command(InstanceCommand::ForwardLists(news)));
     }
 
     /// Another process of the same sidecar was told this by discovery.
     pub fn news(&self, list: HostList) {
-        let _ = self.happenings.send(DriverEvent::Order(InstanceCommand::News(list)));
+        let _ = self.happenings.send(DriverEvent::Command(InstanceCommand::PeerList(list)));
     }
 
     /// Has the driver panic, for the rig and for tests.
     pub fn inject_panic(&self) {
-        let _ = self.happenings.send(DriverEvent::Order(InstanceCommand::Panic));
+        let _ = self.happenings.send(DriverEvent::Command(InstanceCommand::Panic));
     }
 
     /// What is counted.
@@ -293,7 +293,7 @@
         log: Log,
     ) -> (StandIn, StandInControl) {
         let names = RequestNames { classes: settings.classes(), tenants: settings.tenant_names() };
-        let refuse = EventSink::to(|message| {
+        let refuse = EventSink::from_fn(|message| {
             if let ClientEvent::Arrived(arrival) = message {
                 // Its client may have gone.
                 let _ = arrival.reply.send(FinalAnswer::Refused(STAND_IN_RETRY_MS));
--- a/crates/sidecar/src/io_counts.rs
+++ b/crates/sidecar/src/io_counts.rs
@@ -30,7 +30,7 @@
 
 /// The kernel was asked to read. What is not ready yet is mostly known without asking, and does not count.
 #[inline]
-pub(crate) fn read<T>(_result: &Poll<io::Result<T>>, _bytes: usize) {
+pub(crate) fn record_read<T>(_result: &Poll<io::Result<T>>, _bytes: usize) {
     #[cfg(feature = "calls")]
     if _result.is_ready() {
         counts::add(0, _bytes);
@@ -39,7 +39,7 @@
 
 /// The kernel was asked to write.
 #[inline]
-pub(crate) fn wrote(_result: &Poll<io::Result<usize>>) {
+pub(crate) fn record_write(_result: &Poll<io::Result<usize>>) {
     #[cfg(feature = "calls")]
     if let Poll::Ready(result) = _result {
         counts::add(1, result.as_ref().map_or(0, |bytes| *bytes));
--- a/crates/sidecar/src/json_stream.rs
+++ b/crates/sidecar/src/json_stream.rs
@@ -39,7 +39,7 @@
 }
 
 /// The list of upstreams is three brackets deep. Deeper ones are nonsense, and this bounds what is kept of them.
-const DEEPEST: usize = 32;
+const MAX_NESTING_DEPTH: usize = 32;
 
 impl JsonStream {
     /// None yet; an object may have so many bytes.
@@ -124,7 +124,7 @@
                 }
                 (At::Text { .. }, _) => {}
             }
-            if self.open.len() > DEEPEST {
+            if self.open.len() > MAX_NESTING_DEPTH {
                 return Some(self.lose("too many brackets"));
             }
         }
--- a/crates/sidecar/src/messages.rs
+++ b/crates/sidecar/src/messages.rs
@@ -30,17 +30,17 @@
     }
 
     /// To a function, which must not wait.
-    pub fn to(listener: impl Fn(T) -> bool + Send + Sync + 'static) -> EventSink<T> {
+    pub fn from_fn(listener: impl Fn(T) -> bool + Send + Sync + 'static) -> EventSink<T> {
         EventSink(Arc::new(listener))
     }
 
     /// Where nobody listens.
-    pub fn nowhere() -> EventSink<T> {
+    pub fn discard() -> EventSink<T> {
         EventSink(Arc::new(|_| true))
     }
 
     /// Tells it. False when the listener has ended; the message is dropped then.
-    pub fn tell(&self, message: T) -> bool {
+    pub fn send(&self, message: T) -> bool {
         (self.0)(message)
     }
 }
@@ -70,7 +70,7 @@
     /// The id that its client gave it.
     pub id: Box<str>,
     /// When its last byte was read; of an upload, when it went on.
-    pub at: Instant,
+    pub received_at: Instant,
     /// How long its client waits from then on.
     pub time_left: Duration,
     /// What goes on to upstreams.
@@ -97,7 +97,7 @@
     /// A request came in.
     Arrived(Box<RequestArrival>),
     /// The client of an open request went away.
-    Left(RequestId),
+    Disconnected(RequestId),
 }
 
 /// One attempt on its way.
--- a/crates/sidecar/src/metered_stream.rs
+++ b/crates/sidecar/src/metered_stream.rs
@@ -124,9 +124,9 @@
     pub fn request(&self) -> Written {
         let exchange = lock(&self.exchange);
         match exchange.taken {
-            _ if exchange.framing.whole() > 0 || exchange.framing.is_lost() => Written::Whole,
+            _ if exchange.framing.whole() > 0 || exchange.framing.is_lost() => Written::Complete,
             0 => Written::Nothing,
-            _ => Written::Part,
+            _ => Written::Partial,
         }
     }
 
@@ -215,7 +215,7 @@
         if self.meter.asked.load(Ordering::Relaxed) {
             return Ok(());
         }
-        io_counts::read(&Poll::Ready(Ok(())), 0);
+        io_counts::record_read(&Poll::Ready(Ok(())), 0);
         let mut exchange = lock(&self.meter.exchange);
         match client_disconnect::look(&self.stream, exchange.terms.as_ref())? {
             ConnectionCheck::Clear => {
@@ -239,7 +239,7 @@
         parts: &[io::IoSlice<'_>],
         result: Poll<io::Result<usize>>,
     ) -> Poll<io::Result<usize>> {
-        io_counts::wrote(&result);
+        io_counts::record_write(&result);
         if let Poll::Ready(Ok(bytes)) = result {
             self.meter.count_written(parts, bytes);
         }
@@ -272,7 +272,7 @@
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let result = Pin::new(&mut self.stream).poll_read(cx, buf);
-        io_counts::read(&result, buf.filled().len() - before);
+        io_counts::record_read(&result, buf.filled().len() - before);
         ready!(result)?;
         Poll::Ready(self.meter.count_read(buf.filled().len() - before))
     }
--- a/crates/sidecar/src/servers.rs
+++ b/crates/sidecar/src/servers.rs
@@ -93,7 +93,7 @@
         let mut listings: Vec<Listing> = hosts.iter().map(|host| self.update(host, settings, now)).collect();
         if whole {
             // An entry that cannot be read is not missing: what was known of its host stands.
-            let unread = list.unread_names().filter_map(|name| self.ids.get(name));
+            let unread = list.undecodable_names().filter_map(|name| self.ids.get(name));
             listings.extend(unread.filter_map(|id| self.by_id.get(id)).map(|server| server.listing.clone()));
             let named: HashSet<UpstreamId> = listings.iter().map(|listing| listing.upstream).collect();
             let missing = self.by_id.iter_mut().filter(|(id, _)| !named.contains(id));
--- a/crates/sidecar/src/upstream.rs
+++ b/crates/sidecar/src/upstream.rs
@@ -276,7 +276,7 @@
         result = Connection::open(dial, bound(RequestState::Connecting(flight.times())).at, permit) => result,
         _ = given_up => Err("given up".to_owned()),
     };
-    told.tell(UpstreamEvent::Connected(flight, result.map(Box::new)));
+    told.send(UpstreamEvent::Connected(flight, result.map(Box::new)));
 }
 
 /// What all attempts of an instance share.
@@ -316,7 +316,7 @@
     let Writing { mut request, body, terms } = writing;
     // It may have been given up, or the driver may have ended, before this task had its first turn.
     if !matches!(give_up.try_recv(), Err(oneshot::error::TryRecvError::Empty)) {
-        told.tell(UpstreamEvent::Ended {
+        told.send(UpstreamEvent::Ended {
             flight,
             end: AttemptEnd::Outcome(Outcome::NotSent, None),
             wire: Wire::default(),
@@ -332,7 +332,7 @@
         RequestBody::Upload(upload) => match Upload::body(&upload) {
             Some(body) => AttemptBody::Passing(body),
             None => {
-                told.tell(UpstreamEvent::Ended {
+                told.send(UpstreamEvent::Ended {
                     flight,
                     end: AttemptEnd::Outcome(Outcome::NotSent, None),
                     wire: Wire::default(),
@@ -360,9 +360,9 @@
                     common.patience.whole();
                     let says = execution::says(answer.status, execution::is_marked(&answer.headers));
                     // What answers before it has all of a request goes on reading it: that must not arrive any more.
-                    if meter.request() == Written::Whole {
-                        let end = ended(How::Answered(says), Written::Whole, Some(answer));
-                        told.tell(UpstreamEvent::Ended { flight, end, wire: Wire { port, bytes: meter.taken() } });
+                    if meter.request() == Written::Complete {
+                        let end = ended(How::Answered(says), Written::Complete, Some(answer));
+                        told.send(UpstreamEvent::Ended { flight, end, wire: Wire { port, bytes: meter.taken() } });
                         return give_back(connection.settle().await, flight.upstream, flight.incarnation, &told);
                     }
                     (How::Answered(says), Some(answer))
@@ -374,7 +374,7 @@
                 Ok(Got::Begun { head, first, rest, length, room: Some(room) }) => {
                     let streamed = told.clone();
                     let end = Box::new(move |came, connection: Option<Connection>| {
-                        streamed.tell(UpstreamEvent::Streamed { request: flight.request, came });
+                        streamed.send(UpstreamEvent::Streamed { request: flight.request, came });
                         // Outside a runtime nobody could use it again.
                         if let (Some(connection), Ok(runtime)) = (connection, Handle::try_current()) {
                             runtime.spawn(async move {
@@ -395,7 +395,7 @@
                     let body = AnswerBody::Stream(Box::new(AnswerStream::new(parts)));
                     let answer = Answer { status: head.status, headers: head.headers, body };
                     let end = AttemptEnd::Outcome(Outcome::Ok, Some(answer));
-                    told.tell(UpstreamEvent::Ended { flight, end, wire: Wire { port, bytes: meter.taken() } });
+                    told.send(UpstreamEvent::Ended { flight, end, wire: Wire { port, bytes: meter.taken() } });
                     return;
                 }
                 Ok(Got::Begun { room: None, .. }) => (How::Spoilt, None),
@@ -427,7 +427,7 @@
         true => AttemptEnd::Stale,
         false => ended(how, written, answer),
     };
-    told.tell(UpstreamEvent::Ended { flight, end, wire: Wire { port, bytes: meter.taken() } });
+    told.send(UpstreamEvent::Ended { flight, end, wire: Wire { port, bytes: meter.taken() } });
 }
 
 /// What the driver is told of an attempt that has ended.
@@ -441,11 +441,11 @@
     let Some(upload) = upload else { return sleep_until(until).await };
     let allowed = until.saturating_duration_since(Instant::now());
     if upload.fate() == UploadState::Coming {
-        told.tell(UpstreamEvent::Uploads(*flight, UploadState::Coming));
+        told.send(UpstreamEvent::Uploads(*flight, UploadState::Coming));
     }
     match upload.settled().await {
         UploadState::Whole(at) => {
-            told.tell(UpstreamEvent::Uploads(*flight, UploadState::Whole(at)));
+            told.send(UpstreamEvent::Uploads(*flight, UploadState::Whole(at)));
             sleep_until(at + allowed).await;
         }
         // The exchange ends by itself.
@@ -473,12 +473,12 @@
         let result = timeout_at(until, exchange(&mut connection.sender, request, &meter, None)).await;
         if let Ok(Ok(Got::Whole(got))) = result {
             answer = Some(got);
-            told.tell(UpstreamEvent::Probed { upstream, answer });
+            told.send(UpstreamEvent::Probed { upstream, answer });
             return give_back(connection.settle().await, upstream, life, &told);
         }
         connection.close().await;
     }
-    told.tell(UpstreamEvent::Probed { upstream, answer });
+    told.send(UpstreamEvent::Probed { upstream, answer });
 }
 
 fn give_back(
@@ -488,7 +488,7 @@
     told: &EventSink<UpstreamEvent>,
 ) {
     if let Some(connection) = connection {
-        told.tell(UpstreamEvent::Idle { upstream, life, connection: Box::new(connection) });
+        told.send(UpstreamEvent::Idle { upstream, life, connection: Box::new(connection) });
     }
 }
 
--- a/crates/sidecar/src/upstream/tests.rs
+++ b/crates/sidecar/src/upstream/tests.rs
@@ -53,7 +53,7 @@
 fn listening() -> (Heard, EventSink<UpstreamEvent>) {
     let told = Heard::default();
     let heard = told.clone();
-    let outlet = EventSink::to(move |message| {
+    let outlet = EventSink::from_fn(move |message| {
         heard.lock().unwrap().push(message);
         true
     });
@@ -216,9 +216,9 @@
     });
     let (heard, told) = listening();
     // The peer reads on as soon as the driver is told that another attempt may begin.
-    let outlet = EventSink::to(move |message| {
+    let outlet = EventSink::from_fn(move |message| {
         let ended = matches!(message, UpstreamEvent::Ended { .. });
-        told.tell(message) && (!ended || go.send(()).is_ok())
+        told.send(message) && (!ended || go.send(()).is_ok())
     });
     let (_give_up, given_up) = oneshot::channel();
     let (request, body) = post(6 << 20);
--- a/crates/sidecar/src/watch_liveness.rs
+++ b/crates/sidecar/src/watch_liveness.rs
@@ -43,7 +43,7 @@
 impl WatchTimeouts {
     /// Where lists are pushed to an agent beside the sidecar, and nothing new may go to an upstream for longer than `grace`
     /// after a drain was told.
-    pub fn pushed(grace: Duration) -> WatchTimeouts {
+    pub fn local_agent(grace: Duration) -> WatchTimeouts {
         let [least, most] = PUSHED_CALL;
         let last = (grace / 10).clamp(LEAST_BACK_OFF, BACK_OFF[1]);
         WatchTimeouts {
@@ -54,7 +54,7 @@
     }
 
     /// Where one service is asked by all.
-    pub fn asked() -> WatchTimeouts {
+    pub fn shared_service() -> WatchTimeouts {
         WatchTimeouts { silence: SILENCE, call: ASKED_CALL, back_off: BACK_OFF }
     }
 }
@@ -71,7 +71,7 @@
 }
 
 /// How long a new process waits for what the agent has before it takes requests, where the shortest aim is this.
-pub fn first(shortest_aim: Duration) -> Duration {
+pub fn startup_wait(shortest_aim: Duration) -> Duration {
     FIRST.min(shortest_aim / 4)
 }
 
@@ -84,7 +84,7 @@
     #[test]
     fn two_watches_that_fall_silent_in_a_row_leave_time_for_a_third() {
         for grace in GRACES.map(Duration::from_millis) {
-            let times = WatchTimeouts::pushed(grace);
+            let times = WatchTimeouts::local_agent(grace);
             let [first, last] = times.back_off;
             // The first falls silent; the second is answered at the last moment and then says nothing, either.
             let sum = times.silence + first * 2 + times.call + times.silence + last;
@@ -93,7 +93,7 @@
             assert!(times.silence + (times.call + last) * 5 <= TOLD, "{grace:?}");
         }
         // Where all ask, the slowest call that is answered at all is answered in time, and failed ones are repeated.
-        let times = WatchTimeouts::asked();
+        let times = WatchTimeouts::shared_service();
         for place in [0.0, 0.5, 1.0] {
             let first = again(times.silence, 0, place).expect("there is time");
             assert!(times.silence + first + times.call < TOLD);
@@ -110,14 +110,14 @@
     #[test]
     fn what_an_agent_gets_at_the_return_of_discovery_is_asked_for_within_the_grace() {
         for grace in GRACES.into_iter().filter(|grace| *grace >= 250).map(Duration::from_millis) {
-            let times = WatchTimeouts::pushed(grace);
+            let times = WatchTimeouts::local_agent(grace);
             assert!(times.call + times.back_off[1] < grace / 2, "{grace:?}: {times:?}");
         }
     }
 
     #[test]
     fn the_wait_of_a_new_process_is_short_beside_what_is_wanted_of_it() {
-        assert_eq!(first(Duration::from_millis(60)), Duration::from_millis(15));
-        assert_eq!(first(Duration::from_secs(30)), FIRST);
+        assert_eq!(startup_wait(Duration::from_millis(60)), Duration::from_millis(15));
+        assert_eq!(startup_wait(Duration::from_secs(30)), FIRST);
     }
 }
--- a/crates/sidecar/tests/client_disconnect.rs
+++ b/crates/sidecar/tests/client_disconnect.rs
@@ -123,11 +123,11 @@
             // Nobody is there.
             discovery: SocketAddr::from(([127, 0, 0, 1], 9)),
             budgets: Budgets::of(8),
-            crossing: None,
+            cross_zone_budget: None,
             metrics: Arc::new(Metrics::new(std::iter::once("a"))),
             log: Log::process(),
-            listener: EventSink::nowhere(),
-            life: lives,
+            events: EventSink::discard(),
+            lifecycle: lives,
         });
         tokio::spawn(driver.run(Some(known), None));
         Stage { happenings, asked, next: 1, _life: life }
@@ -150,12 +150,12 @@
             class: ClassId(0),
             tenant: TenantId(0),
             id: target.as_str().into(),
-            at: Instant::now(),
+            received_at: Instant::now(),
             time_left: LONG,
             forward,
             reply,
         };
-        let arrived = DriverEvent::Clients(ClientEvent::Arrived(Box::new(arrival)));
+        let arrived = DriverEvent::Client(ClientEvent::Arrived(Box::new(arrival)));
         assert!(self.happenings.send(arrived).is_ok(), "the driver runs");
         (target, answer)
     }
--- a/crates/sidecar/tests/staleness.rs
+++ b/crates/sidecar/tests/staleness.rs
@@ -169,11 +169,11 @@
             seed,
             discovery,
             budgets: Budgets::of(8),
-            crossing: None,
+            cross_zone_budget: None,
             metrics: metrics.clone(),
             log,
-            listener: EventSink::nowhere(),
-            life: lives,
+            events: EventSink::discard(),
+            lifecycle: lives,
         });
         let known: HostList = serde_json::from_str(&list(1)).expect("a list");
         let mut running = JoinSet::new();
--- a/crates/udp/src/servers.rs
+++ b/crates/udp/src/servers.rs
@@ -34,7 +34,7 @@
     let entries: Vec<Entry> = here.iter().map(|host| entry(host, listener, epoch)).collect();
     let mut gone: Vec<String> = gone.iter().map(|host| host.host.clone()).collect();
     if list.whole {
-        let unread: HashSet<&str> = list.unread_names().collect();
+        let unread: HashSet<&str> = list.undecodable_names().collect();
         let named: HashSet<&str> = entries.iter().map(|entry| entry.name.as_str()).collect();
         let missing =
             known.iter().filter(|name| !named.contains(name.as_str()) && !unread.contains(name.as_str()));
--- a/crates/udp/src/watch.rs
+++ b/crates/udp/src/watch.rs
@@ -21,8 +21,8 @@
 ) -> std::io::Result<Watching> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let (over, is_over) = oneshot::channel::<()>();
-    let news = EventSink::to(move |told| match told {
-        DiscoveryEvent::Listed { list, .. } => tell(list),
+    let events = EventSink::from_fn(move |told| match told {
+        DiscoveryEvent::ListReceived { list, .. } => tell(list),
         // What is known stands.
         DiscoveryEvent::Failed { .. } => true,
     });
@@ -30,16 +30,16 @@
         runtime.block_on(async {
             let watch = Watch {
                 address,
-                number: 0,
+                id: 0,
                 seq: 0,
-                news,
+                events,
                 log,
-                times: WatchTimeouts::asked(),
-                place: 0.0,
-                silent: None,
+                timeouts: WatchTimeouts::shared_service(),
+                spread_position: 0.0,
+                silent_since: None,
             };
             tokio::select! {
-                () = watch.keep() => {}
+                () = watch.run() => {}
                 _ = is_over => {}
             }
         });
