--- a/crates/decide/src/balancer.rs
+++ b/crates/decide/src/balancer.rs
@@ -60,7 +60,7 @@
 const CLASS_REFUSAL_WEIGHT: f64 = 0.5;
 /// A server is idle if its utilisation with one more request is at most this.
 const IDLE_UTILISATION: f64 = 0.5;
-/// Up to one request in flight a server is idle, too, unless many requests are refused. Weight of refusals.
+/// While few requests are refused, a server with at most one in flight is idle, too: the weight of refusals.
 const IDLE_REFUSAL_WEIGHT: f64 = 2.0;
 /// Retry budget: tokens earned per request, and the most that are saved up. A further attempt takes one.
 const RETRY_RATIO: f64 = 0.1;
@@ -87,7 +87,7 @@
     pub(crate) cross_zone_budget: Option<Box<dyn CrossZone>>,
     pub(crate) requests: FxHashMap<RequestId, PendingRequest>,
     pub(crate) upstreams: Fleet,
-    /// Attempts that have not finished, with their number among the sends of the module and their server.
+    /// Unfinished attempts: the number of the send, counted over all requests, and its server.
     pub(crate) sends: FxHashMap<(RequestId, AttemptNo), (u64, UpstreamId)>,
     pub(crate) next_send: u64,
     pub(crate) uploads: Uploads,
@@ -157,10 +157,9 @@
                 self.attempt_finished(finished, out);
             }
             Event::ClientDisconnected(request) => {
-                // After the aim, the request was not served in time. An earlier disconnect shows nothing.
+                // A disconnect after the aim counts as a late answer; an earlier one shows nothing.
                 let is_in_flight = |p: &&PendingRequest| p.attempts.iter().any(|t| t.in_flight);
-                let pending = self.requests.get(&request).filter(is_in_flight);
-                if pending.is_some_and(|p| self.aim_left(p) <= 0.0) {
+                if self.requests.get(&request).filter(is_in_flight).is_some_and(|p| self.aim_left(p) <= 0.0) {
                     self.estimates.throttle.record_finished(false);
                 }
                 self.close(request, out);
@@ -239,11 +238,12 @@
         }
     }
 
-    /// Whether a server may get this request. While it warms up, chance gives it a share of requests, since
-    /// one sidecar's part of its budget may be less than one request: it is sampled for at most two of `n`
-    /// requests, and chance leaves those that its budget allows for all sidecars together. As a share bounds
-    /// nothing in a rush, when many sidecars start beside a new server, each sidecar also keeps to an amount
-    /// of work, an equal part of the allowance.
+    /// Whether a server may get this request. Two bounds apply while it warms up. One is a share of requests,
+    /// by chance, since one sidecar's part of the server's budget may be less than one request: of `n`
+    /// requests, it is sampled for two at most, and chance leaves those that the budget allows for all
+    /// sidecars together. The other is an amount of work (`src/slow_start.rs`), an equal part of the
+    /// allowance per sidecar, since a share bounds nothing in a rush, as when many sidecars start beside a
+    /// server that has just started.
     fn admits(&mut self, to: &Candidate, pending: &PendingRequest, was_probed: bool) -> bool {
         if to.warm_up_fraction >= 1.0 {
             return true;
@@ -259,7 +259,7 @@
     /// Lets a request wait for the probes of its pair. A timer token has 63 bits: two requests may share one.
     fn wait_for_probes(&mut self, request: RequestId, pair: Pair, was_probed: bool, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&request) else { return };
-        // For a warming-up server, the share is that at the time of the draw.
+        // For a warming-up server the share is fixed now, since it may change while the request waits.
         let draw_share = match pair.iter().any(|c| c.warm_up_fraction < 1.0) {
             true if !was_probed => self.draw_share(&pending.clone()),
             _ => pending.draw_share,
@@ -286,7 +286,7 @@
     }
 
     /// The longest acceptable answer time, as a share of the time left to the aim. Under overload queues grow
-    /// up to it, so requests that earn less than usual for their service time are refused first.
+    /// until it is reached, so requests that earn less than usual for their service time are refused first.
     fn max_wait_share(&self, pending: &PendingRequest) -> f64 {
         let density = self.worth_density(pending);
         let usual_density = self.estimates.usual_density.unwrap_or(density);
@@ -325,8 +325,8 @@
         };
         if may_repeat {
             // Early enough to meet the aim yet, and spread, since all that were refused together come back.
-            let aim = self.settings.classes[pending.class.0].aim;
-            let wait = RETRY_AFTER_AIM_SHARE * aim * self.rng.rand_float();
+            let wait =
+                RETRY_AFTER_AIM_SHARE * self.settings.classes[pending.class.0].aim * self.rng.rand_float();
             let retry_after = wait.min(self.settings.limits.max_retry_after);
             out.push(Action::Refuse { request, retry_after });
         } else {
@@ -365,12 +365,11 @@
     pub(crate) fn selection_context(&self, pending: &PendingRequest) -> SelectionContext {
         let aim_left = self.aim_left(pending);
         let has_time = aim_left > 2.0 * PROBE_WAIT_AIM_SHARE * self.settings.classes[pending.class.0].aim;
-        // With roughly exponential answer times, one expected at `wait` misses the aim with probability
-        // exp(-aim/wait). While that is below the cost of crossing, crossing does not pay.
+        // With roughly exponential answer times, an answer expected after `wait` misses the aim with
+        // probability exp(-aim/wait). While that is below the cost of crossing, crossing does not pay.
         let terms = self.cross_zone_budget.as_ref().map(|plan| plan.terms(self.now, pending.class));
         let limit = |cost: f64| if cost > 0.0 { aim_left / (1.0 / cost).ln().max(1.0) } else { 0.0 };
         let service_time = self.estimates.service[pending.class.0].time;
-        let longest_probe = MAX_PROBE_TIME_SHARE * service_time;
         let wait_factor = if pending.probe_waits > 0 { WAIT_FACTOR_AFTER_PROBES } else { 1.0 };
         SelectionContext {
             service_time,
@@ -382,7 +381,7 @@
                 && self.probe_budget.can(2.0)
                 && pending.probe_waits < MAX_PROBE_WAITS
                 && has_time
-                && self.estimates.probe_time.is_none_or(|time| time <= longest_probe),
+                && self.estimates.probe_time.is_none_or(|time| time <= MAX_PROBE_TIME_SHARE * service_time),
             max_wait: self.max_wait_share(pending) * aim_left * wait_factor,
             same_zone_limit: limit(terms.map_or(self.settings.cross_zone_cost, |terms| terms.fee)),
             max_failure_rate: terms.map_or(1.0, |terms| terms.bend_at),
@@ -403,23 +402,23 @@
         let slowness = self.current_slowness(server) / warm_up_fraction;
         let depth = ((in_flight + 1.0) / capacity).max(1.0);
         // An empty server is idle whatever its estimated capacity: only answers can correct the estimate.
-        let few = (2.5 - IDLE_REFUSAL_WEIGHT * self.estimates.refused).max(1.0);
-        let is_little_used = in_flight + 1.0 <= (IDLE_UTILISATION * capacity).max(few);
-        let report_age = self.now - server.reported_at;
+        let min_limit = (2.5 - IDLE_REFUSAL_WEIGHT * self.estimates.refused).max(1.0);
+        let is_lightly_loaded = in_flight + 1.0 <= (IDLE_UTILISATION * capacity).max(min_limit);
         Some(Candidate {
             id,
             zone: server.zone,
             same_zone: server.zone == self.settings.zone,
             exemption: None,
             has_valid_report: server.has_valid_report,
-            awaits_probe: context.may_wait_for_probe && report_age > context.max_report_age,
+            awaits_probe: context.may_wait_for_probe
+                && self.now - server.reported_at > context.max_report_age,
             // A server that has just failed this request is the likeliest to fail it again.
             healthy: self.is_available(server)
                 && !self.outages.is_out(server.zone)
                 && pending.attempts.iter().all(|t| t.upstream != id),
             projected_load: (in_flight + 1.0) / capacity * slowness,
             depth,
-            idle: self.reports_idle(server) || is_little_used,
+            idle: self.reports_idle(server) || is_lightly_loaded,
             wait: context.service_time * slowness * depth,
             failure_rate: server.failure_rate,
             warm_up_fraction,
@@ -450,8 +449,7 @@
         self.estimates.kappa(server, self.upstreams.known_of(server.kind), self.now, self.time_scale())
     }
 
-    /// m: the last report and our sends since. Without a valid report, our sends and the mean of others'
-    /// sends.
+    /// m: the last report and our sends since. Without a valid report, our sends and the mean of others.
     fn estimated_in_flight(&self, server: &Upstream, means: &FleetMeans) -> f64 {
         let own = server.outstanding.len() as f64;
         if !server.has_valid_report || !self.estimates.believes() {
@@ -498,8 +496,7 @@
 
     // --- Sampling ----------------------------------------------------------------------------
 
-    /// Two random servers with capacity, and whether they are the pair whose probes the request has waited
-    /// for.
+    /// Two random servers with capacity, and whether the request has waited for the probes of this pair.
     fn select_pair(&mut self, pending: &PendingRequest, out: &mut Vec<Action>) -> Option<(Pair, bool)> {
         self.update_subset();
         self.ask_zones(out);
@@ -585,7 +582,7 @@
         self.sample_pair(scope, pending, context, false, |c| c.healthy && context.suits_same_zone(c))
     }
 
-    /// Two servers in scope with capacity that are `allowed`: healthy ones if there are any.
+    /// Two `allowed` servers in scope with capacity. Unhealthy ones only if no server is healthy.
     pub(crate) fn sample_pair_preferring_healthy(
         &mut self,
         scope: CandidateScope,
--- a/crates/decide/src/state.rs
+++ b/crates/decide/src/state.rs
@@ -109,7 +109,7 @@
     pub report_valid_until: Millis,
     pub probe_sent: Option<Millis>,
     pub outstanding: OutstandingSends,
-    /// The last report includes the sends with lower numbers; the report of the next probe, likewise.
+    /// The sends from this number on are missing from the last report, or from that of the latest probe.
     pub first_unreported_send: u64,
     pub first_send_after_probe: u64,
     /// How many sends from these numbers on are outstanding.
