--- a/crates/cli/src/ctl.rs
+++ b/crates/cli/src/ctl.rs
@@ -322,7 +322,7 @@
     for row in &totals.rows {
         let of = totals.rows.iter().filter(|other| (&other.class, &other.from) == (&row.class, &row.from));
         let all: u64 = of.map(|other| other.attempts()).sum();
-        let bent = row.bent;
+        let bent = row.exempted;
         let bent = [
             ("down", bent.down),
             ("full", bent.full),
@@ -338,7 +338,7 @@
             row.to.clone(),
             row.attempts().to_string(),
             format!("{:.1} %", 100.0 * row.attempts() as f64 / all.max(1) as f64),
-            row.again.to_string(),
+            row.retries.to_string(),
             row.served.to_string(),
             row.failed.to_string(),
             row.unsent.to_string(),
@@ -352,7 +352,7 @@
     for probes in &totals.probes {
         println!("{:<12} {} from {} to {}", "probes", probes.probes, probes.from, probes.to);
     }
-    let (all, crossed) = totals.share(None);
+    let (all, crossed) = totals.attempts_and_crossings(None);
     let share = 100.0 * crossed as f64 / all.max(1) as f64;
     println!("{:<12} {crossed} of {all} attempts, {share:.2} %", "crossed");
     for report in reports {
--- a/crates/cli/src/sidecar.rs
+++ b/crates/cli/src/sidecar.rs
@@ -182,8 +182,8 @@
     let Some(crossing) = crossing else { return };
     let totals = crossing.counts.totals();
     for row in totals.rows.iter().filter(|row| row.crosses()) {
-        let (all, _) = totals.share(Some(&row.class));
-        let (crossed, bent) = (row.attempts(), row.bent.sum());
+        let (all, _) = totals.attempts_and_crossings(Some(&row.class));
+        let (crossed, bent) = (row.attempts(), row.exempted.total());
         let (out, back) = (row.bytes_out, row.bytes_in);
         log.line(format!(
             "crossing: {} to {}: {crossed} of {all} attempts, {bent} without a budget, {out} bytes out, {back} in",
--- a/crates/cli/tests/crossing.rs
+++ b/crates/cli/tests/crossing.rs
@@ -122,7 +122,7 @@
 /// What crossed of a class: first attempts, further ones.
 fn crossed(totals: &Totals, class: Class) -> (u64, u64) {
     let rows = totals.rows.iter().filter(|row| row.class == class.name() && row.crosses());
-    rows.fold((0, 0), |sum, row| (sum.0 + row.first, sum.1 + row.again))
+    rows.fold((0, 0), |sum, row| (sum.0 + row.first, sum.1 + row.retries))
 }
 
 fn ctl(daemon: &Daemon, arguments: &[&str]) -> Output {
@@ -175,9 +175,9 @@
     while !closed().await {}
     let refused = stage.ask(&clients, Class::Fetch, 20).await;
     assert_eq!(refused, Statuses { refused: 20, ..Statuses::default() }, "at once, and harmless to repeat");
-    assert_eq!(totals(&daemon).share(None).1, 0);
+    assert_eq!(totals(&daemon).attempts_and_crossings(None).1, 0);
     let generation = blocking(|| daemon.instances().unwrap()["howard-ave"].generation);
-    let attempts = totals(&daemon).share(None).0;
+    let attempts = totals(&daemon).attempts_and_crossings(None).0;
 
     stage.buildings.limit(BENDS).unwrap();
     let applied = ctl(&daemon, &["apply"]);
@@ -186,8 +186,8 @@
     assert_eq!(stage.ask(&clients, Class::Fetch, 20).await.served, 20, "no server near takes part: it bends");
     assert_eq!(blocking(|| daemon.instances().unwrap()["howard-ave"].generation), generation);
     let after = totals(&daemon);
-    assert_eq!(after.share(None), (attempts + 20, 20), "what was counted goes on");
-    assert_eq!(after.rows.iter().map(|row| row.bent.down).sum::<u64>(), 20);
+    assert_eq!(after.attempts_and_crossings(None), (attempts + 20, 20), "what was counted goes on");
+    assert_eq!(after.rows.iter().map(|row| row.exempted.down).sum::<u64>(), 20);
     let shown = text(&ctl(&daemon, &["crossing", "howard-ave"]));
     assert!(shown.contains("page-fetch  howard-ave  pass-road   20"), "{shown}");
     assert!(
@@ -213,7 +213,7 @@
     let mut daemon = stage.daemon();
     let clients = stage.clients(&daemon);
     assert_eq!(stage.ask(&clients, Class::Save, 40).await.served, 40);
-    let attempts = |daemon: &Daemon| totals(daemon).share(None).0;
+    let attempts = |daemon: &Daemon| totals(daemon).attempts_and_crossings(None).0;
     let level = |daemon: &Daemon| reports(daemon).iter().map(|report| report.budgets[0].level).sum::<f64>();
     assert_eq!(attempts(&daemon), 40);
     assert!(level(&daemon) > 5.0, "{}", level(&daemon));
--- a/crates/daemon/src/crossings.rs
+++ b/crates/daemon/src/crossings.rs
@@ -46,7 +46,7 @@
         let before = before.map(|before| before.counts.totals()).or_else(|| kept.crossing(name));
         let counts = Arc::new(Counts::new(limits.names.clone()));
         let before = before.unwrap_or_default();
-        counts.resume(&before);
+        counts.add_previous(&before);
         self.by_name.insert(name.clone(), Table { counts: counts.clone(), written: before });
         Some(Crossing { rules: limits.rules.clone(), counts })
     }
@@ -62,7 +62,7 @@
         Some(CrossingReport {
             name: name.to_string(),
             totals: counts.totals(),
-            budgets: budgets.zip(counts.levels()).map(level).collect(),
+            budgets: budgets.zip(counts.budget_levels()).map(level).collect(),
         })
     }
 
--- a/crates/decide/src/attempt_timeout.rs
+++ b/crates/decide/src/attempt_timeout.rs
@@ -67,7 +67,7 @@
 
 impl LatencyHistogram {
     /// An answer took so many times what was expected.
-    pub fn answered(&mut self, times: f64) {
+    pub fn record_answer(&mut self, times: f64) {
         self.add(bin_of(times), 1.0);
     }
 
@@ -80,12 +80,12 @@
 
     /// An attempt was given up at so many times, where an answer would have come with such a chance: it would have been
     /// one of the longer ones, as these are spread.
-    pub fn given_up(&mut self, times: f64, chance: f64) {
-        let beyond = self.longer(times);
+    pub fn record_abandoned(&mut self, times: f64, chance: f64) {
+        let beyond = self.tail_probability(times);
         let from = bin_of(times);
         for bin in from..BINS {
-            let above = if bin + 1 < BINS { self.longer(end_of(bin)) } else { 0.0 };
-            let below = if bin == from { beyond } else { self.longer(end_of(bin - 1)) };
+            let above = if bin + 1 < BINS { self.tail_probability(end_of(bin)) } else { 0.0 };
+            let below = if bin == from { beyond } else { self.tail_probability(end_of(bin - 1)) };
             let share = chance * (below - above).max(0.0) / beyond;
             self.bins[bin] += share;
             self.total += share;
@@ -93,7 +93,7 @@
     }
 
     /// The share of answers that take longer than so many times what is expected. Never 0.
-    pub fn longer(&self, times: f64) -> f64 {
+    pub fn tail_probability(&self, times: f64) -> f64 {
         let bin = bin_of(times);
         let above: f64 = self.bins[bin + 1..].iter().sum();
         let start = if bin == 0 { 0.0 } else { end_of(bin - 1) };
@@ -103,8 +103,8 @@
     }
 
     /// The multiple at which an attempt is overdue.
-    pub fn overdue(&self) -> f64 {
-        (0..BINS).map(end_of).find(|times| self.longer(*times) < OVERDUE).unwrap_or(f64::INFINITY)
+    pub fn overdue_multiple(&self) -> f64 {
+        (0..BINS).map(end_of).find(|times| self.tail_probability(*times) < OVERDUE).unwrap_or(f64::INFINITY)
     }
 }
 
@@ -124,22 +124,22 @@
 
 impl UnresponsiveRate {
     /// An attempt has ended, on a server that was silent with such a chance.
-    pub fn met(&mut self, chance: f64) {
+    pub fn record_attempt(&mut self, chance: f64) {
         self.share += SMOOTH * (chance - self.share);
     }
 
     /// An answer took so many times what was expected, or more than that.
-    pub fn took(&mut self, times: f64) {
+    pub fn record_latency(&mut self, times: f64) {
         self.crowd += CROWD * (times.min(MOST_CROWD) - self.crowd);
     }
 
     /// How many times what is expected answers take of late.
-    pub fn crowd(&self) -> f64 {
+    pub fn slowdown(&self) -> f64 {
         self.crowd.max(1.0)
     }
 
     /// For one more.
-    pub fn share(&self) -> f64 {
+    pub fn rate(&self) -> f64 {
         self.share.clamp(RARELY, MOSTLY)
     }
 }
@@ -148,59 +148,66 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct AttemptEvidence {
     /// What was expected, as far as is known now.
-    pub wait: f64,
+    pub expected: f64,
     /// The share of answers that take longer than what others on the same server wait for, one for each request that it
     /// works on at once: 1 where none is.
-    pub others: f64,
+    pub others_tail_probability: f64,
     /// How often servers are silent, and how often this one fails.
-    pub silence: f64,
-    pub failing: f64,
+    pub unresponsive_rate: f64,
+    pub failure_rate: f64,
     /// How many times what is expected answers take of late, wherever they come from.
-    pub crowd: f64,
+    pub slowdown: f64,
     /// Whether it has answered anybody since, and whether it leaves a probe unanswered.
-    pub answers: bool,
-    pub no_probe: bool,
+    pub answered_since: bool,
+    pub probe_unanswered: bool,
 }
 
 impl AttemptEvidence {
     /// Whether anything speaks against its server when an attempt is out for so long. Its own time alone is hardly evidence,
     /// for who gives up by it never learns that an answer would have come.
     pub fn is_suspect(&self, out: f64) -> bool {
-        let long = out >= SUSPECT_TIMES * self.crowd * self.wait;
-        let known = self.no_probe || self.failing >= SUSPECT_FAILS || self.others <= SUSPECT_WAITS;
-        !self.answers && (known || long)
+        let long = out >= SUSPECT_TIMES * self.slowdown * self.expected;
+        let known = self.probe_unanswered
+            || self.failure_rate >= SUSPECT_FAILS
+            || self.others_tail_probability <= SUSPECT_WAITS;
+        !self.answered_since && (known || long)
     }
 
     /// The chance that its server is silent, when an attempt is out for so long.
-    pub fn silent(&self, law: &LatencyHistogram, out: f64) -> f64 {
+    pub fn unresponsive_probability(&self, law: &LatencyHistogram, out: f64) -> f64 {
         if !self.is_suspect(out) {
             return 0.0;
         }
-        let prior = (self.silence + self.failing).min(MOSTLY);
-        let prior = prior * if self.answers { ANSWERS } else { 1.0 };
-        let silent = prior * if self.no_probe { NO_PROBE } else { 1.0 };
-        let at_work = (1.0 - prior) * law.longer(out / self.wait / self.crowd) * self.others;
+        let prior = (self.unresponsive_rate + self.failure_rate).min(MOSTLY);
+        let prior = prior * if self.answered_since { ANSWERS } else { 1.0 };
+        let silent = prior * if self.probe_unanswered { NO_PROBE } else { 1.0 };
+        let at_work = (1.0 - prior)
+            * law.tail_probability(out / self.expected / self.slowdown)
+            * self.others_tail_probability;
         silent / (silent + at_work)
     }
 
     /// How much likelier an answer in the time that is left is elsewhere, where it is expected after `elsewhere`, than here.
-    pub fn gain(&self, law: &LatencyHistogram, out: f64, left: f64, elsewhere: f64) -> f64 {
+    pub fn retry_gain(&self, law: &LatencyHistogram, out: f64, left: f64, elsewhere: f64) -> f64 {
         if left <= 0.0 || !self.is_suspect(out) {
             return 0.0;
         }
-        let silent = self.silent(law, out);
-        let now = law.longer(out / self.wait);
-        let here = (1.0 - silent) * (1.0 - law.longer((out + left) / self.wait) / now);
-        let at_best = (1.0 - self.silence) * (1.0 - law.longer(left / elsewhere));
+        let silent = self.unresponsive_probability(law, out);
+        let now = law.tail_probability(out / self.expected);
+        let here = (1.0 - silent) * (1.0 - law.tail_probability((out + left) / self.expected) / now);
+        let at_best = (1.0 - self.unresponsive_rate) * (1.0 - law.tail_probability(left / elsewhere));
         // One that is long by itself has as much before it elsewhere as it has behind it here.
-        let again =
-            if left / elsewhere > out / self.wait { 1.0 - law.longer(left / elsewhere) / now } else { 0.0 };
+        let again = if left / elsewhere > out / self.expected {
+            1.0 - law.tail_probability(left / elsewhere) / now
+        } else {
+            0.0
+        };
         silent * at_best + (1.0 - silent) * again.clamp(0.0, 1.0) - here
     }
 
     /// When an attempt that goes on for so long already is to be looked at: as soon as going elsewhere gains more than it
     /// costs, if nothing else is heard till then. `until` is when an answer is worth nothing any more.
-    pub fn look_at(
+    pub fn next_check(
         &self,
         law: &LatencyHistogram,
         out: f64,
@@ -208,9 +215,9 @@
         elsewhere: f64,
         cost: f64,
     ) -> Option<f64> {
-        let next = (out * STEP).max(FIRST * self.wait);
+        let next = (out * STEP).max(FIRST * self.expected);
         let times = std::iter::successors(Some(next), |out| Some(out * STEP)).take(BINS);
-        times.take_while(|at| *at < until).find(|at| self.gain(law, *at, until - *at, elsewhere) > cost)
+        times.take_while(|at| *at < until).find(|at| self.retry_gain(law, *at, until - *at, elsewhere) > cost)
     }
 }
 
@@ -222,7 +229,7 @@
 
     fn learnt(mut draw: impl FnMut(&mut Rand64) -> f64) -> LatencyHistogram {
         let (mut law, mut rng) = (LatencyHistogram::default(), Rand64::new(9));
-        (0..5_000).for_each(|_| law.answered(draw(&mut rng)));
+        (0..5_000).for_each(|_| law.record_answer(draw(&mut rng)));
         law
     }
 
@@ -236,19 +243,19 @@
     }
 
     const CALM: AttemptEvidence = AttemptEvidence {
-        wait: 30.0,
-        others: 1.0,
-        silence: 0.0,
-        failing: 0.0,
-        crowd: 1.0,
-        answers: false,
-        no_probe: false,
+        expected: 30.0,
+        others_tail_probability: 1.0,
+        unresponsive_rate: 0.0,
+        failure_rate: 0.0,
+        slowdown: 1.0,
+        answered_since: false,
+        probe_unanswered: false,
     };
 
     /// On a server that has failed before.
     fn first_look(law: &LatencyHistogram, silence: f64) -> Option<f64> {
-        AttemptEvidence { silence, failing: 0.2, ..CALM }
-            .look_at(law, 0.0, 250.0, 30.0, 0.1)
+        AttemptEvidence { unresponsive_rate: silence, failure_rate: 0.2, ..CALM }
+            .next_check(law, 0.0, 250.0, 30.0, 0.1)
             .map(|at| at / 30.0)
     }
 
@@ -256,11 +263,11 @@
     fn a_law_tells_the_share_that_takes_longer() {
         let law = learnt(exponential);
         for times in [0.5f64, 1.0, 2.0, 4.0] {
-            let (told, true_share) = (law.longer(times), (-times).exp());
+            let (told, true_share) = (law.tail_probability(times), (-times).exp());
             assert!((told / true_share - 1.0).abs() < 0.25, "{times}: {told} of {true_share}");
         }
-        assert!(LatencyHistogram::default().longer(1e9) > 0.0, "nothing is impossible");
-        assert!((law.longer(0.0) - 1.0).abs() < 1e-9, "{}", law.longer(0.0));
+        assert!(LatencyHistogram::default().tail_probability(1e9) > 0.0, "nothing is impossible");
+        assert!((law.tail_probability(0.0) - 1.0).abs() < 1e-9, "{}", law.tail_probability(0.0));
     }
 
     /// On a suspect server patience ends sooner under a light tail than under a heavy one, and where more servers hang.
@@ -278,14 +285,14 @@
     #[test]
     fn time_alone_is_no_evidence() {
         let law = learnt(exponential);
-        let alone = AttemptEvidence { silence: MOSTLY, ..CALM };
-        assert_eq!(alone.silent(&law, 11.0 * 30.0), 0.0);
-        assert!(alone.silent(&law, 13.0 * 30.0) > 0.9, "nobody waits for ever");
-        assert_eq!(alone.look_at(&law, 0.0, 250.0, 30.0, 0.1), None);
-        let suspect = AttemptEvidence { no_probe: true, ..alone };
-        assert!(suspect.silent(&law, 150.0) > 0.9);
-        let crowded = AttemptEvidence { crowd: 10.0, silence: RARELY, ..suspect };
-        assert!(crowded.silent(&law, 150.0) < 0.1, "all answers take as long");
+        let alone = AttemptEvidence { unresponsive_rate: MOSTLY, ..CALM };
+        assert_eq!(alone.unresponsive_probability(&law, 11.0 * 30.0), 0.0);
+        assert!(alone.unresponsive_probability(&law, 13.0 * 30.0) > 0.9, "nobody waits for ever");
+        assert_eq!(alone.next_check(&law, 0.0, 250.0, 30.0, 0.1), None);
+        let suspect = AttemptEvidence { probe_unanswered: true, ..alone };
+        assert!(suspect.unresponsive_probability(&law, 150.0) > 0.9);
+        let crowded = AttemptEvidence { slowdown: 10.0, unresponsive_rate: RARELY, ..suspect };
+        assert!(crowded.unresponsive_probability(&law, 150.0) < 0.1, "all answers take as long");
     }
 
     /// Guards against work done twice in a rush: queues differ, and who runs from each longer one to a shorter one leaves
@@ -293,23 +300,32 @@
     #[test]
     fn a_longer_queue_is_no_reason_to_run() {
         let law = learnt(exponential);
-        let behind = AttemptEvidence { wait: 300.0, ..CALM };
-        assert!(AttemptEvidence { no_probe: true, ..behind }.gain(&law, 30.0, 250.0, 30.0) > 0.2);
-        assert_eq!(behind.gain(&law, 30.0, 250.0, 30.0), 0.0);
-        assert_eq!(behind.look_at(&law, 0.0, 250.0, 30.0, 0.1), None);
+        let behind = AttemptEvidence { expected: 300.0, ..CALM };
+        assert!(
+            AttemptEvidence { probe_unanswered: true, ..behind }.retry_gain(&law, 30.0, 250.0, 30.0) > 0.2
+        );
+        assert_eq!(behind.retry_gain(&law, 30.0, 250.0, 30.0), 0.0);
+        assert_eq!(behind.next_check(&law, 0.0, 250.0, 30.0, 0.1), None);
     }
 
     #[test]
     fn each_piece_of_evidence_moves_the_chance_its_way() {
         let law = learnt(exponential);
-        let plain = AttemptEvidence { silence: 0.02, failing: SUSPECT_FAILS, ..CALM };
-        let chance = |evidence: AttemptEvidence| evidence.silent(&law, 60.0);
-        assert!(chance(AttemptEvidence { answers: true, ..plain }) < 0.2 * chance(plain));
-        assert!(chance(AttemptEvidence { no_probe: true, ..plain }) > chance(plain));
-        assert!(chance(AttemptEvidence { failing: 0.6, ..plain }) > chance(plain));
-        assert!(chance(AttemptEvidence { others: 0.05, ..plain }) > chance(plain));
-        assert!(chance(AttemptEvidence { wait: 90.0, ..plain }) < 0.7 * chance(plain), "a queue explains it");
-        assert_eq!(chance(AttemptEvidence { failing: 0.0, ..plain }), 0.0, "nothing else speaks against it");
+        let plain = AttemptEvidence { unresponsive_rate: 0.02, failure_rate: SUSPECT_FAILS, ..CALM };
+        let chance = |evidence: AttemptEvidence| evidence.unresponsive_probability(&law, 60.0);
+        assert!(chance(AttemptEvidence { answered_since: true, ..plain }) < 0.2 * chance(plain));
+        assert!(chance(AttemptEvidence { probe_unanswered: true, ..plain }) > chance(plain));
+        assert!(chance(AttemptEvidence { failure_rate: 0.6, ..plain }) > chance(plain));
+        assert!(chance(AttemptEvidence { others_tail_probability: 0.05, ..plain }) > chance(plain));
+        assert!(
+            chance(AttemptEvidence { expected: 90.0, ..plain }) < 0.7 * chance(plain),
+            "a queue explains it"
+        );
+        assert_eq!(
+            chance(AttemptEvidence { failure_rate: 0.0, ..plain }),
+            0.0,
+            "nothing else speaks against it"
+        );
     }
 
     /// Guards against a circle: who gives long ones up sees none, and takes all long ones for lost.
@@ -318,10 +334,10 @@
         let (mut law, mut rng) = (LatencyHistogram::default(), Rand64::new(4));
         for _ in 0..20_000 {
             let times = pareto(&mut rng);
-            if times < 3.0 { law.answered(times) } else { law.given_up(3.0, 1.0) }
+            if times < 3.0 { law.record_answer(times) } else { law.record_abandoned(3.0, 1.0) }
         }
-        let (told, true_share) = (law.longer(3.0), (1.1 / 2.1 / 3.0f64).powf(2.1));
+        let (told, true_share) = (law.tail_probability(3.0), (1.1 / 2.1 / 3.0f64).powf(2.1));
         assert!((told / true_share - 1.0).abs() < 0.3, "{told} of {true_share}");
-        assert!(law.longer(6.0) > 0.05 * true_share, "and some of them take twice as long");
+        assert!(law.tail_probability(6.0) > 0.05 * true_share, "and some of them take twice as long");
     }
 }
--- a/crates/decide/src/balancer.rs
+++ b/crates/decide/src/balancer.rs
@@ -12,10 +12,10 @@
 use crate::api::*;
 use crate::attempt_timeout::AttemptEvidence;
 use crate::check_schedule::{self, CheckSchedule};
-use crate::cross_zone::{CrossZone, CrossZoneAttempt};
+use crate::cross_zone::{CrossZoneAttempt, CrossZoneBudget};
 use crate::estimates::{ClassEstimates, Estimates};
 use crate::fleet::{CandidateSampler, CandidateScope, Fleet, Slot};
-use crate::latency_outlier::MUTE;
+use crate::latency_outlier::UNRESPONSIVE_MULTIPLE;
 use crate::outlier_ejection;
 use crate::probe_budget::ProbeBudget;
 use crate::reports::{self, learn_kappa, learn_kind, settled_after, sound_in_flight};
@@ -85,7 +85,7 @@
     pub(crate) rng: Rand64,
     pub(crate) now: Millis,
     /// What limits traffic that leaves the zone, if anything does.
-    pub(crate) cross_zone_budget: Option<Box<dyn CrossZone>>,
+    pub(crate) cross_zone_budget: Option<Box<dyn CrossZoneBudget>>,
     pub(crate) requests: FxHashMap<RequestId, PendingRequest>,
     pub(crate) upstreams: Fleet,
     /// Sends that have not ended: their number in the books of their server. And the next number.
@@ -150,10 +150,10 @@
                 self.arrived(request, PendingRequest::new(class, tenant, self.now, time_left.max(0.0)), out)
             }
             Event::UploadProgress { request, attempt, in_progress } => {
-                self.upload(request, attempt, in_progress)
+                self.track_upload(request, attempt, in_progress)
             }
             Event::AttemptFinished(end) => {
-                self.upload(end.request, end.attempt, false);
+                self.track_upload(end.request, end.attempt, false);
                 self.settle(end, out);
                 self.finished(end, out);
             }
@@ -171,18 +171,18 @@
             Event::ListReceived(news) => self.listed(news, out),
             Event::SidecarCountChanged(count) => {
                 self.settings.sidecars = count;
-                self.cross_zone_budget.iter_mut().for_each(|plan| plan.sidecars(self.now, count));
+                self.cross_zone_budget.iter_mut().for_each(|plan| plan.set_sidecar_count(self.now, count));
             }
             Event::TimerFired(0) if self.discovery_calls.begin_call(self.now) => out.push(Action::Subscribe),
-            Event::TimerFired(check_schedule::TOKEN) => {
-                self.check_schedule.woke();
-                while let Some(request) = self.check_schedule.next(self.now) {
-                    self.look_after(request, out);
+            Event::TimerFired(check_schedule::TIMER_TOKEN) => {
+                self.check_schedule.timer_fired();
+                while let Some(request) = self.check_schedule.pop_due(self.now) {
+                    self.check_attempt(request, out);
                 }
             }
             Event::TimerFired(token) => self.resume(token, out),
         }
-        self.check_schedule.arm(out);
+        self.check_schedule.arm_timer(out);
     }
 
     fn arrived(&mut self, request: RequestId, held: PendingRequest, out: &mut Vec<Action>) {
@@ -232,7 +232,7 @@
         class.refused += SMOOTH_ALL * (refused - class.refused);
         let by_use = chosen.map(|[a, b]| if b.projected_load < a.projected_load { [b, a] } else { [a, b] });
         let taker = by_use.into_iter().flatten().find(|c| self.admits(c, &held, again));
-        let other = |_| self.warm_one(&held).or_else(|| self.cold_one(&held));
+        let other = |_| self.select_warm(&held).or_else(|| self.cold_one(&held));
         match taker.or_else(|| chosen.and_then(other)) {
             Some(chosen) => self.send(request, chosen, out),
             None => self.give_up(request, out),
@@ -342,7 +342,7 @@
 
     pub(crate) fn watch_no_more(&mut self, request: RequestId) {
         if let Some(held) = self.requests.get_mut(&request) {
-            self.check_schedule.set(request, held.check_at.take(), None);
+            self.check_schedule.reschedule(request, held.check_at.take(), None);
         }
     }
 
@@ -365,7 +365,7 @@
         let spare = aim_left > 2.0 * HOLD_FOR * self.settings.classes[held.class.0].aim;
         // With roughly exponential answer times one expected at `wait` misses its aim with probability
         // exp(-aim/wait): while that is below the fee, crossing does not pay.
-        let terms = self.cross_zone_budget.as_ref().map(|plan| plan.terms(self.now, held.class));
+        let terms = self.cross_zone_budget.as_ref().map(|plan| plan.cross_zone_cost(self.now, held.class));
         let limit = |fee: f64| if fee > 0.0 { aim_left / (1.0 / fee).ln().max(1.0) } else { 0.0 };
         let service = self.estimates.service[held.class.0].time;
         let soon = self.estimates.probe_time.is_none_or(|time| time <= HOLD_WORTH * service);
@@ -381,8 +381,8 @@
                 && spare
                 && soon,
             max_wait: self.room(held) * aim_left * if held.probe_waits > 0 { HELD_ROOM } else { 1.0 },
-            same_zone_limit: limit(terms.map_or(self.settings.cross_zone_cost, |terms| terms.fee)),
-            failing: terms.map_or(1.0, |terms| terms.bend_at),
+            same_zone_limit: limit(terms.map_or(self.settings.cross_zone_cost, |terms| terms.cost)),
+            failing: terms.map_or(1.0, |terms| terms.exemption_threshold),
         }
     }
 
@@ -407,7 +407,7 @@
             awaits_probe: view.may_wait_for_probe && self.now - upstream.reported_at > view.max_report_age,
             // One that has just failed this request is the likeliest to fail it again.
             healthy: self.takes_part(upstream)
-                && !self.outages.is_out(upstream.zone)
+                && !self.outages.is_unreachable(upstream.zone)
                 && held.attempts.iter().all(|t| t.upstream != id),
             projected_load: (in_flight + 1.0) / kappa * slowness,
             depth,
@@ -497,17 +497,17 @@
     /// pair that was drawn before.
     fn draw(&mut self, held: &PendingRequest, out: &mut Vec<Action>) -> Option<([Candidate; 2], bool)> {
         self.know();
-        self.ask_zones(out);
+        self.probe_unreachable_zones(out);
         let reach = self.reach(held)?;
         let view = self.view(held);
         let before = self.asked_for(held, &view);
         let inside = reach.inside();
         let near =
             if before.is_none() && held.probe_waits == 0 { self.near(inside, held, &view) } else { None };
-        let mut pair = before.or(near).or_else(|| self.open(inside, held, &view));
+        let mut pair = before.or(near).or_else(|| self.select_pair(inside, held, &view));
         if pair.is_none() && inside != reach && self.upstreams.size(reach) != self.upstreams.size(inside) {
             // A refusal is honest only after a look outside; what is found there widens the subset.
-            pair = self.open(reach, held, &SelectionContext { outside: true, ..view });
+            pair = self.select_pair(reach, held, &SelectionContext { outside: true, ..view });
             if pair.is_some() {
                 self.subset_size.widen();
             }
@@ -558,7 +558,7 @@
             }
         };
         let fits = |c: &Candidate| c.healthy && view.has_room(c) && c.wait <= limit(c);
-        let suits = |c: &Candidate| fits(c) && self.still_pays(held, c);
+        let suits = |c: &Candidate| fits(c) && self.is_still_allowed(held, c);
         let again = |id| {
             self.look(self.upstreams.slot(id)?, held, view).filter(|c| self.is_serving(c.id) && suits(c))
         };
@@ -635,7 +635,7 @@
         };
         let near = if view.same_zone_limit != 0.0 {
             // Where nothing pays for a crossing, the near ones are drawn from as long as one has room.
-            let stays = self.stays(held.class);
+            let stays = self.is_confined_to_zone(held.class);
             self.count(zone, held, &view, |c| view.suits_near(c) || stays && c.same_zone && view.has_room(c))
         } else {
             0.0
@@ -681,7 +681,7 @@
             due
         };
         if self.upstreams.change(id, ask) == Some(true) {
-            self.tell_probed(id);
+            self.notify_budget_of_probe(id);
             self.probe_budget.spend();
             out.push(Action::Probe(id));
         }
@@ -690,16 +690,17 @@
     fn send(&mut self, request: RequestId, to: Candidate, out: &mut Vec<Action>) {
         let Some(held) = self.requests.get(&request) else { return };
         let left = (held.deadline - self.now).max(0.0);
-        let first = AttemptEvidence { wait: to.wait, failing: to.failure_rate, ..self.no_evidence() };
+        let first =
+            AttemptEvidence { expected: to.wait, failure_rate: to.failure_rate, ..self.baseline_evidence() };
         let look = self
-            .may_go_on(held, held.attempts.len() + 1)
-            .then(|| self.next_look(held, &first, 0.0))
+            .may_retry(held, held.attempts.len() + 1)
+            .then(|| self.next_check_after(held, &first, 0.0))
             .flatten();
         // Who may not call an attempt off has to know beforehand.
         let (timeout, look) = match self.settings.limits.cancel {
             true => (left, look),
-            false if self.may_go_on(held, held.attempts.len() + 1) => {
-                (self.timeout(held, to).min(left), None)
+            false if self.may_retry(held, held.attempts.len() + 1) => {
+                (self.attempt_timeout(held, to).min(left), None)
             }
             false => (left, None),
         };
@@ -719,15 +720,15 @@
             held.attempts.push(this);
             let pair = held.pair.take();
             held.check_at = look.map(|after| sent + after);
-            self.check_schedule.set(request, None, held.check_at);
+            self.check_schedule.reschedule(request, None, held.check_at);
             self.wait_no_more(request, pair);
         }
-        self.tell_sent(CrossZoneAttempt {
+        self.notify_budget_of_attempt(CrossZoneAttempt {
             request,
             number: attempt,
             class,
             to: zone,
-            bend: to.exemption.or(held_bend),
+            exemption: to.exemption.or(held_bend),
         });
         out.push(Action::Send { request, upstream: to.id, timeout });
     }
@@ -738,7 +739,7 @@
         let Some(held) = self.requests.get_mut(&request) else { return };
         let Some(this) = held.attempts.get_mut(end.attempt.0 as usize).filter(|t| t.out) else { return };
         this.out = false;
-        self.check_schedule.set(request, held.check_at.take(), None);
+        self.check_schedule.reschedule(request, held.check_at.take(), None);
         // A jam once fed itself: answers that servers were full came soon, and made room as if in time.
         let full = outcome == Outcome::Full;
         let late = full || self.now > held.arrived + self.settings.classes[held.class.0].aim;
@@ -784,30 +785,32 @@
         let given_up = given_up.is_some_and(|this| this.abandoned) && outcome == Outcome::Cancelled;
         let unanswered = given_up || outcome == Outcome::TimedOut;
         let known = self.upstreams.get(id).filter(|_| unanswered).and_then(|upstream| {
-            Some(self.evidence_of(upstream, number, &upstream.outstanding.get(number)?))
+            Some(self.gather_evidence(upstream, number, &upstream.outstanding.get(number)?))
         });
         let Some(sent) = self.upstreams.change(id, |upstream| upstream.take(number)).flatten() else {
             return;
         };
-        self.tell_of_zone(id, outcome);
+        self.record_zone_outcome(id, outcome);
         self.carried(id, &sent, outcome);
         let law = &mut self.estimates.service[sent.class.0].latencies;
-        let silent = known.map_or(0.0, |known| known.silent(law, latency));
-        let mute = known.is_some_and(|known| !known.answers && latency >= MUTE * known.crowd * known.wait);
+        let silent = known.map_or(0.0, |known| known.unresponsive_probability(law, latency));
+        let mute = known.is_some_and(|known| {
+            !known.answered_since && latency >= UNRESPONSIVE_MULTIPLE * known.slowdown * known.expected
+        });
         match outcome {
             Outcome::Ok => {
-                law.answered(latency / sent.wait);
-                self.estimates.unresponsive.took(latency / sent.wait);
-                self.estimates.unresponsive.met(0.0);
+                law.record_answer(latency / sent.wait);
+                self.estimates.unresponsive.record_latency(latency / sent.wait);
+                self.estimates.unresponsive.record_attempt(0.0);
                 self.learn(id, sent, latency, true);
             }
             Outcome::Cancelled if !given_up => {}
             Outcome::TimedOut | Outcome::Cancelled => {
-                law.given_up(latency / sent.wait, 1.0 - silent);
+                law.record_abandoned(latency / sent.wait, 1.0 - silent);
                 if silent < SILENT {
-                    self.estimates.unresponsive.took(latency / sent.wait);
+                    self.estimates.unresponsive.record_latency(latency / sent.wait);
                 }
-                self.estimates.unresponsive.met(silent);
+                self.estimates.unresponsive.record_attempt(silent);
                 self.learn(id, sent, latency, false);
             }
             _ => {}
@@ -870,7 +873,7 @@
     fn probed(&mut self, id: UpstreamId, answered: bool, report: Option<Report>, out: &mut Vec<Action>) {
         self.heard(id, answered, report);
         if answered {
-            self.hear_from(id);
+            self.record_server_contact(id);
         }
         let heard = |id: &UpstreamId| self.upstreams.get(*id).is_none_or(|u| u.probe_sent.is_none());
         let ready = |request: &RequestId| {
@@ -947,16 +950,16 @@
     fn listed(&mut self, news: ListUpdate, out: &mut Vec<Action>) {
         let must_ask = matches!(news, ListUpdate::Unavailable | ListUpdate::Restored(_));
         if !must_ask {
-            self.discovery_calls.answered();
+            self.discovery_calls.record_answer();
         }
         match news {
             // Who is missing from a complete list is gone.
             ListUpdate::Restored(list) | ListUpdate::Complete(list) => {
                 self.upstreams.begin_list();
-                list.iter().for_each(|entry| self.list(entry));
+                list.iter().for_each(|entry| self.apply_listing(entry));
                 self.upstreams.end_list();
             }
-            ListUpdate::Changed(list) => list.iter().for_each(|entry| self.list(entry)),
+            ListUpdate::Changed(list) => list.iter().for_each(|entry| self.apply_listing(entry)),
             ListUpdate::Unavailable => out.push(Action::Log("server list unavailable".to_owned())),
         }
         if self.estimates.kinds.len() > KINDS {
@@ -965,7 +968,7 @@
         let Discovery::Subscribed { must_ask_in } = self.settings.discovery else { return };
         if must_ask {
             let luck = self.rng.rand_float();
-            let at = self.discovery_calls.next_call(self.now, must_ask_in, luck);
+            let at = self.discovery_calls.schedule_call(self.now, must_ask_in, luck);
             out.extend(at.map(|at| Action::SetTimer { at, token: 0 }));
         }
     }
--- a/crates/decide/src/check_schedule.rs
+++ b/crates/decide/src/check_schedule.rs
@@ -6,7 +6,7 @@
 use crate::fleet::Due;
 
 /// The token of its timer. Those of requests that wait for probes are smaller but for one in 2^62.
-pub(crate) const TOKEN: u64 = u64::MAX >> 1;
+pub(crate) const TIMER_TOKEN: u64 = u64::MAX >> 1;
 
 /// A timer may go off so much before its time as it was told: times are kept in whole microseconds.
 const ROUNDING: Millis = 0.002;
@@ -21,7 +21,7 @@
 
 impl CheckSchedule {
     /// Changes when a request is looked at.
-    pub fn set(&mut self, request: RequestId, before: Option<Millis>, at: Option<Millis>) {
+    pub fn reschedule(&mut self, request: RequestId, before: Option<Millis>, at: Option<Millis>) {
         if let Some(before) = before {
             self.due.remove(&(Due::at(before), request));
         }
@@ -29,24 +29,24 @@
     }
 
     /// The timer has gone off.
-    pub fn woke(&mut self) {
+    pub fn timer_fired(&mut self) {
         self.armed = None;
     }
 
     /// One that is due.
-    pub fn next(&mut self, now: Millis) -> Option<RequestId> {
+    pub fn pop_due(&mut self, now: Millis) -> Option<RequestId> {
         let due = *self.due.first().filter(|(due, _)| *due <= Due::at(now + ROUNDING))?;
         self.due.remove(&due);
         Some(due.1)
     }
 
     /// Has the timer set where none goes off in time.
-    pub fn arm(&mut self, out: &mut Vec<Action>) {
+    pub fn arm_timer(&mut self, out: &mut Vec<Action>) {
         let Some((due, _)) = self.due.first().filter(|(due, _)| self.armed.is_none_or(|at| *due < at)) else {
             return;
         };
         self.armed = Some(*due);
-        out.push(Action::SetTimer { at: due.millis(), token: TOKEN });
+        out.push(Action::SetTimer { at: due.millis(), token: TIMER_TOKEN });
     }
 
     /// How many are watched.
@@ -64,19 +64,22 @@
     fn one_timer_serves_all_and_what_ended_is_not_looked_at() {
         let (mut watch, mut out) = (CheckSchedule::default(), Vec::new());
         for id in 1..=9 {
-            watch.set(RequestId(id), None, Some(100.0 - id as f64));
-            watch.arm(&mut out);
+            watch.reschedule(RequestId(id), None, Some(100.0 - id as f64));
+            watch.arm_timer(&mut out);
         }
         assert_eq!(out.len(), 9, "each was due before all others");
         out.clear();
-        watch.set(RequestId(9), Some(91.0), None);
-        watch.set(RequestId(10), None, Some(99.5));
-        watch.arm(&mut out);
+        watch.reschedule(RequestId(9), Some(91.0), None);
+        watch.reschedule(RequestId(10), None, Some(99.5));
+        watch.arm_timer(&mut out);
         assert!(out.is_empty(), "the timer that is set comes first");
-        watch.woke();
-        assert_eq!((watch.next(91.0), watch.next(92.0), watch.next(92.0)), (None, Some(RequestId(8)), None));
-        watch.arm(&mut out);
-        assert_eq!(out, [Action::SetTimer { at: 93.0, token: TOKEN }]);
+        watch.timer_fired();
+        assert_eq!(
+            (watch.pop_due(91.0), watch.pop_due(92.0), watch.pop_due(92.0)),
+            (None, Some(RequestId(8)), None)
+        );
+        watch.arm_timer(&mut out);
+        assert_eq!(out, [Action::SetTimer { at: 93.0, token: TIMER_TOKEN }]);
         assert_eq!(watch.len(), 8);
     }
 }
--- a/crates/decide/src/cross_zone.rs
+++ b/crates/decide/src/cross_zone.rs
@@ -43,9 +43,9 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CrossZoneCost {
     /// A request stays near while it loses less than this by it. Grows as the budget is used up.
-    pub fee: f64,
+    pub cost: f64,
     /// Without a budget it stays while it loses less than this, or would win less than this across.
-    pub bend_at: f64,
+    pub exemption_threshold: f64,
 }
 
 /// An attempt that goes out.
@@ -60,28 +60,28 @@
     /// Where it goes.
     pub to: ZoneId,
     /// Why it crosses without a budget; `None` if it stays or a budget pays.
-    pub bend: Option<BudgetExemption>,
+    pub exemption: Option<BudgetExemption>,
 }
 
 /// A plan for traffic that leaves the sidecar's zone. Its owner may find out which one it is. It has no clock and does no I/O; times only move forward.
-pub trait CrossZone: Any + Debug + Send {
+pub trait CrossZoneBudget: Any + Debug + Send {
     /// There are so many sidecars from now on, this one included.
-    fn sidecars(&mut self, now: Millis, count: u32);
+    fn set_sidecar_count(&mut self, now: Millis, count: u32);
 
     /// What a crossing costs a request of this class.
-    fn terms(&self, now: Millis, class: ClassId) -> CrossZoneCost;
+    fn cross_zone_cost(&self, now: Millis, class: ClassId) -> CrossZoneCost;
 
     /// Whether a budget pays for one more crossing, to this zone or (`None`) to any that has no budget of its own.
-    fn pays(&self, now: Millis, class: ClassId, to: Option<ZoneId>) -> bool;
+    fn has_budget(&self, now: Millis, class: ClassId, to: Option<ZoneId>) -> bool;
 
     /// Whether a request may cross without a budget for this reason.
-    fn bends(&self, why: BudgetExemption) -> bool;
+    fn allows_exemption(&self, why: BudgetExemption) -> bool;
 
     /// An attempt goes out, near or far.
-    fn sent(&mut self, now: Millis, attempt: CrossZoneAttempt);
+    fn attempt_sent(&mut self, now: Millis, attempt: CrossZoneAttempt);
 
     /// It has ended so, with so many bytes of bodies: sent, received.
-    fn ended(
+    fn attempt_ended(
         &mut self,
         now: Millis,
         request: RequestId,
@@ -91,7 +91,7 @@
     );
 
     /// A probe goes out to this zone.
-    fn probed(&mut self, to: ZoneId);
+    fn probe_sent(&mut self, to: ZoneId);
 }
 
 /// The share of its worth that a request is expected to lose at a server, with so much time left: an answer that is
@@ -108,17 +108,17 @@
 impl Balancer {
     /// Puts a plan for traffic that leaves the zone into force, or takes it away. Without one requests cross as
     /// [`Settings::cross_zone_cost`] has it.
-    pub fn set_cross_zone(&mut self, plan: Option<Box<dyn CrossZone>>) {
+    pub fn set_cross_zone_budget(&mut self, plan: Option<Box<dyn CrossZoneBudget>>) {
         self.cross_zone_budget = plan;
     }
 
     /// The plan that is in force, to be told of what only the sidecar sees.
-    pub fn cross_zone(&mut self) -> Option<&mut (dyn CrossZone + 'static)> {
+    pub fn cross_zone_budget_mut(&mut self) -> Option<&mut (dyn CrossZoneBudget + 'static)> {
         self.cross_zone_budget.as_deref_mut()
     }
 
     /// Two with room, wherever the request may go.
-    pub(crate) fn open(
+    pub(crate) fn select_pair(
         &mut self,
         reach: CandidateScope,
         held: &PendingRequest,
@@ -128,29 +128,29 @@
         let Some(plan) = self.cross_zone_budget.take() else {
             return self.anywhere(reach, held, view, |_| true);
         };
-        let pair = self.under_plan(&*plan, reach, held, view);
+        let pair = self.select_pair_within_budget(&*plan, reach, held, view);
         self.cross_zone_budget = Some(plan);
         pair
     }
 
     /// Two with room that a request may go to under the plan, where no near one is so good that the fee decides.
-    fn under_plan(
+    fn select_pair_within_budget(
         &mut self,
-        plan: &dyn CrossZone,
+        plan: &dyn CrossZoneBudget,
         reach: CandidateScope,
         held: &PendingRequest,
         view: &SelectionContext,
     ) -> Option<[Candidate; 2]> {
         let (now, class, left) = (self.now, held.class, self.aim_left(held));
-        let bend_at = plan.terms(now, class).bend_at;
+        let bend_at = plan.cross_zone_cost(now, class).exemption_threshold;
         let home = match reach {
             CandidateScope::All => CandidateScope::Zone(self.settings.zone),
             CandidateScope::Members => CandidateScope::MembersIn(self.settings.zone),
             _ => reach,
         };
-        if plan.pays(now, class, None) {
+        if plan.has_budget(now, class, None) {
             let may = |c: &Candidate| {
-                if c.same_zone { loss(c, left) <= bend_at } else { plan.pays(now, class, Some(c.zone)) }
+                if c.same_zone { loss(c, left) <= bend_at } else { plan.has_budget(now, class, Some(c.zone)) }
             };
             if let Some(pair) = self.anywhere(reach, held, view, may) {
                 return Some(pair);
@@ -173,7 +173,7 @@
             None if healthy => BudgetExemption::Full,
             None => BudgetExemption::Down,
         };
-        if !plan.bends(why) {
+        if !plan.allows_exemption(why) {
             // Rather one that looks bad than no one.
             let any = |c: &Candidate| c.same_zone && view.has_room(c);
             return stay.or_else(|| self.two(home, held, view, true, any));
@@ -191,11 +191,14 @@
 
     /// The better of two warm servers with room, where a pair was cold and neither may be sent more: others may well
     /// have room, near or, where a budget pays or bends, across.
-    pub(crate) fn warm_one(&mut self, held: &PendingRequest) -> Option<Candidate> {
+    pub(crate) fn select_warm(&mut self, held: &PendingRequest) -> Option<Candidate> {
         let (reach, view) = (self.reach(held)?.inside(), self.view(held));
         let (now, class, plan) = (self.now, held.class, self.cross_zone_budget.take());
-        let across =
-            |to| plan.as_ref().is_none_or(|p| p.pays(now, class, Some(to)) || p.bends(BudgetExemption::Full));
+        let across = |to| {
+            plan.as_ref().is_none_or(|p| {
+                p.has_budget(now, class, Some(to)) || p.allows_exemption(BudgetExemption::Full)
+            })
+        };
         let may = |c: &Candidate| c.warm_up_fraction >= 1.0 && (c.same_zone || across(c.zone));
         let pair = self.anywhere(reach, held, &view, may);
         self.cross_zone_budget = plan;
@@ -206,34 +209,37 @@
 
     /// Whether a request may go to a server where all near ones are full.
     pub(crate) fn may_cross(&self, class: ClassId, to: &Candidate) -> bool {
-        let pays = |plan: &dyn CrossZone| {
-            plan.pays(self.now, class, Some(to.zone)) || plan.bends(BudgetExemption::Full)
+        let pays = |plan: &dyn CrossZoneBudget| {
+            plan.has_budget(self.now, class, Some(to.zone)) || plan.allows_exemption(BudgetExemption::Full)
         };
         to.same_zone || self.cross_zone_budget.as_deref().is_none_or(pays)
     }
 
     /// Whether a server that was drawn before may still be sent this request.
-    pub(crate) fn still_pays(&self, held: &PendingRequest, to: &Candidate) -> bool {
+    pub(crate) fn is_still_allowed(&self, held: &PendingRequest, to: &Candidate) -> bool {
         let Some(plan) = self.cross_zone_budget.as_ref().filter(|_| !to.same_zone) else { return true };
-        held.exemption.is_some() || plan.pays(self.now, held.class, Some(to.zone))
+        held.exemption.is_some() || plan.has_budget(self.now, held.class, Some(to.zone))
     }
 
     /// Tells the plan of an attempt. Its bend counts only where no budget pays.
-    pub(crate) fn tell_sent(&mut self, attempt: CrossZoneAttempt) {
+    pub(crate) fn notify_budget_of_attempt(&mut self, attempt: CrossZoneAttempt) {
         let (now, home) = (self.now, self.settings.zone);
         let Some(plan) = &mut self.cross_zone_budget else { return };
-        let pays = attempt.to == home || plan.pays(now, attempt.class, Some(attempt.to));
-        plan.sent(now, CrossZoneAttempt { bend: attempt.bend.filter(|_| !pays), ..attempt });
+        let pays = attempt.to == home || plan.has_budget(now, attempt.class, Some(attempt.to));
+        plan.attempt_sent(
+            now,
+            CrossZoneAttempt { exemption: attempt.exemption.filter(|_| !pays), ..attempt },
+        );
     }
 
     /// Tells it of a probe.
-    pub(crate) fn tell_probed(&mut self, id: UpstreamId) {
+    pub(crate) fn notify_budget_of_probe(&mut self, id: UpstreamId) {
         let zone = self.upstreams.get(id).map(|upstream| upstream.zone);
-        self.cross_zone_budget.iter_mut().zip(zone).for_each(|(plan, zone)| plan.probed(zone));
+        self.cross_zone_budget.iter_mut().zip(zone).for_each(|(plan, zone)| plan.probe_sent(zone));
     }
 
     /// Whether the plan keeps a request of this class in its zone, but for bends.
-    pub(crate) fn stays(&self, class: ClassId) -> bool {
-        self.cross_zone_budget.as_ref().is_some_and(|plan| !plan.pays(self.now, class, None))
+    pub(crate) fn is_confined_to_zone(&self, class: ClassId) -> bool {
+        self.cross_zone_budget.as_ref().is_some_and(|plan| !plan.has_budget(self.now, class, None))
     }
 }
--- a/crates/decide/src/latency_outlier.rs
+++ b/crates/decide/src/latency_outlier.rs
@@ -17,30 +17,30 @@
 /// No more than so many unanswered requests are taken for evidence.
 const WITNESSES: usize = 16;
 /// A server that answered nothing in so many times what answers take of late hangs.
-pub(crate) const MUTE: f64 = 4.0;
+pub(crate) const UNRESPONSIVE_MULTIPLE: f64 = 4.0;
 
 impl Balancer {
     /// Long enough for this attempt, short enough for another to make the aim.
-    pub(crate) fn timeout(&self, held: &PendingRequest, to: Candidate) -> Millis {
+    pub(crate) fn attempt_timeout(&self, held: &PendingRequest, to: Candidate) -> Millis {
         let spare = self.aim_left(held) - RETRY_ROOM * self.estimates.service[held.class.0].time;
-        spare.max(MUTE * self.estimates.unresponsive.crowd() * to.wait)
+        spare.max(UNRESPONSIVE_MULTIPLE * self.estimates.unresponsive.slowdown() * to.wait)
     }
 
-    pub(crate) fn no_evidence(&self) -> AttemptEvidence {
-        let (silence, crowd) = (self.estimates.unresponsive.share(), self.estimates.unresponsive.crowd());
+    pub(crate) fn baseline_evidence(&self) -> AttemptEvidence {
+        let (silence, crowd) = (self.estimates.unresponsive.rate(), self.estimates.unresponsive.slowdown());
         AttemptEvidence {
-            wait: 1.0,
-            others: 1.0,
-            silence,
-            failing: 0.0,
-            crowd,
-            answers: false,
-            no_probe: false,
+            expected: 1.0,
+            others_tail_probability: 1.0,
+            unresponsive_rate: silence,
+            failure_rate: 0.0,
+            slowdown: crowd,
+            answered_since: false,
+            probe_unanswered: false,
         }
     }
 
     /// Whether there may be another attempt after so many, somewhere else.
-    pub(crate) fn may_go_on(&self, held: &PendingRequest, attempts: usize) -> bool {
+    pub(crate) fn may_retry(&self, held: &PendingRequest, attempts: usize) -> bool {
         let class = &self.settings.classes[held.class.0];
         (attempts as u32) < self.settings.limits.max_attempts
             && class.effect != Effect::NonIdempotent
@@ -55,7 +55,7 @@
     }
 
     /// When to look at an attempt that has been out for so long, counted from its start.
-    pub(crate) fn next_look(
+    pub(crate) fn next_check_after(
         &self,
         held: &PendingRequest,
         known: &AttemptEvidence,
@@ -63,16 +63,17 @@
     ) -> Option<Millis> {
         let class = &self.estimates.service[held.class.0];
         let until = out + self.aim_left(held);
-        let gains = known.look_at(&class.latencies, out, until, class.wait, self.cost(held));
+        let gains = known.next_check(&class.latencies, out, until, class.wait, self.cost(held));
         // When it is overdue its server is asked; and now and then from there on there may be more to go by.
-        let again = (LOOKS_APART * out).max(class.latencies.overdue() * known.crowd * known.wait);
+        let again =
+            (LOOKS_APART * out).max(class.latencies.overdue_multiple() * known.slowdown * known.expected);
         let ask = Some(again).filter(|at| *at < until);
         gains.into_iter().chain(ask).reduce(f64::min)
     }
 
     /// Looks at an attempt that takes long: it is given up if elsewhere an answer is likelier in time, else
     /// its server is asked.
-    pub(crate) fn look_after(&mut self, request: RequestId, out: &mut Vec<Action>) {
+    pub(crate) fn check_attempt(&mut self, request: RequestId, out: &mut Vec<Action>) {
         let Some(held) = self.requests.get_mut(&request) else { return };
         held.check_at = None;
         let held = held.clone();
@@ -82,8 +83,8 @@
         let attempt = AttemptNo(number as u32);
         let Some((known, taken)) = self.evidence(request, attempt) else { return };
         let class = &self.estimates.service[held.class.0];
-        let gain = known.gain(&class.latencies, taken, self.aim_left(&held), class.wait);
-        if gain > self.cost(&held) && self.may_go_on(&held, held.attempts.len()) {
+        let gain = known.retry_gain(&class.latencies, taken, self.aim_left(&held), class.wait);
+        if gain > self.cost(&held) && self.may_retry(&held, held.attempts.len()) {
             if let Some(this) = self.requests.get_mut(&request).and_then(|held| held.attempts.get_mut(number))
             {
                 this.abandoned = true;
@@ -91,10 +92,11 @@
             return out.push(Action::Cancel { request, attempt });
         }
         // Never in the same moment again.
-        let look = self.next_look(&held, &known, taken).map(|at| self.now + (at - taken).max(LOOK_AGAIN));
+        let look =
+            self.next_check_after(&held, &known, taken).map(|at| self.now + (at - taken).max(LOOK_AGAIN));
         if let Some(held) = self.requests.get_mut(&request) {
             held.check_at = look;
-            self.check_schedule.set(request, None, look);
+            self.check_schedule.reschedule(request, None, look);
         }
         self.probe(this.upstream, out);
     }
@@ -104,23 +106,25 @@
         let &(number, id) = self.sends.get(&(request, attempt))?;
         let upstream = self.upstreams.get(id)?;
         let this = upstream.outstanding.get(number)?;
-        Some((self.evidence_of(upstream, number, &this), self.now - this.sent))
+        Some((self.gather_evidence(upstream, number, &this), self.now - this.sent))
     }
 
-    pub(crate) fn evidence_of(
+    pub(crate) fn gather_evidence(
         &self,
         upstream: &Upstream,
         number: u64,
         this: &OutstandingSend,
     ) -> AttemptEvidence {
         let longer = |sent: &OutstandingSend| {
-            self.estimates.service[sent.class.0].latencies.longer((self.now - sent.sent) / sent.wait)
+            self.estimates.service[sent.class.0]
+                .latencies
+                .tail_probability((self.now - sent.sent) / sent.wait)
         };
         // A server answers as many at once as it has cores: of those that wait, so many tell for themselves.
         let kappa = self.kappa(upstream);
         let since = upstream
             .outstanding
-            .latest()
+            .iter_newest_first()
             .filter(|(n, sent)| *n != number && sent.sent > upstream.answered_at);
         let mut others: Vec<f64> = since.take(WITNESSES).map(|(_, sent)| longer(sent)).collect();
         others.sort_by(f64::total_cmp);
@@ -135,12 +139,12 @@
         let late =
             |sent: Millis| self.estimates.probe_time.is_some_and(|time| self.now - sent > UNANSWERED * time);
         AttemptEvidence {
-            wait: this.wait.max(now),
-            others,
-            failing: upstream.failure_rate,
-            answers: upstream.answered_at > this.sent,
-            no_probe: upstream.probe_sent.is_some_and(late),
-            ..self.no_evidence()
+            expected: this.wait.max(now),
+            others_tail_probability: others,
+            failure_rate: upstream.failure_rate,
+            answered_since: upstream.answered_at > this.sent,
+            probe_unanswered: upstream.probe_sent.is_some_and(late),
+            ..self.baseline_evidence()
         }
     }
 }
--- a/crates/decide/src/outstanding_sends.rs
+++ b/crates/decide/src/outstanding_sends.rs
@@ -53,7 +53,7 @@
     }
 
     /// The latest first.
-    pub fn latest(&self) -> impl Iterator<Item = (u64, &OutstandingSend)> {
+    pub fn iter_newest_first(&self) -> impl Iterator<Item = (u64, &OutstandingSend)> {
         self.queue.iter().rev().filter_map(|(number, sent)| Some((*number, sent.as_ref()?)))
     }
 }
--- a/crates/decide/src/slow_start.rs
+++ b/crates/decide/src/slow_start.rs
@@ -50,7 +50,7 @@
 
     /// How a server stands for this sidecar.
     pub(crate) fn standing(&self, server: &Upstream) -> WarmUpStatus {
-        if self.outages.is_out(server.zone) {
+        if self.outages.is_unreachable(server.zone) {
             return WarmUpStatus::Out;
         }
         if server.warmth(self.now, &self.settings.slow_start) >= 1.0 {
--- a/crates/decide/src/staleness.rs
+++ b/crates/decide/src/staleness.rs
@@ -42,13 +42,13 @@
 
 impl CallSchedule {
     /// A call was answered, or a watch told something.
-    pub fn answered(&mut self) {
+    pub fn record_answer(&mut self) {
         self.failures = 0;
     }
 
     /// When to call next, unless that stands already. With `luck`, from 0 to 1, all of the jitter is drawn: many may have
     /// restarted or been cut off together, and discovery works through calls in turn.
-    pub fn next_call(&mut self, now: Millis, bound: Millis, luck: f64) -> Option<Millis> {
+    pub fn schedule_call(&mut self, now: Millis, bound: Millis, luck: f64) -> Option<Millis> {
         if std::mem::replace(&mut self.is_pending, true) {
             return None;
         }
--- a/crates/decide/src/state.rs
+++ b/crates/decide/src/state.rs
@@ -285,7 +285,7 @@
     /// The sends that a load asked for now does not surely hold, where `next` is the number of the next one:
     /// the first of them, and how many they are. What goes out in the same moment is one of them.
     pub fn unheard(&self, next: u64, now: Millis) -> (u64, usize) {
-        let late = self.outstanding.latest().take_while(|(_, sent)| sent.sent >= now);
+        let late = self.outstanding.iter_newest_first().take_while(|(_, sent)| sent.sent >= now);
         late.fold((next, 0), |(_, count), (number, _)| (number, count + 1))
     }
 
--- a/crates/decide/src/upload.rs
+++ b/crates/decide/src/upload.rs
@@ -12,7 +12,7 @@
 
 impl Balancer {
     /// Takes an attempt out of the books of its server while its body comes, or puts it back once the last byte is out.
-    pub(crate) fn upload(&mut self, request: RequestId, attempt: AttemptNo, in_progress: bool) {
+    pub(crate) fn track_upload(&mut self, request: RequestId, attempt: AttemptNo, in_progress: bool) {
         let key = (request, attempt);
         let Some(&(number, id)) = self.sends.get(&key) else { return };
         let now = self.now;
--- a/crates/decide/src/zone_outage.rs
+++ b/crates/decide/src/zone_outage.rs
@@ -39,7 +39,7 @@
 
 impl ZoneOutages {
     /// A server of a zone could not be reached.
-    pub fn lost(&mut self, zone: ZoneId, id: UpstreamId, now: Millis) {
+    pub fn record_unreachable(&mut self, zone: ZoneId, id: UpstreamId, now: Millis) {
         let nothing = Zone { lost: Vec::new(), ask_at: now, wait: ASK_AFTER[0] };
         let known = self.zones.entry(zone).or_insert(nothing);
         if !known.is_out() && !known.lost.contains(&id) {
@@ -49,23 +49,23 @@
     }
 
     /// Something came from a zone, or was told of it, that a dead one could not have sent. Whether it was out.
-    pub fn lives(&mut self, zone: ZoneId) -> bool {
+    pub fn record_contact(&mut self, zone: ZoneId) -> bool {
         self.zones.remove(&zone).is_some_and(|known| known.is_out())
     }
 
     /// Whether a zone is out.
-    pub fn is_out(&self, zone: ZoneId) -> bool {
+    pub fn is_unreachable(&self, zone: ZoneId) -> bool {
         self.zones.get(&zone).is_some_and(Zone::is_out)
     }
 
     /// Whether any is.
-    pub fn any(&self) -> bool {
+    pub fn any_unreachable(&self) -> bool {
         self.zones.values().any(Zone::is_out)
     }
 
     /// The zones that are to be asked now. Each is asked again after twice as long, times `luck` between 0.5 and 1: all
     /// sidecars have noticed together.
-    pub fn due(&mut self, now: Millis, luck: f64) -> Vec<ZoneId> {
+    pub fn take_due(&mut self, now: Millis, luck: f64) -> Vec<ZoneId> {
         let out = self.zones.iter_mut().filter(|(_, known)| known.is_out() && known.ask_at <= now);
         let ask = |(zone, known): (&ZoneId, &mut Zone)| {
             known.ask_at = now + known.wait * luck;
@@ -78,29 +78,29 @@
 
 impl Balancer {
     /// Asks a server of each zone that is out whether it is back.
-    pub(crate) fn ask_zones(&mut self, out: &mut Vec<Action>) {
-        if !self.outages.any() {
+    pub(crate) fn probe_unreachable_zones(&mut self, out: &mut Vec<Action>) {
+        if !self.outages.any_unreachable() {
             return;
         }
         let luck = 0.5 + 0.5 * self.rng.rand_float();
-        for zone in self.outages.due(self.now, luck) {
+        for zone in self.outages.take_due(self.now, luck) {
             let mut looks = CandidateSampler::new(&self.upstreams, CandidateScope::Zone(zone), true);
             let slot = looks.next(&mut self.upstreams, &mut self.rng);
             match slot.and_then(|slot| self.upstreams.at(slot)) {
                 Some((id, _)) if self.settings.limits.probes => self.probe(id, out),
                 // Nobody is left to ask, or requests have to ask.
-                _ => self.zone_lives(zone),
+                _ => self.record_zone_contact(zone),
             }
         }
     }
 
     /// An attempt has ended: a sign of life of its server's zone, or the lack of one.
-    pub(crate) fn tell_of_zone(&mut self, id: UpstreamId, outcome: Outcome) {
+    pub(crate) fn record_zone_outcome(&mut self, id: UpstreamId, outcome: Outcome) {
         match outcome {
-            Outcome::Ok | Outcome::Error | Outcome::Full => self.hear_from(id),
+            Outcome::Ok | Outcome::Error | Outcome::Full => self.record_server_contact(id),
             Outcome::Unreachable => {
                 let Some(zone) = self.upstreams.get(id).map(|upstream| upstream.zone) else { return };
-                self.outages.lost(zone, id, self.now);
+                self.outages.record_unreachable(zone, id, self.now);
                 self.upstreams.unsettle();
             }
             Outcome::TimedOut | Outcome::Cancelled | Outcome::Reset | Outcome::NotSent => {}
@@ -108,23 +108,23 @@
     }
 
     /// A server has given a sign of life.
-    pub(crate) fn hear_from(&mut self, id: UpstreamId) {
+    pub(crate) fn record_server_contact(&mut self, id: UpstreamId) {
         if let Some(zone) = self.upstreams.get(id).map(|upstream| upstream.zone) {
-            self.zone_lives(zone);
+            self.record_zone_contact(zone);
         }
     }
 
-    fn zone_lives(&mut self, zone: ZoneId) {
-        if self.outages.lives(zone) {
+    fn record_zone_contact(&mut self, zone: ZoneId) {
+        if self.outages.record_contact(zone) {
             self.upstreams.unsettle();
         }
     }
 
     /// Takes in what discovery says of a server. One that has started anew is there.
-    pub(crate) fn list(&mut self, entry: &Listing) {
+    pub(crate) fn apply_listing(&mut self, entry: &Listing) {
         let known = self.upstreams.get(entry.upstream).and_then(|server| server.started);
         if entry.started.is_some() && entry.started > known {
-            self.zone_lives(entry.zone);
+            self.record_zone_contact(entry.zone);
         }
         self.upstreams.list(entry);
     }
@@ -140,26 +140,26 @@
     #[test]
     fn three_in_a_row_and_no_sign_of_life_are_an_outage() {
         let mut outages = ZoneOutages::default();
-        [1, 2].iter().for_each(|id| outages.lost(A, UpstreamId(*id), 0.0));
-        assert!(!outages.is_out(A));
-        assert!(!outages.lives(A));
-        [3, 4, 4, 4].iter().for_each(|id| outages.lost(A, UpstreamId(*id), 1.0));
-        assert!(!outages.is_out(A), "the same one again is no further witness");
-        outages.lost(A, UpstreamId(5), 2.0);
-        assert!(outages.is_out(A) && outages.any() && !outages.is_out(B));
-        assert!(outages.lives(A));
-        assert!(!outages.is_out(A) && !outages.any());
+        [1, 2].iter().for_each(|id| outages.record_unreachable(A, UpstreamId(*id), 0.0));
+        assert!(!outages.is_unreachable(A));
+        assert!(!outages.record_contact(A));
+        [3, 4, 4, 4].iter().for_each(|id| outages.record_unreachable(A, UpstreamId(*id), 1.0));
+        assert!(!outages.is_unreachable(A), "the same one again is no further witness");
+        outages.record_unreachable(A, UpstreamId(5), 2.0);
+        assert!(outages.is_unreachable(A) && outages.any_unreachable() && !outages.is_unreachable(B));
+        assert!(outages.record_contact(A));
+        assert!(!outages.is_unreachable(A) && !outages.any_unreachable());
     }
 
     #[test]
     fn it_is_asked_at_once_and_then_ever_more_seldom() {
         let mut outages = ZoneOutages::default();
-        [1, 2, 3].iter().for_each(|id| outages.lost(B, UpstreamId(*id), 10.0));
+        [1, 2, 3].iter().for_each(|id| outages.record_unreachable(B, UpstreamId(*id), 10.0));
         let mut asked = Vec::new();
         for ms in 10..20_000 {
-            asked.extend(outages.due(f64::from(ms), 1.0).into_iter().map(|_| ms));
+            asked.extend(outages.take_due(f64::from(ms), 1.0).into_iter().map(|_| ms));
             // Requests that are lost meanwhile change nothing.
-            outages.lost(B, UpstreamId(ms as u64), f64::from(ms));
+            outages.record_unreachable(B, UpstreamId(ms as u64), f64::from(ms));
         }
         assert_eq!(asked[..5], [10, 260, 760, 1_760, 3_760]);
         assert!(asked.windows(2).all(|pair| pair[1] - pair[0] <= 2_000), "it never gives up: {asked:?}");
--- a/crates/decide/tests/crossing.rs
+++ b/crates/decide/tests/crossing.rs
@@ -6,7 +6,7 @@
 
 use common::*;
 use sagemast_decide::api::*;
-use sagemast_decide::cross_zone::{BudgetExemption, CrossZone, CrossZoneAttempt, CrossZoneCost};
+use sagemast_decide::cross_zone::{BudgetExemption, CrossZoneAttempt, CrossZoneBudget, CrossZoneCost};
 
 #[derive(Debug)]
 struct Made {
@@ -16,43 +16,43 @@
     sent: Vec<CrossZoneAttempt>,
 }
 
-impl CrossZone for Made {
-    fn sidecars(&mut self, _: Millis, _: u32) {}
+impl CrossZoneBudget for Made {
+    fn set_sidecar_count(&mut self, _: Millis, _: u32) {}
 
-    fn terms(&self, _: Millis, _: ClassId) -> CrossZoneCost {
+    fn cross_zone_cost(&self, _: Millis, _: ClassId) -> CrossZoneCost {
         self.terms
     }
 
-    fn pays(&self, _: Millis, _: ClassId, _: Option<ZoneId>) -> bool {
+    fn has_budget(&self, _: Millis, _: ClassId, _: Option<ZoneId>) -> bool {
         self.pays
     }
 
-    fn bends(&self, why: BudgetExemption) -> bool {
+    fn allows_exemption(&self, why: BudgetExemption) -> bool {
         self.bends.contains(&why)
     }
 
-    fn sent(&mut self, _: Millis, attempt: CrossZoneAttempt) {
+    fn attempt_sent(&mut self, _: Millis, attempt: CrossZoneAttempt) {
         self.sent.push(attempt);
     }
 
-    fn ended(&mut self, _: Millis, _: RequestId, _: AttemptNo, _: Outcome, _: [u64; 2]) {}
+    fn attempt_ended(&mut self, _: Millis, _: RequestId, _: AttemptNo, _: Outcome, _: [u64; 2]) {}
 
-    fn probed(&mut self, _: ZoneId) {}
+    fn probe_sent(&mut self, _: ZoneId) {}
 }
 
 /// Servers 0 and 1 are near, 10 and 11 are not.
 fn stage(pays: bool, bends: &[BudgetExemption]) -> Stage {
     let far = |id| Listing { zone: ZoneId(1), ..listing(id) };
     let mut stage = Stage::new(settings(), vec![listing(0), listing(1), far(10), far(11)]);
-    let terms = CrossZoneCost { fee: 0.03, bend_at: 0.2 };
+    let terms = CrossZoneCost { cost: 0.03, exemption_threshold: 0.2 };
     let made = Made { terms, pays, bends: bends.to_vec(), sent: Vec::new() };
-    stage.balancer.set_cross_zone(Some(Box::new(made)));
+    stage.balancer.set_cross_zone_budget(Some(Box::new(made)));
     stage.settle(&[0, 1, 10, 11], 2.0, 0.2);
     stage
 }
 
 fn plan(stage: &mut Stage) -> &mut Made {
-    (stage.balancer.cross_zone().expect("there is one") as &mut dyn Any)
+    (stage.balancer.cross_zone_budget_mut().expect("there is one") as &mut dyn Any)
         .downcast_mut()
         .expect("the one made here")
 }
@@ -99,7 +99,7 @@
         let mut stage = stage(pays, bends);
         fill(&mut stage);
         assert_eq!(place(&mut stage, ONCE, 20), (0, 20, 0), "{bends:?}");
-        assert!(plan(&mut stage).sent.iter().all(|attempt| attempt.bend == bent), "{bent:?}");
+        assert!(plan(&mut stage).sent.iter().all(|attempt| attempt.exemption == bent), "{bent:?}");
     }
     let mut stage = stage(
         false,
@@ -116,7 +116,7 @@
     let leaving = |id| Listing { lifecycle: Lifecycle::Draining, ..listing(id) };
     stage.event(Event::ListReceived(ListUpdate::Changed(vec![leaving(0), leaving(1)])));
     assert_eq!(place(&mut stage, ONCE, 10), (0, 10, 0));
-    assert!(plan(&mut stage).sent.iter().all(|attempt| attempt.bend == Some(BudgetExemption::Down)));
+    assert!(plan(&mut stage).sent.iter().all(|attempt| attempt.exemption == Some(BudgetExemption::Down)));
 }
 
 /// Has what goes to near servers reset: one of them is ejected, the other is not, since too many would be.
@@ -141,7 +141,7 @@
         plan(&mut stage).sent.clear();
         let (near, far, none) = place(&mut stage, ONCE, 20);
         assert!(far >= 15 && none == 0, "{near} {far} {none}");
-        let bent = plan(&mut stage).sent.iter().filter(|attempt| attempt.bend.is_some()).count();
+        let bent = plan(&mut stage).sent.iter().filter(|attempt| attempt.exemption.is_some()).count();
         assert_eq!(bent, if pays { 0 } else { far });
     }
 }
@@ -161,7 +161,7 @@
     }
     let sent = &plan(&mut stage).sent;
     assert!(sent.len() > 350, "{}", sent.len());
-    assert_eq!(sent.iter().skip(200).filter(|attempt| attempt.bend.is_some()).count(), 0);
+    assert_eq!(sent.iter().skip(200).filter(|attempt| attempt.exemption.is_some()).count(), 0);
 }
 
 #[test]
@@ -212,7 +212,7 @@
         stage.now += 10.0;
         let again = stage.finish(request, 0, first, Outcome::Reset, 10.0);
         assert_eq!(sent_to(&again).is_some_and(|to| to.0 >= 10 && to != first), sent, "{again:?}");
-        let bent: Vec<_> = plan(&mut stage).sent.iter().map(|attempt| attempt.bend).collect();
+        let bent: Vec<_> = plan(&mut stage).sent.iter().map(|attempt| attempt.exemption).collect();
         let bound = sent.then_some(Some(BudgetExemption::Bound));
         assert_eq!(
             bent,
--- a/crates/model/src/outcome.rs
+++ b/crates/model/src/outcome.rs
@@ -218,8 +218,8 @@
     /// Shares of the attempts from a zone that crossed: for a budget, and by bends.
     pub fn crossed(&self, zone: usize) -> (f64, f64) {
         let Some(totals) = self.crossings.get(zone) else { return (0.0, 0.0) };
-        let (all, crossed) = totals.share(None);
-        let bent: u64 = totals.rows.iter().map(|row| row.bent.sum()).sum();
+        let (all, crossed) = totals.attempts_and_crossings(None);
+        let bent: u64 = totals.rows.iter().map(|row| row.exempted.total()).sum();
         let share = |count: u64| count as f64 / all.max(1) as f64;
         (share(crossed - bent), share(bent))
     }
--- a/crates/model/src/policy/mod.rs
+++ b/crates/model/src/policy/mod.rs
@@ -5,7 +5,7 @@
 use rustc_hash::FxHashMap;
 use sagemast_decide::api::*;
 use sagemast_pools::counts::Totals;
-use sagemast_pools::cross_zone_budget::Plan;
+use sagemast_pools::cross_zone_budget::BudgetPlan;
 
 mod ewma;
 mod idle_queue;
@@ -72,7 +72,12 @@
 }
 
 /// The same; the project's module under a plan for what crosses zones, if there is one.
-pub fn under(name: &str, settings: &Settings, plan: Option<Plan>, seed: u64) -> Option<Box<dyn Policy>> {
+pub fn under(
+    name: &str,
+    settings: &Settings,
+    plan: Option<BudgetPlan>,
+    seed: u64,
+) -> Option<Box<dyn Policy>> {
     fn simple<P: Pick + 'static>(pick: P, settings: &Settings, seed: u64) -> Option<Box<dyn Policy>> {
         Some(Box::new(Simple::new(pick, settings.clone(), seed)))
     }
--- a/crates/model/src/policy/module.rs
+++ b/crates/model/src/policy/module.rs
@@ -4,33 +4,33 @@
 
 use sagemast_decide::Balancer;
 use sagemast_decide::api::*;
-use sagemast_decide::cross_zone::CrossZone;
+use sagemast_decide::cross_zone::CrossZoneBudget;
 use sagemast_pools::counts::Totals;
-use sagemast_pools::cross_zone_budget::Plan;
+use sagemast_pools::cross_zone_budget::BudgetPlan;
 
 use super::{Policy, Truth};
 
 pub struct Module(Balancer);
 
 impl Module {
-    pub fn new(settings: Settings, plan: Option<Plan>, seed: u64) -> Module {
+    pub fn new(settings: Settings, plan: Option<BudgetPlan>, seed: u64) -> Module {
         let mut module = Balancer::new(settings, seed);
-        module.set_cross_zone(plan.map(|plan| Box::new(plan) as Box<dyn CrossZone>));
+        module.set_cross_zone_budget(plan.map(|plan| Box::new(plan) as Box<dyn CrossZoneBudget>));
         Module(module)
     }
 }
 
 impl Policy for Module {
     fn handle(&mut self, now: Millis, event: Event, _: &dyn Truth, out: &mut Vec<Action>) {
-        if let (Event::AttemptFinished(end), Some(plan)) = (&event, self.0.cross_zone()) {
+        if let (Event::AttemptFinished(end), Some(plan)) = (&event, self.0.cross_zone_budget_mut()) {
             // The model has no bodies.
-            plan.ended(now, end.request, end.attempt, end.outcome, [0, 0]);
+            plan.attempt_ended(now, end.request, end.attempt, end.outcome, [0, 0]);
         }
         self.0.handle(now, event, out);
     }
 
     fn crossings(&mut self) -> Option<(Totals, usize)> {
-        let plan = (self.0.cross_zone()? as &mut dyn Any).downcast_mut::<Plan>()?;
-        Some((plan.counts().totals(), plan.out()))
+        let plan = (self.0.cross_zone_budget_mut()? as &mut dyn Any).downcast_mut::<BudgetPlan>()?;
+        Some((plan.counts().totals(), plan.outstanding_attempts()))
     }
 }
--- a/crates/model/src/world.rs
+++ b/crates/model/src/world.rs
@@ -8,7 +8,7 @@
 use sagemast_decide::api::*;
 use sagemast_decide::cross_zone::BudgetExemption;
 use sagemast_pools::counts::{Counts, Names, Totals};
-use sagemast_pools::cross_zone_budget::{Budget, Measure, Plan, Rules};
+use sagemast_pools::cross_zone_budget::{Budget, BudgetLimit, BudgetPlan, Rules};
 
 use crate::clients::{Source, rush};
 use crate::day::{Cold, Day, FaultKind, KEY_WINDOW_MS};
@@ -179,19 +179,20 @@
 }
 
 /// The plan of a sidecar for what crosses zones, if the day has one.
-fn plan(day: &Day, settings: &Settings) -> Option<Plan> {
+fn plan(day: &Day, settings: &Settings) -> Option<BudgetPlan> {
     let crossing = day.crossing?;
     let budget =
-        |share| Budget { classes: None, to: None, measure: Measure::Share(share), burst: CROSSING_BURST };
+        |share| Budget { classes: None, to: None, limit: BudgetLimit::Share(share), burst: CROSSING_BURST };
     let bends = if crossing.bends { BudgetExemption::ALL.to_vec() } else { Vec::new() };
     let budgets = crossing.share.map(budget).into_iter().collect();
-    let rules = Rules { fee: CROSSING_FEES[0], bend_at: CROSSING_FEES[1], bends, budgets };
+    let rules =
+        Rules { cost: CROSSING_FEES[0], exemption_threshold: CROSSING_FEES[1], exemptions: bends, budgets };
     let names = Names {
         classes: day.class.iter().map(|class| class.name.clone()).collect(),
         zones: (0..day.network.zones).map(|zone| zone.to_string()).collect(),
-        home: settings.zone.0 as usize,
+        local_zone: settings.zone.0 as usize,
     };
-    Some(Plan::new(rules, Arc::new(Counts::new(names)), settings.sidecars, 0.0))
+    Some(BudgetPlan::new(rules, Arc::new(Counts::new(names)), settings.sidecars, 0.0))
 }
 
 /// Makes the policy of a sidecar with these settings and this seed.
--- a/crates/model/tests/crossing.rs
+++ b/crates/model/tests/crossing.rs
@@ -41,8 +41,8 @@
     outcome
 }
 
-fn bent(outcome: &Outcome, why: impl Fn(&sagemast_pools::counts::Bent) -> u64) -> u64 {
-    outcome.crossings[0].rows.iter().map(|row| why(&row.bent)).sum()
+fn bent(outcome: &Outcome, why: impl Fn(&sagemast_pools::counts::ExemptionCounts) -> u64) -> u64 {
+    outcome.crossings[0].rows.iter().map(|row| why(&row.exempted)).sum()
 }
 
 #[test]
@@ -113,7 +113,7 @@
         soft.service(0, THEN),
         hard.service(0, THEN)
     );
-    assert!(bent(&soft, |bent| bent.failing) > 0 && bent(&hard, |bent| bent.sum()) == 0);
+    assert!(bent(&soft, |bent| bent.failing) > 0 && bent(&hard, |bent| bent.total()) == 0);
 }
 
 #[test]
--- a/crates/pools/src/counts.rs
+++ b/crates/pools/src/counts.rs
@@ -7,20 +7,20 @@
 use sagemast_decide::cross_zone::BudgetExemption;
 use serde::{Deserialize, Serialize};
 
-use crate::cross_zone_budget::MOST_BUDGETS;
+use crate::cross_zone_budget::MAX_BUDGETS;
 
 /// Zones that the settings do not name are counted together under this name.
-pub const ELSEWHERE: &str = "elsewhere";
+pub const UNNAMED_ZONES: &str = "elsewhere";
 
 /// Something that is counted of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum Counter {
     /// A first attempt.
     First,
     /// A further one.
-    Again,
+    Retry,
     /// One that crossed without a budget.
-    Bent(BudgetExemption),
+    Exempted(BudgetExemption),
     /// One that never left: no connection came up.
     Unsent,
     /// One that was served.
@@ -35,21 +35,21 @@
 
 const KINDS: usize = 12;
 
-impl Kind {
+impl Counter {
     fn place(self) -> usize {
         match self {
-            Kind::First => 0,
-            Kind::Again => 1,
-            Kind::Unsent => 2,
-            Kind::Served => 3,
-            Kind::Failed => 4,
-            Kind::BytesOut => 5,
-            Kind::BytesIn => 6,
-            Kind::Bent(BudgetExemption::Down) => 7,
-            Kind::Bent(BudgetExemption::Full) => 8,
-            Kind::Bent(BudgetExemption::Late) => 9,
-            Kind::Bent(BudgetExemption::Failing) => 10,
-            Kind::Bent(BudgetExemption::Bound) => 11,
+            Counter::First => 0,
+            Counter::Retry => 1,
+            Counter::Unsent => 2,
+            Counter::Served => 3,
+            Counter::Failed => 4,
+            Counter::BytesOut => 5,
+            Counter::BytesIn => 6,
+            Counter::Exempted(BudgetExemption::Down) => 7,
+            Counter::Exempted(BudgetExemption::Full) => 8,
+            Counter::Exempted(BudgetExemption::Late) => 9,
+            Counter::Exempted(BudgetExemption::Failing) => 10,
+            Counter::Exempted(BudgetExemption::Bound) => 11,
         }
     }
 }
@@ -63,7 +63,7 @@
     /// Of zones, by id.
     pub zones: Vec<String>,
     /// The zone that all of this leaves from.
-    pub home: usize,
+    pub local_zone: usize,
 }
 
 /// The counts of one instance, from when its table was made on.
@@ -75,7 +75,7 @@
     /// By zone.
     probes: Vec<AtomicU64>,
     /// What each budget held and could hold at the last attempt: the bits of the numbers.
-    levels: [[AtomicU64; 2]; MOST_BUDGETS],
+    levels: [[AtomicU64; 2]; MAX_BUDGETS],
     budgets: AtomicUsize,
 }
 
@@ -98,7 +98,7 @@
     }
 
     /// Counts so many more.
-    pub fn add(&self, class: ClassId, to: ZoneId, kind: Kind, more: u64) {
+    pub fn add(&self, class: ClassId, to: ZoneId, kind: Counter, more: u64) {
         let cell = class.0 * self.probes.len() + self.zone(to);
         if let Some(cell) = self.attempts.get(cell) {
             cell[kind.place()].fetch_add(more, Ordering::Relaxed);
@@ -106,12 +106,12 @@
     }
 
     /// Counts a probe.
-    pub fn probe(&self, to: ZoneId) {
+    pub fn add_probe(&self, to: ZoneId) {
         self.probes[self.zone(to)].fetch_add(1, Ordering::Relaxed);
     }
 
     /// Tells what the budgets hold and can hold.
-    pub fn set_levels(&self, levels: impl Iterator<Item = (f64, f64)>) {
+    pub fn set_budget_levels(&self, levels: impl Iterator<Item = (f64, f64)>) {
         let mut count = 0;
         for (place, (level, burst)) in self.levels.iter().zip(levels) {
             place[0].store(level.to_bits(), Ordering::Relaxed);
@@ -122,7 +122,7 @@
     }
 
     /// What the budgets held and could hold at the last attempt, in the order of the rules.
-    pub fn levels(&self) -> Vec<(f64, f64)> {
+    pub fn budget_levels(&self) -> Vec<(f64, f64)> {
         let number = |bits: &AtomicU64| f64::from_bits(bits.load(Ordering::Relaxed));
         let count = self.budgets.load(Ordering::Acquire);
         self.levels.iter().take(count).map(|[level, burst]| (number(level), number(burst))).collect()
@@ -130,8 +130,8 @@
 
     /// The counts as they stand, without rows of zeros.
     pub fn totals(&self) -> Totals {
-        let name = |zone: usize| self.names.zones.get(zone).map_or(ELSEWHERE, String::as_str).to_owned();
-        let from = name(self.names.home);
+        let name = |zone: usize| self.names.zones.get(zone).map_or(UNNAMED_ZONES, String::as_str).to_owned();
+        let from = name(self.names.local_zone);
         let zones = self.probes.len();
         let mut totals = Totals::default();
         for (at, cell) in self.attempts.iter().enumerate() {
@@ -139,58 +139,58 @@
                 std::array::from_fn(|kind| cell[kind].load(Ordering::Relaxed));
             if first + again > 0 {
                 let class = self.names.classes[at / zones].clone();
-                let bent = Bent { down, full, late, failing, bound };
+                let bent = ExemptionCounts { down, full, late, failing, bound };
                 let (from, to) = (from.clone(), name(at % zones));
-                totals.rows.push(Row {
+                totals.rows.push(AttemptsRow {
                     class,
                     from,
                     to,
                     first,
-                    again,
+                    retries: again,
                     unsent,
                     served,
                     failed,
                     bytes_out,
                     bytes_in,
-                    bent,
+                    exempted: bent,
                 });
             }
         }
         for (zone, probes) in self.probes.iter().enumerate() {
             let probes = probes.load(Ordering::Relaxed);
             if probes > 0 {
-                totals.probes.push(Probes { from: from.clone(), to: name(zone), probes });
+                totals.probes.push(ProbesRow { from: from.clone(), to: name(zone), probes });
             }
         }
         totals
     }
 
     /// Adds what was counted before, as far as its names are still there. Others' are dropped.
-    pub fn resume(&self, before: &Totals) {
+    pub fn add_previous(&self, before: &Totals) {
         let find = |names: &[String], name: &str| names.iter().position(|known| known == name);
         let zone = |name: &str| match find(&self.names.zones, name) {
             Some(zone) => Some(zone),
-            None => (name == ELSEWHERE).then_some(self.names.zones.len()),
+            None => (name == UNNAMED_ZONES).then_some(self.names.zones.len()),
         };
-        let home = self.names.zones.get(self.names.home);
+        let home = self.names.zones.get(self.names.local_zone);
         for row in before.rows.iter().filter(|row| Some(&row.from) == home) {
             let Some((class, to)) = find(&self.names.classes, &row.class).zip(zone(&row.to)) else {
                 continue;
             };
-            let Bent { down, full, late, failing, bound } = row.bent;
+            let ExemptionCounts { down, full, late, failing, bound } = row.exempted;
             let counts = [
-                (Kind::First, row.first),
-                (Kind::Again, row.again),
-                (Kind::Unsent, row.unsent),
-                (Kind::Served, row.served),
-                (Kind::Failed, row.failed),
-                (Kind::BytesOut, row.bytes_out),
-                (Kind::BytesIn, row.bytes_in),
-                (Kind::Bent(BudgetExemption::Down), down),
-                (Kind::Bent(BudgetExemption::Full), full),
-                (Kind::Bent(BudgetExemption::Late), late),
-                (Kind::Bent(BudgetExemption::Failing), failing),
-                (Kind::Bent(BudgetExemption::Bound), bound),
+                (Counter::First, row.first),
+                (Counter::Retry, row.retries),
+                (Counter::Unsent, row.unsent),
+                (Counter::Served, row.served),
+                (Counter::Failed, row.failed),
+                (Counter::BytesOut, row.bytes_out),
+                (Counter::BytesIn, row.bytes_in),
+                (Counter::Exempted(BudgetExemption::Down), down),
+                (Counter::Exempted(BudgetExemption::Full), full),
+                (Counter::Exempted(BudgetExemption::Late), late),
+                (Counter::Exempted(BudgetExemption::Failing), failing),
+                (Counter::Exempted(BudgetExemption::Bound), bound),
             ];
             for (kind, count) in counts {
                 self.add(ClassId(class), ZoneId(to as u64), kind, count);
@@ -206,7 +206,7 @@
 
 /// Attempts that crossed without a budget, by reason. See [`BudgetExemption`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Bent {
+pub struct ExemptionCounts {
     /// No near server took part.
     pub down: u64,
     /// No near server had room.
@@ -219,16 +219,16 @@
     pub bound: u64,
 }
 
-impl Bent {
+impl ExemptionCounts {
     /// For all reasons.
-    pub fn sum(&self) -> u64 {
+    pub fn total(&self) -> u64 {
         self.down + self.full + self.late + self.failing + self.bound
     }
 }
 
 /// What went from one zone to one, of one class.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Row {
+pub struct AttemptsRow {
     /// The class.
     pub class: String,
     /// The zone of the sidecars.
@@ -238,7 +238,8 @@
     /// First attempts.
     pub first: u64,
     /// Further ones.
-    pub again: u64,
+    #[serde(rename = "again")]
+    pub retries: u64,
     /// Of both, those that never left: no connection came up.
     pub unsent: u64,
     /// Of both, those that were served.
@@ -250,10 +251,11 @@
     /// Bytes of answers' bodies.
     pub bytes_in: u64,
     /// Of both, those that crossed without a budget.
-    pub bent: Bent,
+    #[serde(rename = "bent")]
+    pub exempted: ExemptionCounts,
 }
 
-impl Row {
+impl AttemptsRow {
     /// Whether it crosses.
     pub fn crosses(&self) -> bool {
         self.from != self.to
@@ -261,28 +263,28 @@
 
     /// First and further attempts.
     pub fn attempts(&self) -> u64 {
-        self.first + self.again
+        self.first + self.retries
     }
 
-    fn add(&mut self, other: &Row) {
+    fn add(&mut self, other: &AttemptsRow) {
         self.first += other.first;
-        self.again += other.again;
+        self.retries += other.retries;
         self.unsent += other.unsent;
         self.served += other.served;
         self.failed += other.failed;
         self.bytes_out += other.bytes_out;
         self.bytes_in += other.bytes_in;
-        self.bent.down += other.bent.down;
-        self.bent.full += other.bent.full;
-        self.bent.late += other.bent.late;
-        self.bent.failing += other.bent.failing;
-        self.bent.bound += other.bent.bound;
+        self.exempted.down += other.exempted.down;
+        self.exempted.full += other.exempted.full;
+        self.exempted.late += other.exempted.late;
+        self.exempted.failing += other.exempted.failing;
+        self.exempted.bound += other.exempted.bound;
     }
 }
 
 /// Probes from one zone to one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Probes {
+pub struct ProbesRow {
     /// The zone of the sidecars.
     pub from: String,
     /// The zone of the servers.
@@ -295,17 +297,18 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Totals {
     /// Attempts.
-    pub rows: Vec<Row>,
+    pub rows: Vec<AttemptsRow>,
     /// Probes.
-    pub probes: Vec<Probes>,
+    pub probes: Vec<ProbesRow>,
 }
 
 impl Totals {
     /// Adds another's.
     pub fn add(&mut self, other: &Totals) {
         for row in &other.rows {
-            let same =
-                |mine: &&mut Row| (&mine.class, &mine.from, &mine.to) == (&row.class, &row.from, &row.to);
+            let same = |mine: &&mut AttemptsRow| {
+                (&mine.class, &mine.from, &mine.to) == (&row.class, &row.from, &row.to)
+            };
             match self.rows.iter_mut().find(same) {
                 Some(mine) => mine.add(row),
                 None => self.rows.push(row.clone()),
@@ -320,9 +323,9 @@
     }
 
     /// Attempts of a class, or of all: all of them, and those that crossed.
-    pub fn share(&self, class: Option<&str>) -> (u64, u64) {
+    pub fn attempts_and_crossings(&self, class: Option<&str>) -> (u64, u64) {
         let rows = || self.rows.iter().filter(|row| class.is_none_or(|class| row.class == class));
-        let crossed = rows().filter(|row| row.crosses()).map(Row::attempts).sum();
-        (rows().map(Row::attempts).sum(), crossed)
+        let crossed = rows().filter(|row| row.crosses()).map(AttemptsRow::attempts).sum();
+        (rows().map(AttemptsRow::attempts).sum(), crossed)
     }
 }
--- a/crates/pools/src/cross_zone_budget.rs
+++ b/crates/pools/src/cross_zone_budget.rs
@@ -5,13 +5,13 @@
 
 use rustc_hash::FxHashMap;
 use sagemast_decide::api::*;
-use sagemast_decide::cross_zone::{BudgetExemption, CrossZone, CrossZoneAttempt, CrossZoneCost};
+use sagemast_decide::cross_zone::{BudgetExemption, CrossZoneAttempt, CrossZoneBudget, CrossZoneCost};
 
-use crate::counts::{Counts, Kind, Names};
-use crate::token_bucket::Bucket;
+use crate::counts::{Counter, Counts, Names};
+use crate::token_bucket::TokenBucket;
 
 /// So many budgets at most: each is looked at for every attempt.
-pub const MOST_BUDGETS: usize = 32;
+pub const MAX_BUDGETS: usize = 32;
 /// What the bodies of an attempt are taken to hold together until some have ended.
 const FIRST_BYTES: f64 = 8_192.0;
 /// Weight of one attempt in the mean of what its class moves.
@@ -19,7 +19,7 @@
 
 /// What a budget counts.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Measure {
+pub enum BudgetLimit {
     /// Crossings, as a share of this sidecar's attempts of the same classes.
     Share(f64),
     /// Crossings a second, of all sidecars together.
@@ -36,7 +36,7 @@
     /// Only to these zones; `None` for all.
     pub to: Option<Vec<ZoneId>>,
     /// How much.
-    pub measure: Measure,
+    pub limit: BudgetLimit,
     /// The most that is saved up, and owed after bends: crossings, or bytes. Of all sidecars together where the
     /// measure is.
     pub burst: f64,
@@ -46,10 +46,10 @@
     /// In words, with the names that counts go by.
     pub fn describe(&self, names: &Names) -> String {
         let name = |names: &[String], at: usize| names.get(at).cloned().unwrap_or_else(|| at.to_string());
-        let mut text = match self.measure {
-            Measure::Share(share) => format!("{} % of attempts", share * 100.0),
-            Measure::PerSecond(rate) => format!("{rate} a second"),
-            Measure::BytesPerSecond(rate) => format!("{rate} bytes a second"),
+        let mut text = match self.limit {
+            BudgetLimit::Share(share) => format!("{} % of attempts", share * 100.0),
+            BudgetLimit::PerSecond(rate) => format!("{rate} a second"),
+            BudgetLimit::BytesPerSecond(rate) => format!("{rate} bytes a second"),
         };
         if let Some(classes) = &self.classes {
             let classes: Vec<_> = classes.iter().map(|class| name(&names.classes, class.0)).collect();
@@ -67,11 +67,11 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rules {
     /// The terms while budgets are full.
-    pub fee: f64,
+    pub cost: f64,
     /// The terms when they are empty, and for bends.
-    pub bend_at: f64,
+    pub exemption_threshold: f64,
     /// Reasons for which requests cross without a budget.
-    pub bends: Vec<BudgetExemption>,
+    pub exemptions: Vec<BudgetExemption>,
     /// The budgets.
     pub budgets: Vec<Budget>,
 }
@@ -79,7 +79,7 @@
 #[derive(Debug)]
 struct Purse {
     budget: Budget,
-    bucket: Bucket,
+    bucket: TokenBucket,
     /// Whether it bears on every way out of the zone.
     whole: bool,
 }
@@ -94,7 +94,7 @@
     }
 
     fn price(&self, bytes: f64) -> f64 {
-        if matches!(self.budget.measure, Measure::BytesPerSecond(_)) { bytes } else { 1.0 }
+        if matches!(self.budget.limit, BudgetLimit::BytesPerSecond(_)) { bytes } else { 1.0 }
     }
 }
 
@@ -108,7 +108,7 @@
 
 /// The plan of one instance.
 #[derive(Debug)]
-pub struct Plan {
+pub struct BudgetPlan {
     rules: Rules,
     purses: Vec<Purse>,
     sidecars: u32,
@@ -122,20 +122,20 @@
 /// How a bucket is filled and what it holds, for one of so many sidecars.
 fn shape(budget: &Budget, sidecars: u32) -> (f64, f64) {
     let part = f64::from(sidecars.max(1));
-    match budget.measure {
-        Measure::Share(_) => (0.0, budget.burst),
+    match budget.limit {
+        BudgetLimit::Share(_) => (0.0, budget.burst),
         // A part of less than one crossing is still saved up until it is one.
-        Measure::PerSecond(rate) => (rate / part / 1e3, (budget.burst / part).max(1.0)),
-        Measure::BytesPerSecond(rate) => (rate / part / 1e3, budget.burst / part),
+        BudgetLimit::PerSecond(rate) => (rate / part / 1e3, (budget.burst / part).max(1.0)),
+        BudgetLimit::BytesPerSecond(rate) => (rate / part / 1e3, budget.burst / part),
     }
 }
 
-impl Plan {
+impl BudgetPlan {
     /// A plan whose budgets are empty: a restart makes none. What it counts goes on in these counts, whose names tell
     /// the zone that it is for.
-    pub fn new(rules: Rules, counts: Arc<Counts>, sidecars: u32, now: Millis) -> Plan {
+    pub fn new(rules: Rules, counts: Arc<Counts>, sidecars: u32, now: Millis) -> BudgetPlan {
         let classes = counts.names().classes.len();
-        let mut plan = Plan {
+        let mut plan = BudgetPlan {
             rules: Rules { budgets: Vec::new(), ..rules.clone() },
             purses: Vec::new(),
             sidecars,
@@ -143,23 +143,23 @@
             usual_bytes: vec![FIRST_BYTES; classes],
             out: FxHashMap::default(),
         };
-        plan.change(rules, now);
+        plan.set_rules(rules, now);
         plan
     }
 
     /// Brings other rules into force. A budget that stays the same keeps what it holds; a new one is empty.
-    pub fn change(&mut self, rules: Rules, now: Millis) {
+    pub fn set_rules(&mut self, rules: Rules, now: Millis) {
         let names = self.counts.names();
-        let home = names.home;
+        let home = names.local_zone;
         let far: Vec<ZoneId> =
             (0..names.zones.len()).filter(|zone| *zone != home).map(|zone| ZoneId(zone as u64)).collect();
         let mut old = std::mem::take(&mut self.purses);
-        for budget in rules.budgets.iter().take(MOST_BUDGETS) {
+        for budget in rules.budgets.iter().take(MAX_BUDGETS) {
             let whole = budget.to.as_ref().is_none_or(|to| far.iter().all(|zone| to.contains(zone)));
             let kept =
                 old.iter().position(|purse| purse.budget == *budget).map(|at| old.swap_remove(at).bucket);
             let (per_ms, burst) = shape(budget, self.sidecars);
-            let bucket = kept.unwrap_or_else(|| Bucket::new(per_ms, burst, now));
+            let bucket = kept.unwrap_or_else(|| TokenBucket::new(per_ms, burst, now));
             self.purses.push(Purse { budget: budget.clone(), bucket, whole });
         }
         self.rules = rules;
@@ -167,7 +167,7 @@
     }
 
     fn tell_levels(&self, now: Millis) {
-        self.counts.set_levels(self.levels(now));
+        self.counts.set_budget_levels(self.levels(now));
     }
 
     /// The counts that it keeps.
@@ -181,7 +181,7 @@
     }
 
     /// Attempts that are out.
-    pub fn out(&self) -> usize {
+    pub fn outstanding_attempts(&self) -> usize {
         self.out.len()
     }
 
@@ -190,45 +190,45 @@
     }
 
     fn crosses(&self, to: ZoneId) -> bool {
-        to.0 != self.counts.names().home as u64
+        to.0 != self.counts.names().local_zone as u64
     }
 }
 
-impl CrossZone for Plan {
-    fn sidecars(&mut self, now: Millis, count: u32) {
+impl CrossZoneBudget for BudgetPlan {
+    fn set_sidecar_count(&mut self, now: Millis, count: u32) {
         self.sidecars = count;
         for purse in &mut self.purses {
             let (per_ms, burst) = shape(&purse.budget, count);
-            purse.bucket.reshape(now, per_ms, burst);
+            purse.bucket.set_rate_and_burst(now, per_ms, burst);
         }
     }
 
     /// The fee grows from [`Rules::fee`] to [`Rules::bend_at`] as the emptiest budget is used up.
-    fn terms(&self, now: Millis, class: ClassId) -> CrossZoneCost {
+    fn cross_zone_cost(&self, now: Millis, class: ClassId) -> CrossZoneCost {
         let purses = self.purses.iter().filter(|purse| purse.whole && purse.covers(class));
-        let fill = purses.map(|purse| purse.bucket.fill(now)).fold(1.0, f64::min);
-        let Rules { fee, bend_at, .. } = self.rules;
-        CrossZoneCost { fee: fee.powf(fill) * bend_at.powf(1.0 - fill), bend_at }
+        let fill = purses.map(|purse| purse.bucket.fill_fraction(now)).fold(1.0, f64::min);
+        let Rules { cost: fee, exemption_threshold: bend_at, .. } = self.rules;
+        CrossZoneCost { cost: fee.powf(fill) * bend_at.powf(1.0 - fill), exemption_threshold: bend_at }
     }
 
-    fn pays(&self, now: Millis, class: ClassId, to: Option<ZoneId>) -> bool {
+    fn has_budget(&self, now: Millis, class: ClassId, to: Option<ZoneId>) -> bool {
         let bytes = self.usual(class);
         let mut purses = self.purses.iter().filter(|purse| match to {
             Some(to) => purse.covers_to(class, to),
             None => purse.whole && purse.covers(class),
         });
-        purses.all(|purse| purse.bucket.has(now, purse.price(bytes)))
+        purses.all(|purse| purse.bucket.has_tokens(now, purse.price(bytes)))
     }
 
-    fn bends(&self, why: BudgetExemption) -> bool {
-        self.rules.bends.contains(&why)
+    fn allows_exemption(&self, why: BudgetExemption) -> bool {
+        self.rules.exemptions.contains(&why)
     }
 
-    fn sent(&mut self, now: Millis, attempt: CrossZoneAttempt) {
-        let CrossZoneAttempt { request, number, class, to, bend } = attempt;
+    fn attempt_sent(&mut self, now: Millis, attempt: CrossZoneAttempt) {
+        let CrossZoneAttempt { request, number, class, to, exemption: bend } = attempt;
         let (crosses, paid) = (self.crosses(to), self.usual(class));
         for purse in &mut self.purses {
-            if let (true, Measure::Share(share)) = (purse.covers(class), purse.budget.measure) {
+            if let (true, BudgetLimit::Share(share)) = (purse.covers(class), purse.budget.limit) {
                 purse.bucket.add(now, share);
             }
             if crosses && purse.covers_to(class, to) {
@@ -236,14 +236,14 @@
             }
         }
         self.out.insert((request, number), Out { class, to, paid });
-        self.counts.add(class, to, if number.0 == 0 { Kind::First } else { Kind::Again }, 1);
+        self.counts.add(class, to, if number.0 == 0 { Counter::First } else { Counter::Retry }, 1);
         if let Some(bend) = bend {
-            self.counts.add(class, to, Kind::Bent(bend), 1);
+            self.counts.add(class, to, Counter::Exempted(bend), 1);
         }
         self.tell_levels(now);
     }
 
-    fn ended(
+    fn attempt_ended(
         &mut self,
         now: Millis,
         request: RequestId,
@@ -256,8 +256,8 @@
         let moved = if left { bytes[0].saturating_add(bytes[1]) as f64 } else { 0.0 };
         if self.crosses(to) {
             for purse in self.purses.iter_mut().filter(|purse| purse.covers_to(class, to)) {
-                match purse.budget.measure {
-                    Measure::BytesPerSecond(_) => purse.bucket.add(now, paid - moved),
+                match purse.budget.limit {
+                    BudgetLimit::BytesPerSecond(_) => purse.bucket.add(now, paid - moved),
                     // What never left has cost nothing.
                     _ if !left => purse.bucket.add(now, 1.0),
                     _ => {}
@@ -265,21 +265,21 @@
             }
         }
         let kind = match outcome {
-            _ if !left => Kind::Unsent,
-            Outcome::Ok => Kind::Served,
-            _ => Kind::Failed,
+            _ if !left => Counter::Unsent,
+            Outcome::Ok => Counter::Served,
+            _ => Counter::Failed,
         };
         self.counts.add(class, to, kind, 1);
         if left {
-            self.counts.add(class, to, Kind::BytesOut, bytes[0]);
-            self.counts.add(class, to, Kind::BytesIn, bytes[1]);
+            self.counts.add(class, to, Counter::BytesOut, bytes[0]);
+            self.counts.add(class, to, Counter::BytesIn, bytes[1]);
         }
         if let (Outcome::Ok, Some(usual)) = (outcome, self.usual_bytes.get_mut(class.0)) {
             *usual += SMOOTH * (moved - *usual);
         }
     }
 
-    fn probed(&mut self, to: ZoneId) {
-        self.counts.probe(to);
+    fn probe_sent(&mut self, to: ZoneId) {
+        self.counts.add_probe(to);
     }
 }
--- a/crates/pools/src/file.rs
+++ b/crates/pools/src/file.rs
@@ -11,7 +11,7 @@
 use toml::Spanned;
 
 use crate::counts::Names;
-use crate::cross_zone_budget::{Budget, MOST_BUDGETS, Measure, Rules};
+use crate::cross_zone_budget::{Budget, BudgetLimit, MAX_BUDGETS, Rules};
 
 /// A crossing of no more worth than this is made freely; as [`Rules::fee`].
 const FEE: f64 = 0.03;
@@ -77,11 +77,13 @@
 }
 
 impl Entry {
-    fn measures(&self) -> impl Iterator<Item = (Measure, &Spanned<f64>)> {
-        let share = self.share.as_ref().map(|value| (Measure::Share(*value.get_ref()), value));
-        let rate = self.per_second.as_ref().map(|value| (Measure::PerSecond(*value.get_ref()), value));
-        let bytes =
-            self.bytes_per_second.as_ref().map(|value| (Measure::BytesPerSecond(*value.get_ref()), value));
+    fn measures(&self) -> impl Iterator<Item = (BudgetLimit, &Spanned<f64>)> {
+        let share = self.share.as_ref().map(|value| (BudgetLimit::Share(*value.get_ref()), value));
+        let rate = self.per_second.as_ref().map(|value| (BudgetLimit::PerSecond(*value.get_ref()), value));
+        let bytes = self
+            .bytes_per_second
+            .as_ref()
+            .map(|value| (BudgetLimit::BytesPerSecond(*value.get_ref()), value));
         share.into_iter().chain(rate).chain(bytes)
     }
 }
@@ -148,9 +150,9 @@
                 format!("{:?} is no reason; there are down, full, late, failing and bound", name.get_ref());
             faults.push(self.fault(name.span(), "crossing.bends".to_owned(), text));
         }
-        if budget.len() > MOST_BUDGETS {
-            let text = format!("there are {}; {MOST_BUDGETS} are allowed", budget.len());
-            faults.push(self.fault(budget[MOST_BUDGETS].span(), "crossing.budget".to_owned(), text));
+        if budget.len() > MAX_BUDGETS {
+            let text = format!("there are {}; {MAX_BUDGETS} are allowed", budget.len());
+            faults.push(self.fault(budget[MAX_BUDGETS].span(), "crossing.budget".to_owned(), text));
         }
         for (number, entry) in budget.iter().enumerate() {
             let key = |key: &str| format!("crossing.budget[{number}].{key}");
@@ -161,9 +163,9 @@
             }
             for (measure, value) in measures {
                 let (name, most) = match measure {
-                    Measure::Share(_) => ("share", 1.0),
-                    Measure::PerSecond(_) => ("per_second", MOST),
-                    Measure::BytesPerSecond(_) => ("bytes_per_second", MOST),
+                    BudgetLimit::Share(_) => ("share", 1.0),
+                    BudgetLimit::PerSecond(_) => ("per_second", MOST),
+                    BudgetLimit::BytesPerSecond(_) => ("bytes_per_second", MOST),
                 };
                 if !(0.0..=most).contains(value.get_ref()) {
                     let text = format!("it is {}; from 0 to {most} is allowed", value.get_ref());
@@ -231,14 +233,14 @@
                 continue;
             }
             let usual = match measure {
-                Measure::Share(_) => BURST,
-                Measure::PerSecond(rate) => (BURST_SECONDS * rate).max(1.0),
-                Measure::BytesPerSecond(rate) => (BURST_SECONDS * rate).max(1.0),
+                BudgetLimit::Share(_) => BURST,
+                BudgetLimit::PerSecond(rate) => (BURST_SECONDS * rate).max(1.0),
+                BudgetLimit::BytesPerSecond(rate) => (BURST_SECONDS * rate).max(1.0),
             };
             budgets.push(Budget {
                 classes: of.map(|classes| classes.into_iter().map(ClassId).collect()),
                 to: to.map(|zones| zones.into_iter().map(|zone| ZoneId(zone as u64)).collect()),
-                measure,
+                limit: measure,
                 burst: figure(&entry.burst, usual),
             });
         }
@@ -249,7 +251,12 @@
             Some(names) => names.iter().filter_map(|name| bend(name.get_ref())).collect(),
             None => BudgetExemption::ALL.to_vec(),
         };
-        let rules = Rules { fee: figure(fee, FEE), bend_at: figure(bend_at, BEND_AT), bends, budgets };
-        Ok((rules, Names { classes, zones, home }))
+        let rules = Rules {
+            cost: figure(fee, FEE),
+            exemption_threshold: figure(bend_at, BEND_AT),
+            exemptions: bends,
+            budgets,
+        };
+        Ok((rules, Names { classes, zones, local_zone: home }))
     }
 }
--- a/crates/pools/src/token_bucket.rs
+++ b/crates/pools/src/token_bucket.rs
@@ -8,17 +8,17 @@
 /// Tokens that are earned in time or by the piece and spent by the piece. It never holds more than its burst, and never
 /// owes more: a long trouble must not close the border for hours after.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Bucket {
+pub struct TokenBucket {
     level: f64,
     at: Millis,
     per_ms: f64,
     burst: f64,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// An empty one: a restart makes no tokens.
-    pub fn new(per_ms: f64, burst: f64, now: Millis) -> Bucket {
-        Bucket { level: 0.0, at: now, per_ms, burst }
+    pub fn new(per_ms: f64, burst: f64, now: Millis) -> TokenBucket {
+        TokenBucket { level: 0.0, at: now, per_ms, burst }
     }
 
     /// What it holds; below 0 what it owes.
@@ -32,12 +32,12 @@
     }
 
     /// How full it is, from 0 to 1.
-    pub fn fill(&self, now: Millis) -> f64 {
+    pub fn fill_fraction(&self, now: Millis) -> f64 {
         if self.burst > 0.0 { (self.level(now) / self.burst).clamp(0.0, 1.0) } else { 0.0 }
     }
 
     /// Whether it holds so much, or is full where that is more than it can.
-    pub fn has(&self, now: Millis, tokens: f64) -> bool {
+    pub fn has_tokens(&self, now: Millis, tokens: f64) -> bool {
         self.burst > 0.0 && self.level(now) + ROUNDING >= tokens.min(self.burst)
     }
 
@@ -48,7 +48,7 @@
     }
 
     /// Changes how it is filled and what it holds at most. What it holds stays, within that.
-    pub fn reshape(&mut self, now: Millis, per_ms: f64, burst: f64) {
+    pub fn set_rate_and_burst(&mut self, now: Millis, per_ms: f64, burst: f64) {
         let level = self.level(now);
         (self.per_ms, self.burst) = (per_ms, burst);
         (self.level, self.at) = (level.clamp(-burst, burst), now.max(self.at));
--- a/crates/pools/tests/file.rs
+++ b/crates/pools/tests/file.rs
@@ -3,7 +3,7 @@
 use sagemast_decide::api::{ClassId, ZoneId};
 use sagemast_decide::cross_zone::BudgetExemption;
 use sagemast_decide::settings::Config;
-use sagemast_pools::cross_zone_budget::Measure;
+use sagemast_pools::cross_zone_budget::BudgetLimit;
 use sagemast_pools::file::File;
 
 fn settings(zone: u64) -> Config {
@@ -35,15 +35,15 @@
     .expect("it is sound");
     let (rules, names) = file.rules(&settings(0)).expect("it fits");
     assert_eq!(
-        (rules.fee, rules.bend_at, rules.bends.clone()),
+        (rules.cost, rules.exemption_threshold, rules.exemptions.clone()),
         (0.03, 0.3, vec![BudgetExemption::Down, BudgetExemption::Full])
     );
     assert_eq!(rules.budgets.len(), 1, "the other one is for pass-road");
-    assert_eq!((rules.budgets[0].measure, rules.budgets[0].burst), (Measure::Share(0.02), 10.0));
-    assert_eq!((names.home, names.zones.len(), names.classes.len()), (0, 2, 2));
+    assert_eq!((rules.budgets[0].limit, rules.budgets[0].burst), (BudgetLimit::Share(0.02), 10.0));
+    assert_eq!((names.local_zone, names.zones.len(), names.classes.len()), (0, 2, 2));
     let (rules, _) = file.rules(&settings(1)).expect("it fits");
     let bills = &rules.budgets[1];
-    assert_eq!((bills.measure, bills.burst), (Measure::PerSecond(5.0), 3.0));
+    assert_eq!((bills.limit, bills.burst), (BudgetLimit::PerSecond(5.0), 3.0));
     assert_eq!((bills.classes.clone(), bills.to.clone()), (Some(vec![ClassId(1)]), Some(vec![ZoneId(0)])));
 }
 
--- a/crates/sidecar/src/cross_zone_budget.rs
+++ b/crates/sidecar/src/cross_zone_budget.rs
@@ -7,7 +7,7 @@
 use sagemast_decide::api::Millis;
 use sagemast_decide::settings::Config as SettingsObject;
 use sagemast_pools::counts::Counts;
-use sagemast_pools::cross_zone_budget::{Plan, Rules};
+use sagemast_pools::cross_zone_budget::{BudgetPlan, Rules};
 use sagemast_pools::file::{Fault, File};
 
 /// The rules, and where it counts. One generation after another may count in the same place.
@@ -29,11 +29,15 @@
     /// Puts it into force, or takes away what was (`None`). A plan that counts in the same place goes on with other
     /// rules: what it has out and what its budgets hold stays.
     pub fn bring_into_force(crossing: Option<Crossing>, module: &mut Balancer, sidecars: u32, now: Millis) {
-        let Some(Crossing { rules, counts }) = crossing else { return module.set_cross_zone(None) };
-        let plan = module.cross_zone().and_then(|plan| (plan as &mut dyn Any).downcast_mut::<Plan>());
+        let Some(Crossing { rules, counts }) = crossing else { return module.set_cross_zone_budget(None) };
+        let plan = module
+            .cross_zone_budget_mut()
+            .and_then(|plan| (plan as &mut dyn Any).downcast_mut::<BudgetPlan>());
         match plan.filter(|plan| Arc::ptr_eq(plan.counts(), &counts)) {
-            Some(plan) => plan.change(rules, now),
-            None => module.set_cross_zone(Some(Box::new(Plan::new(rules, counts, sidecars, now)))),
+            Some(plan) => plan.set_rules(rules, now),
+            None => {
+                module.set_cross_zone_budget(Some(Box::new(BudgetPlan::new(rules, counts, sidecars, now))))
+            }
         }
     }
 }
--- a/crates/sidecar/src/driver.rs
+++ b/crates/sidecar/src/driver.rs
@@ -867,9 +867,9 @@
             report_from_text(&self.columns, text.to_str().ok()?)
         });
         let now = self.millis(Instant::now());
-        if let Some(plan) = self.module.cross_zone() {
+        if let Some(plan) = self.module.cross_zone_budget_mut() {
             let got = answer.as_ref().and_then(|answer| answer.body.length()).unwrap_or(0);
-            plan.ended(now, flight.request, flight.attempt, outcome, [sent.body, got]);
+            plan.attempt_ended(now, flight.request, flight.attempt, outcome, [sent.body, got]);
         }
         // The first answer goes to the client by itself and ends the request; so does one that finds fault
         // with the request itself, which other upstreams would find as well.
--- a/crates/stage/src/bin/sagemast-rig/crossing.rs
+++ b/crates/stage/src/bin/sagemast-rig/crossing.rs
@@ -50,9 +50,9 @@
 impl Outcome {
     /// Crossings that a budget paid for, and those that it did not, in the trouble.
     fn shares(&self) -> [f64; 3] {
-        let bent = |totals: &Totals| totals.rows.iter().map(|row| row.bent.sum()).sum::<u64>();
-        let (calm, calm_crossed) = self.calm.share(None);
-        let (all, crossed) = self.all.share(None);
+        let bent = |totals: &Totals| totals.rows.iter().map(|row| row.exempted.total()).sum::<u64>();
+        let (calm, calm_crossed) = self.calm.attempts_and_crossings(None);
+        let (all, crossed) = self.all.attempts_and_crossings(None);
         let (then, crossed_then) = ((all - calm) as f64, (crossed - calm_crossed) as f64);
         let bent_then = (bent(&self.all) - bent(&self.calm)) as f64;
         [calm_crossed as f64 / calm as f64, (crossed_then - bent_then) / then, bent_then / then]
@@ -167,7 +167,7 @@
         report.bound(&format!("{name}: doubled effects"), (doubled + undone) as f64, 0.0);
         let unsent: u64 = all.rows.iter().map(|row| row.unsent).sum();
         let far_unsent: u64 = all.rows.iter().filter(|row| row.crosses()).map(|row| row.unsent).sum();
-        let (attempts, crossed) = all.share(None);
+        let (attempts, crossed) = all.attempts_and_crossings(None);
         report.bound(
             &format!("{name}: attempts told otherwise by upstreams"),
             (attempts - unsent).abs_diff(*came) as f64,
@@ -182,7 +182,7 @@
     report.note("served in aim by class, and share that crossed, over the whole run:".to_owned());
     for (at, (name, ..)) in BUDGETS.into_iter().enumerate() {
         let by_class = Class::ALL.map(|class| {
-            let (all, crossed) = outcomes[at].all.share(Some(class.name()));
+            let (all, crossed) = outcomes[at].all.attempts_and_crossings(Some(class.name()));
             let service = outcomes[at].book.service(1, Some(class));
             let share = 100.0 * crossed as f64 / all.max(1) as f64;
             format!("{} {service:.3} in the crawl, {share:.1} %", class.name())
