--- a/crates/decide/src/balancer.rs
+++ b/crates/decide/src/balancer.rs
@@ -12,7 +12,7 @@
 use crate::api::*;
 use crate::attempt_timeout::AttemptEvidence;
 use crate::check_schedule::{self, CheckSchedule};
-use crate::cross_zone::{CrossZoneAttempt, CrossZoneBudget};
+use crate::cross_zone::{CrossZoneAttempt, CrossZoneLimiter};
 use crate::estimates::{ClassEstimates, Estimates};
 use crate::fleet::{CandidateSampler, CandidateScope, Fleet, Slot};
 use crate::latency_outlier::UNRESPONSIVE_MULTIPLE;
@@ -85,7 +85,7 @@
     pub(crate) rng: Rand64,
     pub(crate) now: Millis,
     /// What limits traffic that leaves the zone, if anything does.
-    pub(crate) cross_zone_budget: Option<Box<dyn CrossZoneBudget>>,
+    pub(crate) cross_zone_budget: Option<Box<dyn CrossZoneLimiter>>,
     pub(crate) requests: FxHashMap<RequestId, PendingRequest>,
     pub(crate) upstreams: Fleet,
     /// Sends that have not ended: their number in the books of their server. And the next number.
--- a/crates/decide/src/cross_zone.rs
+++ b/crates/decide/src/cross_zone.rs
@@ -64,7 +64,7 @@
 }
 
 /// A plan for traffic that leaves the sidecar's zone. Its owner may find out which one it is. It has no clock and does no I/O; times only move forward.
-pub trait CrossZoneBudget: Any + Debug + Send {
+pub trait CrossZoneLimiter: Any + Debug + Send {
     /// There are so many sidecars from now on, this one included.
     fn set_sidecar_count(&mut self, now: Millis, count: u32);
 
@@ -108,12 +108,12 @@
 impl Balancer {
     /// Puts a plan for traffic that leaves the zone into force, or takes it away. Without one requests cross as
     /// [`Settings::cross_zone_cost`] has it.
-    pub fn set_cross_zone_budget(&mut self, plan: Option<Box<dyn CrossZoneBudget>>) {
+    pub fn set_cross_zone_budget(&mut self, plan: Option<Box<dyn CrossZoneLimiter>>) {
         self.cross_zone_budget = plan;
     }
 
     /// The plan that is in force, to be told of what only the sidecar sees.
-    pub fn cross_zone_budget_mut(&mut self) -> Option<&mut (dyn CrossZoneBudget + 'static)> {
+    pub fn cross_zone_budget_mut(&mut self) -> Option<&mut (dyn CrossZoneLimiter + 'static)> {
         self.cross_zone_budget.as_deref_mut()
     }
 
@@ -136,7 +136,7 @@
     /// Two with room that a request may go to under the plan, where no near one is so good that the fee decides.
     fn select_pair_within_budget(
         &mut self,
-        plan: &dyn CrossZoneBudget,
+        plan: &dyn CrossZoneLimiter,
         reach: CandidateScope,
         held: &PendingRequest,
         view: &SelectionContext,
@@ -209,7 +209,7 @@
 
     /// Whether a request may go to a server where all near ones are full.
     pub(crate) fn may_cross(&self, class: ClassId, to: &Candidate) -> bool {
-        let pays = |plan: &dyn CrossZoneBudget| {
+        let pays = |plan: &dyn CrossZoneLimiter| {
             plan.has_budget(self.now, class, Some(to.zone)) || plan.allows_exemption(BudgetExemption::Full)
         };
         to.same_zone || self.cross_zone_budget.as_deref().is_none_or(pays)
--- a/crates/decide/tests/crossing.rs
+++ b/crates/decide/tests/crossing.rs
@@ -6,7 +6,7 @@
 
 use common::*;
 use sagemast_decide::api::*;
-use sagemast_decide::cross_zone::{BudgetExemption, CrossZoneAttempt, CrossZoneBudget, CrossZoneCost};
+use sagemast_decide::cross_zone::{BudgetExemption, CrossZoneAttempt, CrossZoneCost, CrossZoneLimiter};
 
 #[derive(Debug)]
 struct Made {
@@ -16,7 +16,7 @@
     sent: Vec<CrossZoneAttempt>,
 }
 
-impl CrossZoneBudget for Made {
+impl CrossZoneLimiter for Made {
     fn set_sidecar_count(&mut self, _: Millis, _: u32) {}
 
     fn cross_zone_cost(&self, _: Millis, _: ClassId) -> CrossZoneCost {
--- a/crates/model/src/policy/mod.rs
+++ b/crates/model/src/policy/mod.rs
@@ -5,7 +5,7 @@
 use rustc_hash::FxHashMap;
 use sagemast_decide::api::*;
 use sagemast_pools::counts::Totals;
-use sagemast_pools::cross_zone_budget::BudgetPlan;
+use sagemast_pools::cross_zone_budget::CrossZoneBudgets;
 
 mod ewma;
 mod idle_queue;
@@ -75,7 +75,7 @@
 pub fn under(
     name: &str,
     settings: &Settings,
-    plan: Option<BudgetPlan>,
+    plan: Option<CrossZoneBudgets>,
     seed: u64,
 ) -> Option<Box<dyn Policy>> {
     fn simple<P: Pick + 'static>(pick: P, settings: &Settings, seed: u64) -> Option<Box<dyn Policy>> {
--- a/crates/model/src/policy/module.rs
+++ b/crates/model/src/policy/module.rs
@@ -4,18 +4,18 @@
 
 use sagemast_decide::Balancer;
 use sagemast_decide::api::*;
-use sagemast_decide::cross_zone::CrossZoneBudget;
+use sagemast_decide::cross_zone::CrossZoneLimiter;
 use sagemast_pools::counts::Totals;
-use sagemast_pools::cross_zone_budget::BudgetPlan;
+use sagemast_pools::cross_zone_budget::CrossZoneBudgets;
 
 use super::{Policy, Truth};
 
 pub struct Module(Balancer);
 
 impl Module {
-    pub fn new(settings: Settings, plan: Option<BudgetPlan>, seed: u64) -> Module {
+    pub fn new(settings: Settings, plan: Option<CrossZoneBudgets>, seed: u64) -> Module {
         let mut module = Balancer::new(settings, seed);
-        module.set_cross_zone_budget(plan.map(|plan| Box::new(plan) as Box<dyn CrossZoneBudget>));
+        module.set_cross_zone_budget(plan.map(|plan| Box::new(plan) as Box<dyn CrossZoneLimiter>));
         Module(module)
     }
 }
@@ -30,7 +30,7 @@
     }
 
     fn crossings(&mut self) -> Option<(Totals, usize)> {
-        let plan = (self.0.cross_zone_budget_mut()? as &mut dyn Any).downcast_mut::<BudgetPlan>()?;
+        let plan = (self.0.cross_zone_budget_mut()? as &mut dyn Any).downcast_mut::<CrossZoneBudgets>()?;
         Some((plan.counts().totals(), plan.outstanding_attempts()))
     }
 }
--- a/crates/pools/src/cross_zone_budget.rs
+++ b/crates/pools/src/cross_zone_budget.rs
@@ -5,7 +5,7 @@
 
 use rustc_hash::FxHashMap;
 use sagemast_decide::api::*;
-use sagemast_decide::cross_zone::{BudgetExemption, CrossZoneAttempt, CrossZoneBudget, CrossZoneCost};
+use sagemast_decide::cross_zone::{BudgetExemption, CrossZoneAttempt, CrossZoneCost, CrossZoneLimiter};
 
 use crate::counts::{Counter, Counts, Names};
 use crate::token_bucket::TokenBucket;
@@ -108,7 +108,7 @@
 
 /// The plan of one instance.
 #[derive(Debug)]
-pub struct BudgetPlan {
+pub struct CrossZoneBudgets {
     rules: Rules,
     purses: Vec<Purse>,
     sidecars: u32,
@@ -130,12 +130,12 @@
     }
 }
 
-impl BudgetPlan {
+impl CrossZoneBudgets {
     /// A plan whose budgets are empty: a restart makes none. What it counts goes on in these counts, whose names tell
     /// the zone that it is for.
-    pub fn new(rules: Rules, counts: Arc<Counts>, sidecars: u32, now: Millis) -> BudgetPlan {
+    pub fn new(rules: Rules, counts: Arc<Counts>, sidecars: u32, now: Millis) -> CrossZoneBudgets {
         let classes = counts.names().classes.len();
-        let mut plan = BudgetPlan {
+        let mut plan = CrossZoneBudgets {
             rules: Rules { budgets: Vec::new(), ..rules.clone() },
             purses: Vec::new(),
             sidecars,
@@ -194,7 +194,7 @@
     }
 }
 
-impl CrossZoneBudget for BudgetPlan {
+impl CrossZoneLimiter for CrossZoneBudgets {
     fn set_sidecar_count(&mut self, now: Millis, count: u32) {
         self.sidecars = count;
         for purse in &mut self.purses {
--- a/crates/pools/tests/plan.rs
+++ b/crates/pools/tests/plan.rs
@@ -5,9 +5,9 @@
 use proptest::collection::vec;
 use proptest::prelude::*;
 use sagemast_decide::api::*;
-use sagemast_decide::cross_zone::{BudgetExemption, CrossZoneAttempt, CrossZoneBudget};
+use sagemast_decide::cross_zone::{BudgetExemption, CrossZoneAttempt, CrossZoneLimiter};
 use sagemast_pools::counts::{Counts, Names, Totals};
-use sagemast_pools::cross_zone_budget::{Budget, BudgetLimit, BudgetPlan, Rules};
+use sagemast_pools::cross_zone_budget::{Budget, BudgetLimit, CrossZoneBudgets, Rules};
 
 const HOME: ZoneId = ZoneId(0);
 const FAR: ZoneId = ZoneId(1);
@@ -21,10 +21,10 @@
     Budget { classes: None, to: None, limit: measure, burst }
 }
 
-fn plan(budgets: Vec<Budget>, sidecars: u32) -> BudgetPlan {
+fn plan(budgets: Vec<Budget>, sidecars: u32) -> CrossZoneBudgets {
     let rules =
         Rules { cost: 0.03, exemption_threshold: 0.2, exemptions: BudgetExemption::ALL.to_vec(), budgets };
-    BudgetPlan::new(rules, Arc::new(Counts::new(names())), sidecars, 0.0)
+    CrossZoneBudgets::new(rules, Arc::new(Counts::new(names())), sidecars, 0.0)
 }
 
 fn attempt(number: u64, to: ZoneId, bend: Option<BudgetExemption>) -> CrossZoneAttempt {
@@ -235,7 +235,7 @@
     to.to = Some(vec![ZoneId(2)]);
     let names = Names { zones: ["a", "b", "c"].map(str::to_owned).to_vec(), ..names() };
     let rules = Rules { cost: 0.03, exemption_threshold: 0.2, exemptions: Vec::new(), budgets: vec![to] };
-    let plan = BudgetPlan::new(rules, Arc::new(Counts::new(names)), 1, 0.0);
+    let plan = CrossZoneBudgets::new(rules, Arc::new(Counts::new(names)), 1, 0.0);
     let pays = [None, Some(ZoneId(1)), Some(ZoneId(2))].map(|to| plan.has_budget(0.0, ClassId(0), to));
     assert_eq!(pays, [true, true, false]);
     assert!((plan.cross_zone_cost(0.0, ClassId(0)).cost - 0.03).abs() < 1e-9);
@@ -266,7 +266,7 @@
 fn many_sidecars_share_one_rate() {
     let mut one = plan(vec![budget(BudgetLimit::PerSecond(10.0), 10.0)], 1);
     let mut ten = plan(vec![budget(BudgetLimit::PerSecond(10.0), 10.0)], 10);
-    let crossings = |plan: &mut BudgetPlan| {
+    let crossings = |plan: &mut CrossZoneBudgets| {
         let mut paid = 0;
         for ms in 0..10_000_u64 {
             if plan.has_budget(ms as f64, ClassId(0), Some(FAR)) {
