--- a/crates/decide/src/check_schedule.rs
+++ b/crates/decide/src/check_schedule.rs
@@ -1,46 +1,47 @@
-//! Which requests are to be looked at when, with one timer for all of them: an answer in time leaves nothing behind.
+//! The times at which requests are to be checked, with one timer for all of them. A request that is answered in time leaves
+//! no timer behind.
 
 use std::collections::BTreeSet;
 
 use crate::api::{Action, Millis, RequestId};
 use crate::fleet::Due;
 
-/// The token of its timer. Those of requests that wait for probes are smaller but for one in 2^62.
+/// The token of the timer. The timers of requests that wait for probes have smaller tokens, except for one in 2^62.
 pub(crate) const TIMER_TOKEN: u64 = u64::MAX >> 1;
 
-/// A timer may go off so much before its time as it was told: times are kept in whole microseconds.
-const ROUNDING: Millis = 0.002;
+/// A timer may fire this much early, since its time is kept in whole microseconds.
+const TIMER_ROUNDING: Millis = 0.002;
 
-/// Requests by when they are due; one entry for each request that is held, at most.
+/// Requests by the time of their next check; at most one entry for each pending request.
 #[derive(Debug, Default)]
 pub(crate) struct CheckSchedule {
     due: BTreeSet<(Due, RequestId)>,
-    /// When the timer that is set goes off.
+    /// The time of the earliest timer in force.
     armed: Option<Due>,
 }
 
 impl CheckSchedule {
-    /// Changes when a request is looked at.
-    pub fn reschedule(&mut self, request: RequestId, before: Option<Millis>, at: Option<Millis>) {
-        if let Some(before) = before {
-            self.due.remove(&(Due::at(before), request));
+    /// Moves the check of a request from one time to another. `None` stands for no check.
+    pub fn reschedule(&mut self, request: RequestId, previous: Option<Millis>, next: Option<Millis>) {
+        if let Some(previous) = previous {
+            self.due.remove(&(Due::at(previous), request));
         }
-        self.due.extend(at.map(|at| (Due::at(at), request)));
+        self.due.extend(next.map(|at| (Due::at(at), request)));
     }
 
-    /// The timer has gone off.
+    /// Records that the timer has fired.
     pub fn timer_fired(&mut self) {
         self.armed = None;
     }
 
-    /// One that is due.
+    /// Removes and returns the next request whose check is due.
     pub fn pop_due(&mut self, now: Millis) -> Option<RequestId> {
-        let due = *self.due.first().filter(|(due, _)| *due <= Due::at(now + ROUNDING))?;
-        self.due.remove(&due);
-        Some(due.1)
+        let entry = *self.due.first().filter(|(due, _)| *due <= Due::at(now + TIMER_ROUNDING))?;
+        self.due.remove(&entry);
+        Some(entry.1)
     }
 
-    /// Has the timer set where none goes off in time.
+    /// Sets a timer for the earliest check, unless one that fires no later is in force.
     pub fn arm_timer(&mut self, out: &mut Vec<Action>) {
         let Some((due, _)) = self.due.first().filter(|(due, _)| self.armed.is_none_or(|at| *due < at)) else {
             return;
@@ -49,7 +50,6 @@
         out.push(Action::SetTimer { at: due.millis(), token: TIMER_TOKEN });
     }
 
-    /// How many are watched.
     #[cfg(test)]
     pub fn len(&self) -> usize {
         self.due.len()
@@ -61,25 +61,25 @@
     use super::*;
 
     #[test]
-    fn one_timer_serves_all_and_what_ended_is_not_looked_at() {
-        let (mut watch, mut out) = (CheckSchedule::default(), Vec::new());
+    fn one_timer_serves_all_requests_and_cancelled_checks_are_not_returned() {
+        let (mut schedule, mut out) = (CheckSchedule::default(), Vec::new());
         for id in 1..=9 {
-            watch.reschedule(RequestId(id), None, Some(100.0 - id as f64));
-            watch.arm_timer(&mut out);
+            schedule.reschedule(RequestId(id), None, Some(100.0 - id as f64));
+            schedule.arm_timer(&mut out);
         }
-        assert_eq!(out.len(), 9, "each was due before all others");
+        assert_eq!(out.len(), 9, "each check was due before all earlier ones");
         out.clear();
-        watch.reschedule(RequestId(9), Some(91.0), None);
-        watch.reschedule(RequestId(10), None, Some(99.5));
-        watch.arm_timer(&mut out);
-        assert!(out.is_empty(), "the timer that is set comes first");
-        watch.timer_fired();
+        schedule.reschedule(RequestId(9), Some(91.0), None);
+        schedule.reschedule(RequestId(10), None, Some(99.5));
+        schedule.arm_timer(&mut out);
+        assert!(out.is_empty(), "the timer in force fires earlier");
+        schedule.timer_fired();
         assert_eq!(
-            (watch.pop_due(91.0), watch.pop_due(92.0), watch.pop_due(92.0)),
+            (schedule.pop_due(91.0), schedule.pop_due(92.0), schedule.pop_due(92.0)),
             (None, Some(RequestId(8)), None)
         );
-        watch.arm_timer(&mut out);
+        schedule.arm_timer(&mut out);
         assert_eq!(out, [Action::SetTimer { at: 93.0, token: TIMER_TOKEN }]);
-        assert_eq!(watch.len(), 8);
+        assert_eq!(schedule.len(), 8);
     }
 }
--- a/crates/decide/src/cross_zone.rs
+++ b/crates/decide/src/cross_zone.rs
@@ -1,9 +1,9 @@
-//! Whether a request may leave its zone, where a plan limits that. The plan ([`CrossZone`]) knows the budgets; here
-//! stands what the draw makes of it: near while that is worth it, across while a budget pays, and across without one
-//! only where staying would break the service.
+//! Whether a request may leave its zone where cross-zone traffic is limited. A [`CrossZoneLimiter`] keeps the budgets. The
+//! selection applies them: a request stays in its zone while that costs it little, crosses while a budget pays for it, and
+//! crosses without a budget only where staying would break the service.
 //!
-//! A plan narrows whom a request may go to. It never widens that, and never makes an attempt: what may be sent again,
-//! and to whom, is settled before it is asked.
+//! A limiter narrows the servers that a request may be sent to. It never widens them and never causes an attempt: whether a
+//! request may be sent again, and to which servers, is decided before the limiter is asked.
 
 use std::any::Any;
 use std::fmt::Debug;
@@ -13,23 +13,23 @@
 use crate::fleet::CandidateScope;
 use crate::state::{Candidate, PendingRequest, SelectionContext};
 
-/// Why a request crosses although no budget pays for it.
+/// Why a request leaves its zone although no budget pays for it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum BudgetExemption {
-    /// No near server takes part: none is listed, or all are ejected.
+    /// The zone has no server to select: none is listed, or all are ejected.
     Down,
-    /// No near server has room: staying means to be refused.
+    /// No server of the zone has capacity, so that the request would be refused.
     Full,
-    /// Near servers have room, but an answer from them would lose more of its worth than the plan gives up.
+    /// Servers of the zone have capacity, but the expected loss of worth by late answers exceeds the limiter's threshold.
     Late,
-    /// Near servers have room, but fail so often that more of its worth would be lost than the plan gives up.
+    /// Servers of the zone have capacity, but the expected loss of worth by failures exceeds the limiter's threshold.
     Failing,
-    /// It may have run, and those that drop its repeats are all across.
+    /// The request may have run, and all servers that recognise its key as a duplicate are in other zones.
     Bound,
 }
 
 impl BudgetExemption {
-    /// All of them, in the order of their numbers.
+    /// All reasons, in the order of their declaration.
     pub const ALL: [BudgetExemption; 5] = [
         BudgetExemption::Down,
         BudgetExemption::Full,
@@ -39,48 +39,50 @@
     ];
 }
 
-/// What a crossing costs a request now. Both are shares of a request's worth, above 0 and below 1.
+/// The cost of leaving the zone at present. Both values are shares of a request's worth, above 0 and below 1.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CrossZoneCost {
-    /// A request stays near while it loses less than this by it. Grows as the budget is used up.
+    /// A request stays in its zone while its expected loss there is below this. Rises as the budget is used up.
     pub cost: f64,
-    /// Without a budget it stays while it loses less than this, or would win less than this across.
+    /// Without a budget, a request stays in its zone while its expected loss there is below this, or while it would gain less
+    /// than this in another zone.
     pub exemption_threshold: f64,
 }
 
-/// An attempt that goes out.
+/// An attempt as the limiter accounts for it, in its own zone or in another one.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CrossZoneAttempt {
     /// The request.
     pub request: RequestId,
-    /// Which of its sends.
+    /// The number of the attempt within the request.
     pub number: AttemptNo,
-    /// Its class.
+    /// The class of the request.
     pub class: ClassId,
-    /// Where it goes.
+    /// The zone of the server.
     pub to: ZoneId,
-    /// Why it crosses without a budget; `None` if it stays or a budget pays.
+    /// Why the attempt leaves the zone without a budget; `None` if it stays in the zone or a budget pays.
     pub exemption: Option<BudgetExemption>,
 }
 
-/// A plan for traffic that leaves the sidecar's zone. Its owner may find out which one it is. It has no clock and does no I/O; times only move forward.
+/// Limits the traffic that leaves the sidecar's zone. Implementations have no clock and do no I/O; `now` never decreases. The
+/// owner of a limiter may downcast it to its type.
 pub trait CrossZoneLimiter: Any + Debug + Send {
-    /// There are so many sidecars from now on, this one included.
+    /// Sets the number of sidecars that share the budgets, this one included.
     fn set_sidecar_count(&mut self, now: Millis, count: u32);
 
-    /// What a crossing costs a request of this class.
+    /// What leaving the zone costs a request of this class.
     fn cross_zone_cost(&self, now: Millis, class: ClassId) -> CrossZoneCost;
 
-    /// Whether a budget pays for one more crossing, to this zone or (`None`) to any that has no budget of its own.
+    /// Whether a budget pays for one more attempt to this zone, or for `None` to any zone without a budget of its own.
     fn has_budget(&self, now: Millis, class: ClassId, to: Option<ZoneId>) -> bool;
 
-    /// Whether a request may cross without a budget for this reason.
-    fn allows_exemption(&self, why: BudgetExemption) -> bool;
+    /// Whether a request may leave the zone without a budget for this reason.
+    fn allows_exemption(&self, reason: BudgetExemption) -> bool;
 
-    /// An attempt goes out, near or far.
+    /// Accounts for an attempt that is sent, in the same zone or to another one.
     fn attempt_sent(&mut self, now: Millis, attempt: CrossZoneAttempt);
 
-    /// It has ended so, with so many bytes of bodies: sent, received.
+    /// Accounts for the end of an attempt. `bytes` are the lengths of the bodies sent and received.
     fn attempt_ended(
         &mut self,
         now: Millis,
@@ -90,156 +92,161 @@
         bytes: [u64; 2],
     );
 
-    /// A probe goes out to this zone.
+    /// Accounts for a probe that is sent to this zone.
     fn probe_sent(&mut self, to: ZoneId);
 }
 
-/// The share of its worth that a request is expected to lose at a server, with so much time left: an answer that is
-/// expected after `wait` is late with a chance of exp(-left / wait), since answer times are about exponential.
-fn loss(at: &Candidate, left: Millis) -> f64 {
-    let late = match at.awaits_probe {
+/// The share of its worth that a request is expected to lose at a server. An answer expected after `wait` is late with the
+/// probability exp(-time_left / wait), since latencies are roughly exponential.
+fn expected_loss(candidate: &Candidate, time_left: Millis) -> f64 {
+    let late_probability = match candidate.awaits_probe {
         true => 0.0,
-        false if left > 0.0 => (-left / at.wait.max(f64::MIN_POSITIVE)).exp(),
+        false if time_left > 0.0 => (-time_left / candidate.wait.max(f64::MIN_POSITIVE)).exp(),
         false => 1.0,
     };
-    1.0 - (1.0 - late) * (1.0 - at.failure_rate)
+    1.0 - (1.0 - late_probability) * (1.0 - candidate.failure_rate)
 }
 
 impl Balancer {
-    /// Puts a plan for traffic that leaves the zone into force, or takes it away. Without one requests cross as
-    /// [`Settings::cross_zone_cost`] has it.
-    pub fn set_cross_zone_budget(&mut self, plan: Option<Box<dyn CrossZoneLimiter>>) {
-        self.cross_zone_budget = plan;
+    /// Sets or removes the limiter of cross-zone traffic. Without one, [`Settings::cross_zone_cost`] alone applies.
+    pub fn set_cross_zone_budget(&mut self, limiter: Option<Box<dyn CrossZoneLimiter>>) {
+        self.cross_zone_budget = limiter;
     }
 
-    /// The plan that is in force, to be told of what only the sidecar sees.
+    /// The limiter in force, for what only the sidecar observes, such as the bytes of an attempt.
     pub fn cross_zone_budget_mut(&mut self) -> Option<&mut (dyn CrossZoneLimiter + 'static)> {
         self.cross_zone_budget.as_deref_mut()
     }
 
-    /// Two with room, wherever the request may go.
+    /// Selects two candidates with capacity wherever the request may go.
     pub(crate) fn select_pair(
         &mut self,
-        reach: CandidateScope,
-        held: &PendingRequest,
-        view: &SelectionContext,
+        scope: CandidateScope,
+        pending: &PendingRequest,
+        context: &SelectionContext,
     ) -> Option<[Candidate; 2]> {
-        // It is asked while servers are looked at, which takes hold of all the rest.
-        let Some(plan) = self.cross_zone_budget.take() else {
-            return self.anywhere(reach, held, view, |_| true);
+        // The limiter is read while candidates are examined, which borrows the rest of the balancer mutably.
+        let Some(limiter) = self.cross_zone_budget.take() else {
+            return self.anywhere(scope, pending, context, |_| true);
         };
-        let pair = self.select_pair_within_budget(&*plan, reach, held, view);
-        self.cross_zone_budget = Some(plan);
+        let pair = self.select_pair_within_budget(&*limiter, scope, pending, context);
+        self.cross_zone_budget = Some(limiter);
         pair
     }
 
-    /// Two with room that a request may go to under the plan, where no near one is so good that the fee decides.
+    /// Selects two candidates with capacity that the limiter allows, after the search for good candidates in the same zone
+    /// has found none.
     fn select_pair_within_budget(
         &mut self,
-        plan: &dyn CrossZoneLimiter,
-        reach: CandidateScope,
-        held: &PendingRequest,
-        view: &SelectionContext,
+        limiter: &dyn CrossZoneLimiter,
+        scope: CandidateScope,
+        pending: &PendingRequest,
+        context: &SelectionContext,
     ) -> Option<[Candidate; 2]> {
-        let (now, class, left) = (self.now, held.class, self.aim_left(held));
-        let bend_at = plan.cross_zone_cost(now, class).exemption_threshold;
-        let home = match reach {
+        let (now, class, time_left) = (self.now, pending.class, self.aim_left(pending));
+        let threshold = limiter.cross_zone_cost(now, class).exemption_threshold;
+        let same_zone_scope = match scope {
             CandidateScope::All => CandidateScope::Zone(self.settings.zone),
             CandidateScope::Members => CandidateScope::MembersIn(self.settings.zone),
-            _ => reach,
+            _ => scope,
         };
-        if plan.has_budget(now, class, None) {
-            let may = |c: &Candidate| {
-                if c.same_zone { loss(c, left) <= bend_at } else { plan.has_budget(now, class, Some(c.zone)) }
+        if limiter.has_budget(now, class, None) {
+            let is_allowed = |candidate: &Candidate| match candidate.same_zone {
+                true => expected_loss(candidate, time_left) <= threshold,
+                false => limiter.has_budget(now, class, Some(candidate.zone)),
             };
-            if let Some(pair) = self.anywhere(reach, held, view, may) {
+            if let Some(pair) = self.anywhere(scope, pending, context, is_allowed) {
                 return Some(pair);
             }
         }
-        let (mut near, mut healthy) = (false, false);
-        let stay = self.two(home, held, view, false, |c| {
-            near |= c.same_zone;
-            healthy |= c.same_zone && c.healthy;
-            c.same_zone && c.healthy && view.has_room(c)
+        let (mut any_in_zone, mut any_healthy) = (false, false);
+        let same_zone_pair = self.two(same_zone_scope, pending, context, false, |candidate| {
+            any_in_zone |= candidate.same_zone;
+            any_healthy |= candidate.same_zone && candidate.healthy;
+            candidate.same_zone && candidate.healthy && context.has_room(candidate)
         });
-        let least = |[a, b]: &[Candidate; 2]| loss(a, left).min(loss(b, left));
-        let why = match &stay {
-            Some(pair) if least(pair) <= bend_at => return stay,
-            Some([a, b]) if a.failure_rate.min(b.failure_rate) > bend_at => BudgetExemption::Failing,
+        let least_loss =
+            |[a, b]: &[Candidate; 2]| expected_loss(a, time_left).min(expected_loss(b, time_left));
+        let is_bound_elsewhere =
+            !matches!(scope, CandidateScope::All | CandidateScope::Members) && !any_in_zone;
+        let reason = match &same_zone_pair {
+            Some(pair) if least_loss(pair) <= threshold => return same_zone_pair,
+            Some([a, b]) if a.failure_rate.min(b.failure_rate) > threshold => BudgetExemption::Failing,
             Some(_) => BudgetExemption::Late,
-            None if !matches!(reach, CandidateScope::All | CandidateScope::Members) && !near => {
-                BudgetExemption::Bound
-            }
-            None if healthy => BudgetExemption::Full,
+            None if is_bound_elsewhere => BudgetExemption::Bound,
+            None if any_healthy => BudgetExemption::Full,
             None => BudgetExemption::Down,
         };
-        if !plan.allows_exemption(why) {
-            // Rather one that looks bad than no one.
-            let any = |c: &Candidate| c.same_zone && view.has_room(c);
-            return stay.or_else(|| self.two(home, held, view, true, any));
+        if !limiter.allows_exemption(reason) {
+            // An unhealthy server of the zone is better than none.
+            let with_capacity = |candidate: &Candidate| candidate.same_zone && context.has_room(candidate);
+            return same_zone_pair
+                .or_else(|| self.two(same_zone_scope, pending, context, true, with_capacity));
         }
-        let across = self.anywhere(reach, held, view, |_| true);
-        if let (Some(here), Some(there)) = (&stay, &across) {
-            // Where all crawl nothing is won across.
-            if least(here) - least(there) < bend_at {
-                return stay;
+        let any_zone_pair = self.anywhere(scope, pending, context, |_| true);
+        if let (Some(same_zone), Some(any_zone)) = (&same_zone_pair, &any_zone_pair) {
+            // Where all zones are slow, leaving this one gains nothing.
+            if least_loss(same_zone) - least_loss(any_zone) < threshold {
+                return same_zone_pair;
             }
         }
-        let bent = |c: Candidate| Candidate { exemption: Some(why).filter(|_| !c.same_zone), ..c };
-        across.map(|pair| pair.map(bent)).or(stay)
+        let exempted = |c: Candidate| Candidate { exemption: Some(reason).filter(|_| !c.same_zone), ..c };
+        any_zone_pair.map(|pair| pair.map(exempted)).or(same_zone_pair)
     }
 
-    /// The better of two warm servers with room, where a pair was cold and neither may be sent more: others may well
-    /// have room, near or, where a budget pays or bends, across.
-    pub(crate) fn select_warm(&mut self, held: &PendingRequest) -> Option<Candidate> {
-        let (reach, view) = (self.reach(held)?.inside(), self.view(held));
-        let (now, class, plan) = (self.now, held.class, self.cross_zone_budget.take());
-        let across = |to| {
-            plan.as_ref().is_none_or(|p| {
-                p.has_budget(now, class, Some(to)) || p.allows_exemption(BudgetExemption::Full)
+    /// Selects the better of two warm servers with capacity after a pair was warming up and neither may be sent more. Other
+    /// servers may well have capacity, in the same zone or, with a budget or an exemption, in another one.
+    pub(crate) fn select_warm(&mut self, pending: &PendingRequest) -> Option<Candidate> {
+        let (scope, context) = (self.reach(pending)?.inside(), self.view(pending));
+        let (now, class, limiter) = (self.now, pending.class, self.cross_zone_budget.take());
+        let may_leave_to = |zone| {
+            limiter.as_ref().is_none_or(|limiter| {
+                limiter.has_budget(now, class, Some(zone)) || limiter.allows_exemption(BudgetExemption::Full)
             })
         };
-        let may = |c: &Candidate| c.warm_up_fraction >= 1.0 && (c.same_zone || across(c.zone));
-        let pair = self.anywhere(reach, held, &view, may);
-        self.cross_zone_budget = plan;
+        let is_allowed = |candidate: &Candidate| {
+            candidate.warm_up_fraction >= 1.0 && (candidate.same_zone || may_leave_to(candidate.zone))
+        };
+        let pair = self.anywhere(scope, pending, &context, is_allowed);
+        self.cross_zone_budget = limiter;
         let [a, b] = pair?;
         let best = if b.projected_load < a.projected_load { b } else { a };
         Some(Candidate { exemption: Some(BudgetExemption::Full).filter(|_| !best.same_zone), ..best })
     }
 
-    /// Whether a request may go to a server where all near ones are full.
+    /// Whether a request may be sent to this server while all servers of its own zone are full.
     pub(crate) fn may_cross(&self, class: ClassId, to: &Candidate) -> bool {
-        let pays = |plan: &dyn CrossZoneLimiter| {
-            plan.has_budget(self.now, class, Some(to.zone)) || plan.allows_exemption(BudgetExemption::Full)
+        let allows = |limiter: &dyn CrossZoneLimiter| {
+            limiter.has_budget(self.now, class, Some(to.zone))
+                || limiter.allows_exemption(BudgetExemption::Full)
         };
-        to.same_zone || self.cross_zone_budget.as_deref().is_none_or(pays)
+        to.same_zone || self.cross_zone_budget.as_deref().is_none_or(allows)
     }
 
-    /// Whether a server that was drawn before may still be sent this request.
-    pub(crate) fn is_still_allowed(&self, held: &PendingRequest, to: &Candidate) -> bool {
-        let Some(plan) = self.cross_zone_budget.as_ref().filter(|_| !to.same_zone) else { return true };
-        held.exemption.is_some() || plan.has_budget(self.now, held.class, Some(to.zone))
+    /// Whether the limiter still allows a server that was selected earlier for this request.
+    pub(crate) fn is_still_allowed(&self, pending: &PendingRequest, to: &Candidate) -> bool {
+        let Some(limiter) = self.cross_zone_budget.as_ref().filter(|_| !to.same_zone) else { return true };
+        pending.exemption.is_some() || limiter.has_budget(self.now, pending.class, Some(to.zone))
     }
 
-    /// Tells the plan of an attempt. Its bend counts only where no budget pays.
+    /// Notifies the limiter of an attempt. The exemption is dropped where a budget pays after all.
     pub(crate) fn notify_budget_of_attempt(&mut self, attempt: CrossZoneAttempt) {
-        let (now, home) = (self.now, self.settings.zone);
-        let Some(plan) = &mut self.cross_zone_budget else { return };
-        let pays = attempt.to == home || plan.has_budget(now, attempt.class, Some(attempt.to));
-        plan.attempt_sent(
-            now,
-            CrossZoneAttempt { exemption: attempt.exemption.filter(|_| !pays), ..attempt },
-        );
+        let (now, own_zone) = (self.now, self.settings.zone);
+        let Some(limiter) = &mut self.cross_zone_budget else { return };
+        let needs_no_exemption =
+            attempt.to == own_zone || limiter.has_budget(now, attempt.class, Some(attempt.to));
+        let exemption = attempt.exemption.filter(|_| !needs_no_exemption);
+        limiter.attempt_sent(now, CrossZoneAttempt { exemption, ..attempt });
     }
 
-    /// Tells it of a probe.
+    /// Notifies the limiter of a probe.
     pub(crate) fn notify_budget_of_probe(&mut self, id: UpstreamId) {
         let zone = self.upstreams.get(id).map(|upstream| upstream.zone);
-        self.cross_zone_budget.iter_mut().zip(zone).for_each(|(plan, zone)| plan.probe_sent(zone));
+        self.cross_zone_budget.iter_mut().zip(zone).for_each(|(limiter, zone)| limiter.probe_sent(zone));
     }
 
-    /// Whether the plan keeps a request of this class in its zone, but for bends.
+    /// Whether the limiter keeps requests of this class in their zone, apart from exemptions.
     pub(crate) fn is_confined_to_zone(&self, class: ClassId) -> bool {
-        self.cross_zone_budget.as_ref().is_some_and(|plan| !plan.has_budget(self.now, class, None))
+        self.cross_zone_budget.as_ref().is_some_and(|limiter| !limiter.has_budget(self.now, class, None))
     }
 }
--- a/crates/decide/src/latency_outlier.rs
+++ b/crates/decide/src/latency_outlier.rs
@@ -1,149 +1,162 @@
-//! Attempts that take long: what speaks against their servers, when they are looked at, and whether they are given up.
+//! Checks of attempts that take long: when they are checked, the evidence against their servers, and whether they are
+//! abandoned for a retry elsewhere.
 
 use crate::Balancer;
 use crate::api::*;
 use crate::attempt_timeout::AttemptEvidence;
 use crate::state::{Candidate, OutstandingSend, PendingRequest, Upstream};
 
-/// Time left to the aim when another attempt is tried, where that is set beforehand, in service times.
-const RETRY_ROOM: f64 = 1.5;
-/// A keyed request that was given up may yet run after its window: that much more has to be won.
-const KEYED_COST: f64 = 0.3;
-/// A probe that takes so many times what they take of late is unanswered.
-const UNANSWERED: f64 = 10.0;
-/// One that is overdue is looked at again after so many times as long, and not before this.
-const LOOKS_APART: f64 = 1.5;
-const LOOK_AGAIN: Millis = 1.0;
-/// No more than so many unanswered requests are taken for evidence.
-const WITNESSES: usize = 16;
-/// A server that answered nothing in so many times what answers take of late hangs.
+/// Time that a timeout set in advance leaves for a retry before the aim, in service times.
+const RETRY_RESERVE_SERVICE_TIMES: f64 = 1.5;
+/// Additional gain that abandoning an attempt of a keyed request needs: the attempt may still run after its window.
+const KEYED_RETRY_EXTRA_COST: f64 = 0.3;
+/// A probe counts as unanswered after this multiple of the current usual probe time.
+const PROBE_UNANSWERED_MULTIPLE: f64 = 10.0;
+/// An overdue attempt is checked again when its elapsed time has grown by this factor.
+const RECHECK_GROWTH: f64 = 1.5;
+const MIN_RECHECK_INTERVAL: Millis = 1.0;
+/// At most this many unanswered attempts of a server are used as evidence.
+const MAX_COMPARED_ATTEMPTS: usize = 16;
+/// A server that has answered nothing for this multiple of the current usual latency is unresponsive.
 pub(crate) const UNRESPONSIVE_MULTIPLE: f64 = 4.0;
 
 impl Balancer {
-    /// Long enough for this attempt, short enough for another to make the aim.
-    pub(crate) fn attempt_timeout(&self, held: &PendingRequest, to: Candidate) -> Millis {
-        let spare = self.aim_left(held) - RETRY_ROOM * self.estimates.service[held.class.0].time;
+    /// The timeout of an attempt that cannot be cancelled later: long enough for an answer, and short enough for a retry to
+    /// meet the aim.
+    pub(crate) fn attempt_timeout(&self, pending: &PendingRequest, to: Candidate) -> Millis {
+        let service_time = self.estimates.service[pending.class.0].time;
+        let spare = self.aim_left(pending) - RETRY_RESERVE_SERVICE_TIMES * service_time;
         spare.max(UNRESPONSIVE_MULTIPLE * self.estimates.unresponsive.slowdown() * to.wait)
     }
 
+    /// Evidence before anything is known of the server.
     pub(crate) fn baseline_evidence(&self) -> AttemptEvidence {
-        let (silence, crowd) = (self.estimates.unresponsive.rate(), self.estimates.unresponsive.slowdown());
         AttemptEvidence {
             expected: 1.0,
             others_tail_probability: 1.0,
-            unresponsive_rate: silence,
+            unresponsive_rate: self.estimates.unresponsive.rate(),
             failure_rate: 0.0,
-            slowdown: crowd,
+            slowdown: self.estimates.unresponsive.slowdown(),
             answered_since: false,
             probe_unanswered: false,
         }
     }
 
-    /// Whether there may be another attempt after so many, somewhere else.
-    pub(crate) fn may_retry(&self, held: &PendingRequest, attempts: usize) -> bool {
-        let class = &self.settings.classes[held.class.0];
+    /// Whether a request that has made this many attempts may be sent to another server.
+    pub(crate) fn may_retry(&self, pending: &PendingRequest, attempts: usize) -> bool {
+        let class = &self.settings.classes[pending.class.0];
         (attempts as u32) < self.settings.limits.max_attempts
             && class.effect != Effect::NonIdempotent
             && self.estimates.retry_tokens >= 1.0
-            && self.reach(held).is_some_and(|reach| self.upstreams.size(reach).1 > 1)
+            && self.reach(pending).is_some_and(|scope| self.upstreams.size(scope).1 > 1)
     }
 
-    /// What giving up an attempt of a request has to win.
-    fn cost(&self, held: &PendingRequest) -> f64 {
-        let keyed = matches!(self.settings.classes[held.class.0].effect, Effect::IdempotentByKey { .. });
-        self.settings.attempt_cost + if keyed { KEYED_COST } else { 0.0 }
+    /// The gain in answer probability that abandoning an attempt of this request needs.
+    fn abandon_cost(&self, pending: &PendingRequest) -> f64 {
+        let is_keyed =
+            matches!(self.settings.classes[pending.class.0].effect, Effect::IdempotentByKey { .. });
+        self.settings.attempt_cost + if is_keyed { KEYED_RETRY_EXTRA_COST } else { 0.0 }
     }
 
-    /// When to look at an attempt that has been out for so long, counted from its start.
+    /// When to check an attempt next, as the time from its start. `elapsed` has passed already.
     pub(crate) fn next_check_after(
         &self,
-        held: &PendingRequest,
-        known: &AttemptEvidence,
-        out: Millis,
+        pending: &PendingRequest,
+        evidence: &AttemptEvidence,
+        elapsed: Millis,
     ) -> Option<Millis> {
-        let class = &self.estimates.service[held.class.0];
-        let until = out + self.aim_left(held);
-        let gains = known.next_check(&class.latencies, out, until, class.wait, self.cost(held));
-        // When it is overdue its server is asked; and now and then from there on there may be more to go by.
-        let again =
-            (LOOKS_APART * out).max(class.latencies.overdue_multiple() * known.slowdown * known.expected);
-        let ask = Some(again).filter(|at| *at < until);
-        gains.into_iter().chain(ask).reduce(f64::min)
+        let class = &self.estimates.service[pending.class.0];
+        let worthless_after = elapsed + self.aim_left(pending);
+        let cost = self.abandon_cost(pending);
+        let worth_retry = evidence.next_check(&class.latencies, elapsed, worthless_after, class.wait, cost);
+        // The server of an overdue attempt is probed, then again at growing intervals: its answers are further evidence.
+        let overdue = class.latencies.overdue_multiple() * evidence.slowdown * evidence.expected;
+        let probe = Some((RECHECK_GROWTH * elapsed).max(overdue)).filter(|at| *at < worthless_after);
+        worth_retry.into_iter().chain(probe).reduce(f64::min)
     }
 
-    /// Looks at an attempt that takes long: it is given up if elsewhere an answer is likelier in time, else
-    /// its server is asked.
+    /// Checks the latest attempt of a request: cancels it if an answer in time is likelier elsewhere, else probes its server.
     pub(crate) fn check_attempt(&mut self, request: RequestId, out: &mut Vec<Action>) {
-        let Some(held) = self.requests.get_mut(&request) else { return };
-        held.check_at = None;
-        let held = held.clone();
-        let Some((number, this)) = held.attempts.iter().enumerate().next_back().filter(|(_, t)| t.out) else {
+        let Some(pending) = self.requests.get_mut(&request) else { return };
+        pending.check_at = None;
+        let pending = pending.clone();
+        let Some((number, latest)) = pending.attempts.iter().enumerate().next_back().filter(|(_, t)| t.out)
+        else {
             return;
         };
         let attempt = AttemptNo(number as u32);
-        let Some((known, taken)) = self.evidence(request, attempt) else { return };
-        let class = &self.estimates.service[held.class.0];
-        let gain = known.retry_gain(&class.latencies, taken, self.aim_left(&held), class.wait);
-        if gain > self.cost(&held) && self.may_retry(&held, held.attempts.len()) {
-            if let Some(this) = self.requests.get_mut(&request).and_then(|held| held.attempts.get_mut(number))
-            {
-                this.abandoned = true;
+        let Some((evidence, elapsed)) = self.attempt_evidence(request, attempt) else { return };
+        let class = &self.estimates.service[pending.class.0];
+        let gain = evidence.retry_gain(&class.latencies, elapsed, self.aim_left(&pending), class.wait);
+        if gain > self.abandon_cost(&pending) && self.may_retry(&pending, pending.attempts.len()) {
+            let attempts = self.requests.get_mut(&request).map(|pending| &mut pending.attempts);
+            if let Some(cancelled) = attempts.and_then(|attempts| attempts.get_mut(number)) {
+                cancelled.abandoned = true;
             }
             return out.push(Action::Cancel { request, attempt });
         }
-        // Never in the same moment again.
-        let look =
-            self.next_check_after(&held, &known, taken).map(|at| self.now + (at - taken).max(LOOK_AGAIN));
-        if let Some(held) = self.requests.get_mut(&request) {
-            held.check_at = look;
-            self.check_schedule.reschedule(request, None, look);
+        // The interval keeps the next check out of the present moment.
+        let check_at = self
+            .next_check_after(&pending, &evidence, elapsed)
+            .map(|at| self.now + (at - elapsed).max(MIN_RECHECK_INTERVAL));
+        if let Some(pending) = self.requests.get_mut(&request) {
+            pending.check_at = check_at;
+            self.check_schedule.reschedule(request, None, check_at);
         }
-        self.probe(this.upstream, out);
+        self.probe(latest.upstream, out);
     }
 
-    /// What is known of an attempt that is out, and for how long it has been.
-    fn evidence(&self, request: RequestId, attempt: AttemptNo) -> Option<(AttemptEvidence, Millis)> {
+    /// The evidence about an attempt in flight, and the time since it was sent.
+    fn attempt_evidence(&self, request: RequestId, attempt: AttemptNo) -> Option<(AttemptEvidence, Millis)> {
         let &(number, id) = self.sends.get(&(request, attempt))?;
         let upstream = self.upstreams.get(id)?;
-        let this = upstream.outstanding.get(number)?;
-        Some((self.gather_evidence(upstream, number, &this), self.now - this.sent))
+        let send = upstream.outstanding.get(number)?;
+        Some((self.gather_evidence(upstream, number, &send), self.now - send.sent))
     }
 
+    /// The evidence about a server, as it bears on one of its outstanding sends.
     pub(crate) fn gather_evidence(
         &self,
         upstream: &Upstream,
         number: u64,
-        this: &OutstandingSend,
+        send: &OutstandingSend,
     ) -> AttemptEvidence {
-        let longer = |sent: &OutstandingSend| {
-            self.estimates.service[sent.class.0]
-                .latencies
-                .tail_probability((self.now - sent.sent) / sent.wait)
+        let tail_probability = |other: &OutstandingSend| {
+            let multiple = (self.now - other.sent) / other.wait;
+            self.estimates.service[other.class.0].latencies.tail_probability(multiple)
         };
-        // A server answers as many at once as it has cores: of those that wait, so many tell for themselves.
-        let kappa = self.kappa(upstream);
-        let since = upstream
+        let sent_since_last_answer = upstream
             .outstanding
             .iter_newest_first()
-            .filter(|(n, sent)| *n != number && sent.sent > upstream.answered_at);
-        let mut others: Vec<f64> = since.take(WITNESSES).map(|(_, sent)| longer(sent)).collect();
-        others.sort_by(f64::total_cmp);
-        let others = others.iter().take((kappa as usize).saturating_sub(1)).product();
-        // A queue that it has told of since explains what was not foreseen.
-        let warmth = upstream.warmth(self.now, &self.settings.slow_start);
-        let queue = (upstream.reported_in_flight + 1.0) / kappa;
-        let told = (upstream.reported_at > this.sent && self.estimates.believes()).then_some(queue.max(1.0));
-        let now = told.map_or(0.0, |depth| {
-            self.estimates.service[this.class.0].time * self.remembered(upstream) / warmth * depth
+            .filter(|(other, sent)| *other != number && sent.sent > upstream.answered_at);
+        let mut tails: Vec<f64> = sent_since_last_answer
+            .take(MAX_COMPARED_ATTEMPTS)
+            .map(|(_, other)| tail_probability(other))
+            .collect();
+        tails.sort_by(f64::total_cmp);
+        // A server works on as many attempts at once as it has cores. Only that many waits are independent evidence; the
+        // other attempts wait behind them.
+        let capacity = self.kappa(upstream);
+        let others_tail_probability = tails.iter().take((capacity as usize).saturating_sub(1)).product();
+        // A queue that the server has reported since the attempt was sent explains a longer wait.
+        let warm_up_fraction = upstream.warmth(self.now, &self.settings.slow_start);
+        let queue_depth = (upstream.reported_in_flight + 1.0) / capacity;
+        let has_reported_since = upstream.reported_at > send.sent && self.estimates.believes();
+        let reported_depth = has_reported_since.then_some(queue_depth.max(1.0));
+        let expected_by_report = reported_depth.map_or(0.0, |depth| {
+            self.estimates.service[send.class.0].time * self.remembered(upstream) / warm_up_fraction * depth
         });
-        let late =
-            |sent: Millis| self.estimates.probe_time.is_some_and(|time| self.now - sent > UNANSWERED * time);
+        let is_unanswered = |probe_sent: Millis| {
+            self.estimates
+                .probe_time
+                .is_some_and(|usual| self.now - probe_sent > PROBE_UNANSWERED_MULTIPLE * usual)
+        };
         AttemptEvidence {
-            expected: this.wait.max(now),
-            others_tail_probability: others,
+            expected: send.wait.max(expected_by_report),
+            others_tail_probability,
             failure_rate: upstream.failure_rate,
-            answered_since: upstream.answered_at > this.sent,
-            probe_unanswered: upstream.probe_sent.is_some_and(late),
+            answered_since: upstream.answered_at > send.sent,
+            probe_unanswered: upstream.probe_sent.is_some_and(is_unanswered),
             ..self.baseline_evidence()
         }
     }
--- a/crates/decide/src/outstanding_sends.rs
+++ b/crates/decide/src/outstanding_sends.rs
@@ -4,16 +4,16 @@
 
 use crate::state::OutstandingSend;
 
-/// Sends in the order of their numbers. Those that have ended stay as gaps until all before them have ended,
-/// which the longest deadline bounds.
+/// Sends in the order of their numbers. A send that has ended leaves a gap until all earlier ones have ended, so the length
+/// of the queue is bounded by the longest deadline.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct OutstandingSends {
     queue: VecDeque<(u64, Option<OutstandingSend>)>,
     count: usize,
 }
 
-/// Room for so many is kept when none is out.
-const SENDS_KEPT: usize = 32;
+/// A queue that becomes empty keeps its memory only up to this capacity.
+const MAX_IDLE_CAPACITY: usize = 32;
 
 impl OutstandingSends {
     pub fn len(&self) -> usize {
@@ -24,37 +24,36 @@
         self.count == 0
     }
 
-    /// Under a number above all before.
-    pub fn push(&mut self, number: u64, sent: OutstandingSend) {
-        self.queue.push_back((number, Some(sent)));
+    /// Adds a send. Its number must be greater than all earlier ones.
+    pub fn push(&mut self, number: u64, send: OutstandingSend) {
+        self.queue.push_back((number, Some(send)));
         self.count += 1;
     }
 
     pub fn remove(&mut self, number: u64) -> Option<OutstandingSend> {
-        let at = self.queue.binary_search_by_key(&number, |(number, _)| *number).ok()?;
-        let sent = self.queue.get_mut(at)?.1.take()?;
+        let index = self.queue.binary_search_by_key(&number, |(number, _)| *number).ok()?;
+        let send = self.queue.get_mut(index)?.1.take()?;
         self.count -= 1;
-        while self.queue.front().is_some_and(|(_, sent)| sent.is_none()) {
+        while self.queue.front().is_some_and(|(_, send)| send.is_none()) {
             self.queue.pop_front();
         }
-        if self.queue.is_empty() && self.queue.capacity() > SENDS_KEPT {
+        if self.queue.is_empty() && self.queue.capacity() > MAX_IDLE_CAPACITY {
             self.queue = VecDeque::new();
         }
-        Some(sent)
+        Some(send)
     }
 
     pub fn get(&self, number: u64) -> Option<OutstandingSend> {
-        let at = self.queue.binary_search_by_key(&number, |(number, _)| *number).ok()?;
-        self.queue.get(at)?.1
+        let index = self.queue.binary_search_by_key(&number, |(number, _)| *number).ok()?;
+        self.queue.get(index)?.1
     }
 
     pub fn oldest(&self) -> Option<(u64, &OutstandingSend)> {
-        self.queue.front().and_then(|(number, sent)| Some((*number, sent.as_ref()?)))
+        self.queue.front().and_then(|(number, send)| Some((*number, send.as_ref()?)))
     }
 
-    /// The latest first.
     pub fn iter_newest_first(&self) -> impl Iterator<Item = (u64, &OutstandingSend)> {
-        self.queue.iter().rev().filter_map(|(number, sent)| Some((*number, sent.as_ref()?)))
+        self.queue.iter().rev().filter_map(|(number, send)| Some((*number, send.as_ref()?)))
     }
 }
 
@@ -64,15 +63,15 @@
     use crate::api::ClassId;
 
     #[test]
-    fn sends_end_in_any_order_and_leave_nothing() {
-        let sent = |at| OutstandingSend { class: ClassId(0), sent: at, depth: 1.0, wait: 1.0 };
+    fn sends_removed_in_any_order_leave_the_queue_empty() {
+        let send = |at| OutstandingSend { class: ClassId(0), sent: at, depth: 1.0, wait: 1.0 };
         let mut sends = OutstandingSends::default();
-        (0..100).for_each(|number| sends.push(2 * number, sent(number as f64)));
-        assert!(sends.remove(7).is_none(), "no such send");
+        (0..100).for_each(|number| sends.push(2 * number, send(number as f64)));
+        assert!(sends.remove(7).is_none(), "no send has this number");
         (1..100).rev().for_each(|number| assert!(sends.remove(2 * number).is_some()));
         assert_eq!((sends.len(), sends.oldest().map(|(number, _)| number)), (1, Some(0)));
-        assert!(sends.remove(2).is_none(), "it has ended");
+        assert!(sends.remove(2).is_none(), "the send has ended");
         assert!(sends.remove(0).is_some());
-        assert!(sends.is_empty() && sends.queue.is_empty() && sends.queue.capacity() <= SENDS_KEPT);
+        assert!(sends.is_empty() && sends.queue.is_empty() && sends.queue.capacity() <= MAX_IDLE_CAPACITY);
     }
 }
--- a/crates/decide/src/upload.rs
+++ b/crates/decide/src/upload.rs
@@ -1,5 +1,6 @@
-//! Attempts whose body is still coming from the client. A server begins with the last byte only: until then such an attempt
-//! is no load, does not hang, and takes none of the request's time.
+//! Attempts whose request body is still being received from the client. A server begins its work with the last byte. Until
+//! then the attempt is no load on the server, its missing answer is no evidence against the server, and the request's time
+//! doesn't run.
 
 use rustc_hash::FxHashMap;
 
@@ -7,39 +8,40 @@
 use crate::api::*;
 use crate::state::OutstandingSend;
 
-/// By request and attempt: as it stood in the books of its server, and since when it is not in them.
+/// By request and attempt: the send as it was removed from its server's outstanding sends, and the time of the removal.
 pub(crate) type Uploads = FxHashMap<(RequestId, AttemptNo), (OutstandingSend, Millis)>;
 
 impl Balancer {
-    /// Takes an attempt out of the books of its server while its body comes, or puts it back once the last byte is out.
+    /// Removes an attempt from its server's outstanding sends while its body is being received, and adds it again once the
+    /// last byte was sent.
     pub(crate) fn track_upload(&mut self, request: RequestId, attempt: AttemptNo, in_progress: bool) {
         let key = (request, attempt);
         let Some(&(number, id)) = self.sends.get(&key) else { return };
         let now = self.now;
         if in_progress {
-            // What has passed cannot be sent again, so that nothing is won by giving it up.
+            // The bytes that have been passed on cannot be sent a second time, so abandoning the attempt gains nothing.
             self.watch_no_more(request);
-            let sent = self.upstreams.change(id, |upstream| upstream.take(number)).flatten();
-            // Twice is once.
-            self.uploads.extend(sent.map(|sent| (key, (sent, now))));
+            let removed = self.upstreams.change(id, |upstream| upstream.take(number)).flatten();
+            // A repeated event finds the send removed and changes nothing.
+            self.uploads.extend(removed.map(|send| (key, (send, now))));
             return;
         }
-        let Some((sent, since)) = self.uploads.remove(&key) else { return };
+        let Some((send, removed_at)) = self.uploads.remove(&key) else { return };
         let number = self.next_send;
         self.next_send += 1;
         let entered = self
             .upstreams
-            .change(id, |upstream| upstream.enter(number, OutstandingSend { sent: now, ..sent }));
+            .change(id, |upstream| upstream.enter(number, OutstandingSend { sent: now, ..send }));
         match entered {
             Some(()) => drop(self.sends.insert(key, (number, id))),
-            // It was forgotten meanwhile, as gone.
+            // The server has left the list in the meantime, and its record is gone.
             None => drop(self.sends.remove(&key)),
         }
-        let Some(held) = self.requests.get_mut(&request) else { return };
-        held.arrived += now - since;
-        held.deadline += now - since;
-        if let Some(this) = held.attempts.get_mut(attempt.0 as usize) {
-            this.sent = now;
+        let Some(pending) = self.requests.get_mut(&request) else { return };
+        pending.arrived += now - removed_at;
+        pending.deadline += now - removed_at;
+        if let Some(sent_attempt) = pending.attempts.get_mut(attempt.0 as usize) {
+            sent_attempt.sent = now;
         }
     }
 }
--- a/crates/decide/src/zone_outage.rs
+++ b/crates/decide/src/zone_outage.rs
@@ -1,8 +1,8 @@
-//! Zones that cannot be reached. A zone goes as a whole: its power, its switch, the link to it. Who takes each of its servers
-//! for lost one by one pays a lost attempt for each of them, and many sidecars with little traffic each pay as often.
+//! Zones that are unreachable. A zone often fails as a whole: its power, its switch or the link to it. If its servers were
+//! detected one by one, each would cost a lost attempt, and each of many sidecars with little traffic would pay that again.
 //!
-//! A zone is out once so many different servers in a row could not be reached and nothing came from it meanwhile. It is asked
-//! at once, and then now and then: any sign of life ends it.
+//! A zone counts as unreachable once several different servers in a row could not be reached and nothing was received from the
+//! zone in between. It is probed at once and then at growing intervals; any contact makes it reachable again.
 
 use std::collections::BTreeMap;
 
@@ -10,91 +10,95 @@
 use crate::api::*;
 use crate::fleet::{CandidateSampler, CandidateScope};
 
-/// So many servers of a zone have to be out of reach, one after the other: two may share a rack, or a release.
-const WITNESSES: usize = 3;
-/// How long a zone is left alone before it is asked again, at first and at last. An answer comes within a few milliseconds; the
-/// longest is about as long as discovery takes to notice.
-const ASK_AFTER: [Millis; 2] = [250.0, 2_000.0];
+/// How many different servers in a row have to be unreachable. Two may share a rack or a release.
+const MIN_UNREACHABLE_SERVERS: usize = 3;
+/// First and longest interval between probes of an unreachable zone. A reachable server answers within a few milliseconds; the
+/// longest interval is about the time in which discovery notices an outage.
+const MIN_PROBE_INTERVAL: Millis = 250.0;
+const MAX_PROBE_INTERVAL: Millis = 2_000.0;
 
-/// What speaks against one zone since it last gave a sign of life.
+/// Failed contacts with one zone since the last successful one.
 #[derive(Debug, Clone, PartialEq)]
-struct Zone {
-    /// At most [`WITNESSES`] of its servers that could not be reached.
-    lost: Vec<UpstreamId>,
-    ask_at: Millis,
-    wait: Millis,
+struct ZoneFailures {
+    /// Servers that could not be reached; at most [`MIN_UNREACHABLE_SERVERS`].
+    unreachable: Vec<UpstreamId>,
+    probe_at: Millis,
+    probe_interval: Millis,
 }
 
-impl Zone {
-    fn is_out(&self) -> bool {
-        self.lost.len() >= WITNESSES
+impl ZoneFailures {
+    fn is_unreachable(&self) -> bool {
+        self.unreachable.len() >= MIN_UNREACHABLE_SERVERS
     }
 }
 
-/// Which zones are out, as far as one sidecar can tell. At most one entry for each zone that it has servers in.
+/// The zones that one sidecar cannot reach. At most one entry for each zone that it has servers in.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct ZoneOutages {
-    zones: BTreeMap<ZoneId, Zone>,
+    zones: BTreeMap<ZoneId, ZoneFailures>,
 }
 
 impl ZoneOutages {
-    /// A server of a zone could not be reached.
+    /// Records that a server of a zone could not be reached.
     pub fn record_unreachable(&mut self, zone: ZoneId, id: UpstreamId, now: Millis) {
-        let nothing = Zone { lost: Vec::new(), ask_at: now, wait: ASK_AFTER[0] };
-        let known = self.zones.entry(zone).or_insert(nothing);
-        if !known.is_out() && !known.lost.contains(&id) {
-            known.lost.push(id);
-            known.ask_at = now;
+        let no_failures =
+            ZoneFailures { unreachable: Vec::new(), probe_at: now, probe_interval: MIN_PROBE_INTERVAL };
+        let failures = self.zones.entry(zone).or_insert(no_failures);
+        if !failures.is_unreachable() && !failures.unreachable.contains(&id) {
+            failures.unreachable.push(id);
+            failures.probe_at = now;
         }
     }
 
-    /// Something came from a zone, or was told of it, that a dead one could not have sent. Whether it was out.
+    /// Records something that an unreachable zone could not have caused, such as an answer or a newly started server. Returns
+    /// whether the zone was unreachable until now.
     pub fn record_contact(&mut self, zone: ZoneId) -> bool {
-        self.zones.remove(&zone).is_some_and(|known| known.is_out())
+        self.zones.remove(&zone).is_some_and(|failures| failures.is_unreachable())
     }
 
-    /// Whether a zone is out.
     pub fn is_unreachable(&self, zone: ZoneId) -> bool {
-        self.zones.get(&zone).is_some_and(Zone::is_out)
+        self.zones.get(&zone).is_some_and(ZoneFailures::is_unreachable)
     }
 
-    /// Whether any is.
     pub fn any_unreachable(&self) -> bool {
-        self.zones.values().any(Zone::is_out)
+        self.zones.values().any(ZoneFailures::is_unreachable)
     }
 
-    /// The zones that are to be asked now. Each is asked again after twice as long, times `luck` between 0.5 and 1: all
-    /// sidecars have noticed together.
-    pub fn take_due(&mut self, now: Millis, luck: f64) -> Vec<ZoneId> {
-        let out = self.zones.iter_mut().filter(|(_, known)| known.is_out() && known.ask_at <= now);
-        let ask = |(zone, known): (&ZoneId, &mut Zone)| {
-            known.ask_at = now + known.wait * luck;
-            known.wait = (2.0 * known.wait).min(ASK_AFTER[1]);
+    /// The zones that are to be probed now. The next probe of each follows after its interval times `jitter` (0.5 to 1), since
+    /// all sidecars notice an outage together. The interval doubles.
+    pub fn take_due(&mut self, now: Millis, jitter: f64) -> Vec<ZoneId> {
+        let due = self
+            .zones
+            .iter_mut()
+            .filter(|(_, failures)| failures.is_unreachable() && failures.probe_at <= now);
+        let schedule_next = |(zone, failures): (&ZoneId, &mut ZoneFailures)| {
+            failures.probe_at = now + failures.probe_interval * jitter;
+            failures.probe_interval = (2.0 * failures.probe_interval).min(MAX_PROBE_INTERVAL);
             *zone
         };
-        out.map(ask).collect()
+        due.map(schedule_next).collect()
     }
 }
 
 impl Balancer {
-    /// Asks a server of each zone that is out whether it is back.
+    /// Probes a server of each unreachable zone that is due.
     pub(crate) fn probe_unreachable_zones(&mut self, out: &mut Vec<Action>) {
         if !self.outages.any_unreachable() {
             return;
         }
-        let luck = 0.5 + 0.5 * self.rng.rand_float();
-        for zone in self.outages.take_due(self.now, luck) {
-            let mut looks = CandidateSampler::new(&self.upstreams, CandidateScope::Zone(zone), true);
-            let slot = looks.next(&mut self.upstreams, &mut self.rng);
+        let jitter = 0.5 + 0.5 * self.rng.rand_float();
+        for zone in self.outages.take_due(self.now, jitter) {
+            let mut sampler = CandidateSampler::new(&self.upstreams, CandidateScope::Zone(zone), true);
+            let slot = sampler.next(&mut self.upstreams, &mut self.rng);
             match slot.and_then(|slot| self.upstreams.at(slot)) {
                 Some((id, _)) if self.settings.limits.probes => self.probe(id, out),
-                // Nobody is left to ask, or requests have to ask.
+                // The zone has no server left to probe, or probes are off and only requests can find it reachable again.
                 _ => self.record_zone_contact(zone),
             }
         }
     }
 
-    /// An attempt has ended: a sign of life of its server's zone, or the lack of one.
+    /// Records the outcome of an attempt for the zone of its server.
     pub(crate) fn record_zone_outcome(&mut self, id: UpstreamId, outcome: Outcome) {
         match outcome {
             Outcome::Ok | Outcome::Error | Outcome::Full => self.record_server_contact(id),
@@ -107,7 +111,7 @@
         }
     }
 
-    /// A server has given a sign of life.
+    /// Records that a server has answered, so that its zone is reachable.
     pub(crate) fn record_server_contact(&mut self, id: UpstreamId) {
         if let Some(zone) = self.upstreams.get(id).map(|upstream| upstream.zone) {
             self.record_zone_contact(zone);
@@ -120,10 +124,10 @@
         }
     }
 
-    /// Takes in what discovery says of a server. One that has started anew is there.
+    /// Applies a server's entry in the list of discovery. A server that has restarted shows that its zone is reachable.
     pub(crate) fn apply_listing(&mut self, entry: &Listing) {
-        let known = self.upstreams.get(entry.upstream).and_then(|server| server.started);
-        if entry.started.is_some() && entry.started > known {
+        let known_start = self.upstreams.get(entry.upstream).and_then(|server| server.started);
+        if entry.started.is_some() && entry.started > known_start {
             self.record_zone_contact(entry.zone);
         }
         self.upstreams.list(entry);
@@ -138,13 +142,13 @@
     const B: ZoneId = ZoneId(1);
 
     #[test]
-    fn three_in_a_row_and_no_sign_of_life_are_an_outage() {
+    fn zone_is_unreachable_after_three_different_servers_in_a_row_without_contact() {
         let mut outages = ZoneOutages::default();
         [1, 2].iter().for_each(|id| outages.record_unreachable(A, UpstreamId(*id), 0.0));
         assert!(!outages.is_unreachable(A));
         assert!(!outages.record_contact(A));
         [3, 4, 4, 4].iter().for_each(|id| outages.record_unreachable(A, UpstreamId(*id), 1.0));
-        assert!(!outages.is_unreachable(A), "the same one again is no further witness");
+        assert!(!outages.is_unreachable(A), "a server counts only once");
         outages.record_unreachable(A, UpstreamId(5), 2.0);
         assert!(outages.is_unreachable(A) && outages.any_unreachable() && !outages.is_unreachable(B));
         assert!(outages.record_contact(A));
@@ -152,17 +156,24 @@
     }
 
     #[test]
-    fn it_is_asked_at_once_and_then_ever_more_seldom() {
+    fn unreachable_zone_is_probed_at_once_and_then_at_growing_intervals() {
         let mut outages = ZoneOutages::default();
         [1, 2, 3].iter().for_each(|id| outages.record_unreachable(B, UpstreamId(*id), 10.0));
-        let mut asked = Vec::new();
+        let mut probed_at = Vec::new();
         for ms in 10..20_000 {
-            asked.extend(outages.take_due(f64::from(ms), 1.0).into_iter().map(|_| ms));
-            // Requests that are lost meanwhile change nothing.
+            probed_at.extend(outages.take_due(f64::from(ms), 1.0).into_iter().map(|_| ms));
+            // Further unreachable servers don't change the schedule.
             outages.record_unreachable(B, UpstreamId(ms as u64), f64::from(ms));
         }
-        assert_eq!(asked[..5], [10, 260, 760, 1_760, 3_760]);
-        assert!(asked.windows(2).all(|pair| pair[1] - pair[0] <= 2_000), "it never gives up: {asked:?}");
-        assert_eq!(outages.zones[&B].lost.len(), WITNESSES, "and remembers no more than it needs");
+        assert_eq!(probed_at[..5], [10, 260, 760, 1_760, 3_760]);
+        assert!(
+            probed_at.windows(2).all(|pair| pair[1] - pair[0] <= 2_000),
+            "probes never end: {probed_at:?}"
+        );
+        assert_eq!(
+            outages.zones[&B].unreachable.len(),
+            MIN_UNREACHABLE_SERVERS,
+            "further servers are not recorded"
+        );
     }
 }
--- a/crates/decide/tests/crossing.rs
+++ b/crates/decide/tests/crossing.rs
@@ -1,4 +1,4 @@
-//! What the draw makes of a plan for traffic that leaves the zone: here one that says what a test wants.
+//! How the selection applies a limiter of cross-zone traffic. The limiter here is a stub with fixed replies.
 
 mod common;
 
@@ -9,26 +9,26 @@
 use sagemast_decide::cross_zone::{BudgetExemption, CrossZoneAttempt, CrossZoneCost, CrossZoneLimiter};
 
 #[derive(Debug)]
-struct Made {
-    terms: CrossZoneCost,
-    pays: bool,
-    bends: Vec<BudgetExemption>,
+struct StubLimiter {
+    cost: CrossZoneCost,
+    has_budget: bool,
+    exemptions: Vec<BudgetExemption>,
     sent: Vec<CrossZoneAttempt>,
 }
 
-impl CrossZoneLimiter for Made {
+impl CrossZoneLimiter for StubLimiter {
     fn set_sidecar_count(&mut self, _: Millis, _: u32) {}
 
     fn cross_zone_cost(&self, _: Millis, _: ClassId) -> CrossZoneCost {
-        self.terms
+        self.cost
     }
 
     fn has_budget(&self, _: Millis, _: ClassId, _: Option<ZoneId>) -> bool {
-        self.pays
+        self.has_budget
     }
 
-    fn allows_exemption(&self, why: BudgetExemption) -> bool {
-        self.bends.contains(&why)
+    fn allows_exemption(&self, reason: BudgetExemption) -> bool {
+        self.exemptions.contains(&reason)
     }
 
     fn attempt_sent(&mut self, _: Millis, attempt: CrossZoneAttempt) {
@@ -40,43 +40,45 @@
     fn probe_sent(&mut self, _: ZoneId) {}
 }
 
-/// Servers 0 and 1 are near, 10 and 11 are not.
-fn stage(pays: bool, bends: &[BudgetExemption]) -> Stage {
-    let far = |id| Listing { zone: ZoneId(1), ..listing(id) };
-    let mut stage = Stage::new(settings(), vec![listing(0), listing(1), far(10), far(11)]);
-    let terms = CrossZoneCost { cost: 0.03, exemption_threshold: 0.2 };
-    let made = Made { terms, pays, bends: bends.to_vec(), sent: Vec::new() };
-    stage.balancer.set_cross_zone_budget(Some(Box::new(made)));
+/// Servers 0 and 1 are in the same zone, 10 and 11 in another one.
+fn stage(has_budget: bool, exemptions: &[BudgetExemption]) -> Stage {
+    let in_other_zone = |id| Listing { zone: ZoneId(1), ..listing(id) };
+    let servers = vec![listing(0), listing(1), in_other_zone(10), in_other_zone(11)];
+    let mut stage = Stage::new(settings(), servers);
+    let cost = CrossZoneCost { cost: 0.03, exemption_threshold: 0.2 };
+    let limiter = StubLimiter { cost, has_budget, exemptions: exemptions.to_vec(), sent: Vec::new() };
+    stage.balancer.set_cross_zone_budget(Some(Box::new(limiter)));
     stage.settle(&[0, 1, 10, 11], 2.0, 0.2);
     stage
 }
 
-fn plan(stage: &mut Stage) -> &mut Made {
-    (stage.balancer.cross_zone_budget_mut().expect("there is one") as &mut dyn Any)
+fn limiter(stage: &mut Stage) -> &mut StubLimiter {
+    (stage.balancer.cross_zone_budget_mut().expect("a limiter is set") as &mut dyn Any)
         .downcast_mut()
-        .expect("the one made here")
+        .expect("the limiter is the stub")
 }
 
-/// Where so many requests go, and what bent; each is served at once.
-fn place(stage: &mut Stage, class: ClassId, count: usize) -> (usize, usize, usize) {
-    let (mut near, mut far, mut none) = (0, 0, 0);
+/// Sends this many requests, each of which is served at once. Returns how many went to the same zone, to the other zone and
+/// to no server.
+fn serve_requests(stage: &mut Stage, class: ClassId, count: usize) -> (usize, usize, usize) {
+    let (mut same_zone, mut cross_zone, mut unsent) = (0, 0, 0);
     for _ in 0..count {
         stage.now += 1.0;
         let (request, actions) = stage.arrive(class);
         match sent_to(&actions) {
-            Some(to) if to.0 < 10 => near += 1,
-            Some(_) => far += 1,
-            None => none += 1,
+            Some(to) if to.0 < 10 => same_zone += 1,
+            Some(_) => cross_zone += 1,
+            None => unsent += 1,
         }
         if let Some(to) = sent_to(&actions) {
             stage.finish(request, 0, to, Outcome::Ok, 20.0);
         }
     }
-    (near, far, none)
+    (same_zone, cross_zone, unsent)
 }
 
-/// The near ones are full for good: in flight is ten times what they can hold.
-fn fill(stage: &mut Stage) {
+/// Fills the servers of the same zone: they report ten times as many requests in flight as they can hold.
+fn fill_same_zone(stage: &mut Stage) {
     for _ in 0..40 {
         stage.now += 50.0;
         [0, 1].into_iter().for_each(|id| stage.report(id, 200.0, 1.0));
@@ -85,42 +87,45 @@
 }
 
 #[test]
-fn near_ones_with_room_are_stayed_with() {
-    for pays in [true, false] {
-        assert_eq!(place(&mut stage(pays, &BudgetExemption::ALL), REPEATABLE, 50), (50, 0, 0));
+fn requests_stay_in_their_zone_while_its_servers_have_capacity() {
+    for has_budget in [true, false] {
+        let mut stage = stage(has_budget, &BudgetExemption::ALL);
+        assert_eq!(serve_requests(&mut stage, REPEATABLE, 50), (50, 0, 0));
     }
 }
 
 #[test]
-fn full_near_servers_cross_for_a_budget_or_a_bend_and_else_are_refused() {
-    for (pays, bends, bent) in
+fn requests_leave_a_full_zone_only_with_a_budget_or_an_exemption() {
+    for (has_budget, exemptions, expected) in
         [(true, &[][..], None), (false, &[BudgetExemption::Full][..], Some(BudgetExemption::Full))]
     {
-        let mut stage = stage(pays, bends);
-        fill(&mut stage);
-        assert_eq!(place(&mut stage, ONCE, 20), (0, 20, 0), "{bends:?}");
-        assert!(plan(&mut stage).sent.iter().all(|attempt| attempt.exemption == bent), "{bent:?}");
+        let mut stage = stage(has_budget, exemptions);
+        fill_same_zone(&mut stage);
+        assert_eq!(serve_requests(&mut stage, ONCE, 20), (0, 20, 0), "{exemptions:?}");
+        let sent = &limiter(&mut stage).sent;
+        assert!(sent.iter().all(|attempt| attempt.exemption == expected), "{expected:?}");
     }
     let mut stage = stage(
         false,
         &[BudgetExemption::Down, BudgetExemption::Late, BudgetExemption::Failing, BudgetExemption::Bound],
     );
-    fill(&mut stage);
-    assert_eq!(place(&mut stage, ONCE, 20), (0, 0, 20));
-    assert!(plan(&mut stage).sent.is_empty());
+    fill_same_zone(&mut stage);
+    assert_eq!(serve_requests(&mut stage, ONCE, 20), (0, 0, 20));
+    assert!(limiter(&mut stage).sent.is_empty());
 }
 
 #[test]
-fn a_zone_without_servers_is_told_as_down() {
+fn requests_leave_a_zone_without_servers_with_the_reason_down() {
     let mut stage = stage(false, &[BudgetExemption::Down]);
-    let leaving = |id| Listing { lifecycle: Lifecycle::Draining, ..listing(id) };
-    stage.event(Event::ListReceived(ListUpdate::Changed(vec![leaving(0), leaving(1)])));
-    assert_eq!(place(&mut stage, ONCE, 10), (0, 10, 0));
-    assert!(plan(&mut stage).sent.iter().all(|attempt| attempt.exemption == Some(BudgetExemption::Down)));
+    let draining = |id| Listing { lifecycle: Lifecycle::Draining, ..listing(id) };
+    stage.event(Event::ListReceived(ListUpdate::Changed(vec![draining(0), draining(1)])));
+    assert_eq!(serve_requests(&mut stage, ONCE, 10), (0, 10, 0));
+    let sent = &limiter(&mut stage).sent;
+    assert!(sent.iter().all(|attempt| attempt.exemption == Some(BudgetExemption::Down)));
 }
 
-/// Has what goes to near servers reset: one of them is ejected, the other is not, since too many would be.
-fn fail(stage: &mut Stage) {
+/// Resets all attempts. One server of the same zone is then ejected; the other is not, since too many would be.
+fn reset_attempts(stage: &mut Stage) {
     for _ in 0..20 {
         stage.now += 1.0;
         let (request, actions) = stage.arrive(ONCE);
@@ -131,25 +136,25 @@
 }
 
 #[test]
-fn near_servers_that_fail_are_not_stayed_with() {
-    for pays in [true, false] {
+fn requests_leave_a_zone_whose_servers_fail() {
+    for has_budget in [true, false] {
         let mut stage = stage(false, &[]);
-        // While nothing may cross all goes near, and fails.
-        fail(&mut stage);
-        (plan(&mut stage).pays, plan(&mut stage).bends) =
-            (pays, vec![BudgetExemption::Failing, BudgetExemption::Down]);
-        plan(&mut stage).sent.clear();
-        let (near, far, none) = place(&mut stage, ONCE, 20);
-        assert!(far >= 15 && none == 0, "{near} {far} {none}");
-        let bent = plan(&mut stage).sent.iter().filter(|attempt| attempt.exemption.is_some()).count();
-        assert_eq!(bent, if pays { 0 } else { far });
+        // While nothing may leave the zone, all attempts go to its servers and fail.
+        reset_attempts(&mut stage);
+        (limiter(&mut stage).has_budget, limiter(&mut stage).exemptions) =
+            (has_budget, vec![BudgetExemption::Failing, BudgetExemption::Down]);
+        limiter(&mut stage).sent.clear();
+        let (same_zone, cross_zone, unsent) = serve_requests(&mut stage, ONCE, 20);
+        assert!(cross_zone >= 15 && unsent == 0, "{same_zone} {cross_zone} {unsent}");
+        let exempted = limiter(&mut stage).sent.iter().filter(|attempt| attempt.exemption.is_some()).count();
+        assert_eq!(exempted, if has_budget { 0 } else { cross_zone });
     }
 }
 
 #[test]
-fn where_all_crawl_nothing_is_won_across() {
+fn requests_stay_in_a_slow_zone_if_the_other_zone_is_as_slow() {
     let mut stage = stage(false, &BudgetExemption::ALL);
-    // Answers of idle servers take 160 ms of an aim of 200: late in two of seven, which is more than is given up.
+    // Idle servers answer in 160 ms, with an aim of 200 ms. Two of seven answers are late, more than the threshold.
     for _ in 0..400 {
         stage.now += 5.0;
         let (request, actions) = stage.arrive(REPEATABLE);
@@ -159,65 +164,67 @@
         }
         [0, 1, 10, 11].into_iter().for_each(|id| stage.report(id, 2.0, 0.2));
     }
-    let sent = &plan(&mut stage).sent;
+    let sent = &limiter(&mut stage).sent;
     assert!(sent.len() > 350, "{}", sent.len());
     assert_eq!(sent.iter().skip(200).filter(|attempt| attempt.exemption.is_some()).count(), 0);
 }
 
+/// Guards against an overdrawn budget: it may be spent by others while a request waits for the probes of its pair.
 #[test]
-fn a_budget_that_is_spent_while_a_request_waits_for_probes_does_not_pay_for_it() {
+fn budget_is_checked_again_after_a_request_has_waited_for_probes() {
     let mut stage = stage(true, &[]);
-    fill(&mut stage);
-    // Reports grow old, so that the pair is asked before the request goes.
+    fill_same_zone(&mut stage);
+    // The reports of the other zone grow old, so that its servers are probed before the request is dispatched.
     stage.now += 900.0;
     [0, 1].into_iter().for_each(|id| stage.report(id, 200.0, 1.0));
     let (request, class, tenant) = (RequestId(77_777), REPEATABLE, TenantId(0));
     let actions = stage.event(Event::RequestArrived { request, class, tenant, time_left: 500.0 });
-    let probes: Vec<u64> =
+    let probed: Vec<u64> =
         actions.iter().filter_map(|a| if let Action::Probe(id) = a { Some(id.0) } else { None }).collect();
     assert!(
-        sent_to(&actions).is_none() && probes.iter().all(|id| *id >= 10) && !probes.is_empty(),
+        sent_to(&actions).is_none() && probed.iter().all(|id| *id >= 10) && !probed.is_empty(),
         "{actions:?}"
     );
-    plan(&mut stage).pays = false;
+    limiter(&mut stage).has_budget = false;
     stage.now += 2.0;
-    let after: Vec<Action> = probes.into_iter().flat_map(|id| stage.probed(id, 2.0, 0.2)).collect();
-    assert!(sent_to(&after).is_none() && refused(&after), "{after:?}");
+    let after_probes: Vec<Action> = probed.into_iter().flat_map(|id| stage.probed(id, 2.0, 0.2)).collect();
+    assert!(sent_to(&after_probes).is_none() && refused(&after_probes), "{after_probes:?}");
 }
 
+/// Guards against duplicate execution: the limiter must not widen the servers to which a request that may have run is sent.
 #[test]
-fn what_may_have_run_goes_where_its_effect_allows_and_a_plan_only_narrows_that() {
-    // Bound to the cell or zone that may have run it: not across, whatever is paid.
+fn retry_of_a_request_that_may_have_run_stays_within_its_key_scope_whatever_the_limiter_allows() {
+    // The key is known only in the cell or zone that may have run the request, so a retry stays there even with a budget.
     for class in [BY_CELL, BY_ZONE, ONCE] {
-        for pays in [true, false] {
-            let mut stage = stage(pays, &BudgetExemption::ALL);
+        for has_budget in [true, false] {
+            let mut stage = stage(has_budget, &BudgetExemption::ALL);
             let (request, actions) = stage.arrive(class);
-            let first = sent_to(&actions).expect("it is sent");
+            let first = sent_to(&actions).expect("the request is sent");
             stage.now += 10.0;
-            let again = stage.finish(request, 0, first, Outcome::Reset, 10.0);
-            match (class, sent_to(&again)) {
-                (ONCE, to) => assert!(to.is_none() && failed(&again), "{again:?}"),
-                (_, to) => assert!(to.is_some_and(|to| to.0 < 10 && to != first), "{again:?}"),
+            let retry = stage.finish(request, 0, first, Outcome::Reset, 10.0);
+            match (class, sent_to(&retry)) {
+                (ONCE, to) => assert!(to.is_none() && failed(&retry), "{retry:?}"),
+                (_, to) => assert!(to.is_some_and(|to| to.0 < 10 && to != first), "{retry:?}"),
             }
         }
     }
-    // It ran across, so only those across remember its key: that bends, or ends it.
-    for (bends, sent) in
+    // The request ran in the other zone, so only that zone knows its key: a retry needs an exemption, else the request fails.
+    for (exemptions, is_retried) in
         [(&[BudgetExemption::Full, BudgetExemption::Bound][..], true), (&[BudgetExemption::Full][..], false)]
     {
-        let mut stage = stage(false, bends);
-        fill(&mut stage);
+        let mut stage = stage(false, exemptions);
+        fill_same_zone(&mut stage);
         let (request, actions) = stage.arrive(BY_ZONE);
-        let first = sent_to(&actions).expect("it bends");
+        let first = sent_to(&actions).expect("the request leaves the full zone");
         stage.now += 10.0;
-        let again = stage.finish(request, 0, first, Outcome::Reset, 10.0);
-        assert_eq!(sent_to(&again).is_some_and(|to| to.0 >= 10 && to != first), sent, "{again:?}");
-        let bent: Vec<_> = plan(&mut stage).sent.iter().map(|attempt| attempt.exemption).collect();
-        let bound = sent.then_some(Some(BudgetExemption::Bound));
+        let retry = stage.finish(request, 0, first, Outcome::Reset, 10.0);
+        assert_eq!(sent_to(&retry).is_some_and(|to| to.0 >= 10 && to != first), is_retried, "{retry:?}");
+        let sent: Vec<_> = limiter(&mut stage).sent.iter().map(|attempt| attempt.exemption).collect();
+        let bound = is_retried.then_some(Some(BudgetExemption::Bound));
         assert_eq!(
-            bent,
+            sent,
             [Some(Some(BudgetExemption::Full)), bound].into_iter().flatten().collect::<Vec<_>>()
         );
-        assert!(sent || failed(&again), "no promise: it may have run");
+        assert!(is_retried || failed(&retry), "the request may have run, so it must not be refused");
     }
 }
