--- a/crates/cli/src/sidecar.rs
+++ b/crates/cli/src/sidecar.rs
@@ -183,7 +183,7 @@
 fn told(crossing: Option<&CrossZoneBudget>, log: &Log) {
     let Some(crossing) = crossing else { return };
     let totals = crossing.counts.totals();
-    for row in totals.rows.iter().filter(|row| row.crosses()) {
+    for row in totals.rows.iter().filter(|row| row.is_cross_zone()) {
         let (all, _) = totals.attempts_and_crossings(Some(&row.class));
         let (crossed, bent) = (row.attempts(), row.exempted.total());
         let (out, back) = (row.bytes_out, row.bytes_in);
--- a/crates/cli/tests/crossing.rs
+++ b/crates/cli/tests/crossing.rs
@@ -121,7 +121,7 @@
 
 /// What crossed of a class: first attempts, further ones.
 fn crossed(totals: &Totals, class: Class) -> (u64, u64) {
-    let rows = totals.rows.iter().filter(|row| row.class == class.name() && row.crosses());
+    let rows = totals.rows.iter().filter(|row| row.class == class.name() && row.is_cross_zone());
     rows.fold((0, 0), |sum, row| (sum.0 + row.first, sum.1 + row.retries))
 }
 
--- a/crates/pools/src/counts.rs
+++ b/crates/pools/src/counts.rs
@@ -257,7 +257,7 @@
 
 impl AttemptsRow {
     /// Whether it crosses.
-    pub fn crosses(&self) -> bool {
+    pub fn is_cross_zone(&self) -> bool {
         self.from != self.to
     }
 
@@ -325,7 +325,7 @@
     /// Attempts of a class, or of all: all of them, and those that crossed.
     pub fn attempts_and_crossings(&self, class: Option<&str>) -> (u64, u64) {
         let rows = || self.rows.iter().filter(|row| class.is_none_or(|class| row.class == class));
-        let crossed = rows().filter(|row| row.crosses()).map(AttemptsRow::attempts).sum();
+        let crossed = rows().filter(|row| row.is_cross_zone()).map(AttemptsRow::attempts).sum();
         (rows().map(AttemptsRow::attempts).sum(), crossed)
     }
 }
--- a/crates/pools/tests/plan.rs
+++ b/crates/pools/tests/plan.rs
@@ -100,7 +100,7 @@
             let (level, most) = plan.levels(now).next().expect("one budget");
             prop_assert!(level.abs() <= most, "{level} of {most}");
             let totals = plan.counts().totals();
-            let unsent: u64 = totals.rows.iter().filter(|row| row.crosses()).map(|row| row.unsent).sum();
+            let unsent: u64 = totals.rows.iter().filter(|row| row.is_cross_zone()).map(|row| row.unsent).sum();
             prop_assert!(
                 paid as f64 <= share * sent as f64 + unsent as f64 + 1e-3,
                 "{paid} were paid for of {sent}, of which {unsent} never left"
--- a/crates/stage/src/bin/sagemast-rig/crossing.rs
+++ b/crates/stage/src/bin/sagemast-rig/crossing.rs
@@ -166,7 +166,7 @@
         report.bound(&format!("{name}: lost"), book.lost as f64, 0.0);
         report.bound(&format!("{name}: doubled effects"), (doubled + undone) as f64, 0.0);
         let unsent: u64 = all.rows.iter().map(|row| row.unsent).sum();
-        let far_unsent: u64 = all.rows.iter().filter(|row| row.crosses()).map(|row| row.unsent).sum();
+        let far_unsent: u64 = all.rows.iter().filter(|row| row.is_cross_zone()).map(|row| row.unsent).sum();
         let (attempts, crossed) = all.attempts_and_crossings(None);
         report.bound(
             &format!("{name}: attempts told otherwise by upstreams"),
