--- a/crates/decide/src/cross_zone.rs
+++ b/crates/decide/src/cross_zone.rs
@@ -119,7 +119,7 @@
     }
 
     /// Selects two candidates with capacity wherever the request may go.
-    pub(crate) fn select_pair(
+    pub(crate) fn sample_allowed(
         &mut self,
         scope: CandidateScope,
         pending: &PendingRequest,
@@ -127,16 +127,16 @@
     ) -> Option<[Candidate; 2]> {
         // The limiter is read while candidates are examined, which borrows the rest of the balancer mutably.
         let Some(limiter) = self.cross_zone_budget.take() else {
-            return self.anywhere(scope, pending, context, |_| true);
+            return self.sample_pair_preferring_healthy(scope, pending, context, |_| true);
         };
-        let pair = self.select_pair_within_budget(&*limiter, scope, pending, context);
+        let pair = self.sample_within_budget(&*limiter, scope, pending, context);
         self.cross_zone_budget = Some(limiter);
         pair
     }
 
     /// Selects two candidates with capacity that the limiter allows, after the search for good candidates in the same zone
     /// has found none.
-    fn select_pair_within_budget(
+    fn sample_within_budget(
         &mut self,
         limiter: &dyn CrossZoneLimiter,
         scope: CandidateScope,
@@ -155,15 +155,15 @@
                 true => expected_loss(candidate, time_left) <= threshold,
                 false => limiter.has_budget(now, class, Some(candidate.zone)),
             };
-            if let Some(pair) = self.anywhere(scope, pending, context, is_allowed) {
+            if let Some(pair) = self.sample_pair_preferring_healthy(scope, pending, context, is_allowed) {
                 return Some(pair);
             }
         }
         let (mut any_in_zone, mut any_healthy) = (false, false);
-        let same_zone_pair = self.two(same_zone_scope, pending, context, false, |candidate| {
+        let same_zone_pair = self.sample_pair(same_zone_scope, pending, context, false, |candidate| {
             any_in_zone |= candidate.same_zone;
             any_healthy |= candidate.same_zone && candidate.healthy;
-            candidate.same_zone && candidate.healthy && context.has_room(candidate)
+            candidate.same_zone && candidate.healthy && context.has_capacity(candidate)
         });
         let least_loss =
             |[a, b]: &[Candidate; 2]| expected_loss(a, time_left).min(expected_loss(b, time_left));
@@ -179,11 +179,12 @@
         };
         if !limiter.allows_exemption(reason) {
             // An unhealthy server of the zone is better than none.
-            let with_capacity = |candidate: &Candidate| candidate.same_zone && context.has_room(candidate);
+            let with_capacity =
+                |candidate: &Candidate| candidate.same_zone && context.has_capacity(candidate);
             return same_zone_pair
-                .or_else(|| self.two(same_zone_scope, pending, context, true, with_capacity));
+                .or_else(|| self.sample_pair(same_zone_scope, pending, context, true, with_capacity));
         }
-        let any_zone_pair = self.anywhere(scope, pending, context, |_| true);
+        let any_zone_pair = self.sample_pair_preferring_healthy(scope, pending, context, |_| true);
         if let (Some(same_zone), Some(any_zone)) = (&same_zone_pair, &any_zone_pair) {
             // Where all zones are slow, leaving this one gains nothing.
             if least_loss(same_zone) - least_loss(any_zone) < threshold {
@@ -197,7 +198,7 @@
     /// Selects the better of two warm servers with capacity after a pair was warming up and neither may be sent more. Other
     /// servers may well have capacity, in the same zone or, with a budget or an exemption, in another one.
     pub(crate) fn select_warm(&mut self, pending: &PendingRequest) -> Option<Candidate> {
-        let (scope, context) = (self.reach(pending)?.inside(), self.view(pending));
+        let (scope, context) = (self.candidate_scope(pending)?.inside(), self.selection_context(pending));
         let (now, class, limiter) = (self.now, pending.class, self.cross_zone_budget.take());
         let may_leave_to = |zone| {
             limiter.as_ref().is_none_or(|limiter| {
@@ -207,7 +208,7 @@
         let is_allowed = |candidate: &Candidate| {
             candidate.warm_up_fraction >= 1.0 && (candidate.same_zone || may_leave_to(candidate.zone))
         };
-        let pair = self.anywhere(scope, pending, &context, is_allowed);
+        let pair = self.sample_pair_preferring_healthy(scope, pending, &context, is_allowed);
         self.cross_zone_budget = limiter;
         let [a, b] = pair?;
         let best = if b.projected_load < a.projected_load { b } else { a };
@@ -229,8 +230,8 @@
         pending.exemption.is_some() || limiter.has_budget(self.now, pending.class, Some(to.zone))
     }
 
-    /// Notifies the limiter of an attempt. The exemption is dropped where a budget pays after all.
-    pub(crate) fn notify_budget_of_attempt(&mut self, attempt: CrossZoneAttempt) {
+    /// Accounts for an attempt with the limiter. The exemption is dropped where a budget pays after all.
+    pub(crate) fn account_attempt(&mut self, attempt: CrossZoneAttempt) {
         let (now, own_zone) = (self.now, self.settings.zone);
         let Some(limiter) = &mut self.cross_zone_budget else { return };
         let needs_no_exemption =
@@ -239,8 +240,8 @@
         limiter.attempt_sent(now, CrossZoneAttempt { exemption, ..attempt });
     }
 
-    /// Notifies the limiter of a probe.
-    pub(crate) fn notify_budget_of_probe(&mut self, id: UpstreamId) {
+    /// Accounts for a probe with the limiter.
+    pub(crate) fn account_probe(&mut self, id: UpstreamId) {
         let zone = self.upstreams.get(id).map(|upstream| upstream.zone);
         self.cross_zone_budget.iter_mut().zip(zone).for_each(|(limiter, zone)| limiter.probe_sent(zone));
     }
--- a/crates/decide/src/latency_outlier.rs
+++ b/crates/decide/src/latency_outlier.rs
@@ -29,13 +29,13 @@
         spare.max(UNRESPONSIVE_MULTIPLE * self.estimates.unresponsive.slowdown() * to.wait)
     }
 
-    /// Evidence before anything is known of the server.
-    pub(crate) fn baseline_evidence(&self) -> AttemptEvidence {
+    /// The evidence about an attempt when it is sent.
+    pub(crate) fn initial_evidence(&self, expected: Millis, failure_rate: f64) -> AttemptEvidence {
         AttemptEvidence {
-            expected: 1.0,
+            expected,
             others_tail_probability: 1.0,
             unresponsive_rate: self.estimates.unresponsive.rate(),
-            failure_rate: 0.0,
+            failure_rate,
             slowdown: self.estimates.unresponsive.slowdown(),
             answered_since: false,
             probe_unanswered: false,
@@ -48,7 +48,7 @@
         (attempts as u32) < self.settings.limits.max_attempts
             && class.effect != Effect::NonIdempotent
             && self.estimates.retry_tokens >= 1.0
-            && self.reach(pending).is_some_and(|scope| self.upstreams.size(scope).1 > 1)
+            && self.candidate_scope(pending).is_some_and(|scope| self.upstreams.size(scope).1 > 1)
     }
 
     /// The gain in answer probability that abandoning an attempt of this request needs.
@@ -80,7 +80,8 @@
         let Some(pending) = self.requests.get_mut(&request) else { return };
         pending.check_at = None;
         let pending = pending.clone();
-        let Some((number, latest)) = pending.attempts.iter().enumerate().next_back().filter(|(_, t)| t.out)
+        let Some((number, latest)) =
+            pending.attempts.iter().enumerate().next_back().filter(|(_, t)| t.in_flight)
         else {
             return;
         };
@@ -103,7 +104,7 @@
             pending.check_at = check_at;
             self.check_schedule.reschedule(request, None, check_at);
         }
-        self.probe(latest.upstream, out);
+        self.probe_if_due(latest.upstream, out);
     }
 
     /// The evidence about an attempt in flight, and the time since it was sent.
@@ -136,28 +137,28 @@
         tails.sort_by(f64::total_cmp);
         // A server works on as many attempts at once as it has cores. Only that many waits are independent evidence; the
         // other attempts wait behind them.
-        let capacity = self.kappa(upstream);
+        let capacity = self.estimated_capacity(upstream);
         let others_tail_probability = tails.iter().take((capacity as usize).saturating_sub(1)).product();
         // A queue that the server has reported since the attempt was sent explains a longer wait.
-        let warm_up_fraction = upstream.warmth(self.now, &self.settings.slow_start);
+        let warm_up_fraction = upstream.warm_up_fraction(self.now, &self.settings.slow_start);
         let queue_depth = (upstream.reported_in_flight + 1.0) / capacity;
         let has_reported_since = upstream.reported_at > send.sent && self.estimates.believes();
         let reported_depth = has_reported_since.then_some(queue_depth.max(1.0));
         let expected_by_report = reported_depth.map_or(0.0, |depth| {
-            self.estimates.service[send.class.0].time * self.remembered(upstream) / warm_up_fraction * depth
+            self.estimates.service[send.class.0].time * self.estimated_slowness(upstream) / warm_up_fraction
+                * depth
         });
         let is_unanswered = |probe_sent: Millis| {
             self.estimates
                 .probe_time
                 .is_some_and(|usual| self.now - probe_sent > PROBE_UNANSWERED_MULTIPLE * usual)
         };
+        let expected = send.wait.max(expected_by_report);
         AttemptEvidence {
-            expected: send.wait.max(expected_by_report),
             others_tail_probability,
-            failure_rate: upstream.failure_rate,
             answered_since: upstream.answered_at > send.sent,
             probe_unanswered: upstream.probe_sent.is_some_and(is_unanswered),
-            ..self.baseline_evidence()
+            ..self.initial_evidence(expected, upstream.failure_rate)
         }
     }
 }
--- a/crates/decide/src/zone_outage.rs
+++ b/crates/decide/src/zone_outage.rs
@@ -91,7 +91,7 @@
             let mut sampler = CandidateSampler::new(&self.upstreams, CandidateScope::Zone(zone), true);
             let slot = sampler.next(&mut self.upstreams, &mut self.rng);
             match slot.and_then(|slot| self.upstreams.at(slot)) {
-                Some((id, _)) if self.settings.limits.probes => self.probe(id, out),
+                Some((id, _)) if self.settings.limits.probes => self.probe_if_due(id, out),
                 // The zone has no server left to probe, or probes are off and only requests can find it reachable again.
                 _ => self.record_zone_contact(zone),
             }
--- a/crates/decide/tests/crossing.rs
+++ b/crates/decide/tests/crossing.rs
@@ -41,18 +41,18 @@
 }
 
 /// Servers 0 and 1 are in the same zone, 10 and 11 in another one.
-fn stage(has_budget: bool, exemptions: &[BudgetExemption]) -> Stage {
+fn stage(has_budget: bool, exemptions: &[BudgetExemption]) -> Harness {
     let in_other_zone = |id| Listing { zone: ZoneId(1), ..listing(id) };
     let servers = vec![listing(0), listing(1), in_other_zone(10), in_other_zone(11)];
-    let mut stage = Stage::new(settings(), servers);
+    let mut stage = Harness::new(settings(), servers);
     let cost = CrossZoneCost { cost: 0.03, exemption_threshold: 0.2 };
     let limiter = StubLimiter { cost, has_budget, exemptions: exemptions.to_vec(), sent: Vec::new() };
     stage.balancer.set_cross_zone_budget(Some(Box::new(limiter)));
-    stage.settle(&[0, 1, 10, 11], 2.0, 0.2);
+    stage.report_steadily(&[0, 1, 10, 11], 2.0, 0.2);
     stage
 }
 
-fn limiter(stage: &mut Stage) -> &mut StubLimiter {
+fn limiter(stage: &mut Harness) -> &mut StubLimiter {
     (stage.balancer.cross_zone_budget_mut().expect("a limiter is set") as &mut dyn Any)
         .downcast_mut()
         .expect("the limiter is the stub")
@@ -60,7 +60,7 @@
 
 /// Sends this many requests, each of which is served at once. Returns how many went to the same zone, to the other zone and
 /// to no server.
-fn serve_requests(stage: &mut Stage, class: ClassId, count: usize) -> (usize, usize, usize) {
+fn serve_requests(stage: &mut Harness, class: ClassId, count: usize) -> (usize, usize, usize) {
     let (mut same_zone, mut cross_zone, mut unsent) = (0, 0, 0);
     for _ in 0..count {
         stage.now += 1.0;
@@ -78,7 +78,7 @@
 }
 
 /// Fills the servers of the same zone: they report ten times as many requests in flight as they can hold.
-fn fill_same_zone(stage: &mut Stage) {
+fn fill_same_zone(stage: &mut Harness) {
     for _ in 0..40 {
         stage.now += 50.0;
         [0, 1].into_iter().for_each(|id| stage.report(id, 200.0, 1.0));
@@ -90,7 +90,7 @@
 fn requests_stay_in_their_zone_while_its_servers_have_capacity() {
     for has_budget in [true, false] {
         let mut stage = stage(has_budget, &BudgetExemption::ALL);
-        assert_eq!(serve_requests(&mut stage, REPEATABLE, 50), (50, 0, 0));
+        assert_eq!(serve_requests(&mut stage, IDEMPOTENT, 50), (50, 0, 0));
     }
 }
 
@@ -101,7 +101,7 @@
     {
         let mut stage = stage(has_budget, exemptions);
         fill_same_zone(&mut stage);
-        assert_eq!(serve_requests(&mut stage, ONCE, 20), (0, 20, 0), "{exemptions:?}");
+        assert_eq!(serve_requests(&mut stage, NON_IDEMPOTENT, 20), (0, 20, 0), "{exemptions:?}");
         let sent = &limiter(&mut stage).sent;
         assert!(sent.iter().all(|attempt| attempt.exemption == expected), "{expected:?}");
     }
@@ -110,7 +110,7 @@
         &[BudgetExemption::Down, BudgetExemption::Late, BudgetExemption::Failing, BudgetExemption::Bound],
     );
     fill_same_zone(&mut stage);
-    assert_eq!(serve_requests(&mut stage, ONCE, 20), (0, 0, 20));
+    assert_eq!(serve_requests(&mut stage, NON_IDEMPOTENT, 20), (0, 0, 20));
     assert!(limiter(&mut stage).sent.is_empty());
 }
 
@@ -119,16 +119,16 @@
     let mut stage = stage(false, &[BudgetExemption::Down]);
     let draining = |id| Listing { lifecycle: Lifecycle::Draining, ..listing(id) };
     stage.event(Event::ListReceived(ListUpdate::Changed(vec![draining(0), draining(1)])));
-    assert_eq!(serve_requests(&mut stage, ONCE, 10), (0, 10, 0));
+    assert_eq!(serve_requests(&mut stage, NON_IDEMPOTENT, 10), (0, 10, 0));
     let sent = &limiter(&mut stage).sent;
     assert!(sent.iter().all(|attempt| attempt.exemption == Some(BudgetExemption::Down)));
 }
 
 /// Resets all attempts. One server of the same zone is then ejected; the other is not, since too many would be.
-fn reset_attempts(stage: &mut Stage) {
+fn reset_attempts(stage: &mut Harness) {
     for _ in 0..20 {
         stage.now += 1.0;
-        let (request, actions) = stage.arrive(ONCE);
+        let (request, actions) = stage.arrive(NON_IDEMPOTENT);
         if let Some(to) = sent_to(&actions) {
             stage.finish(request, 0, to, Outcome::Reset, 20.0);
         }
@@ -144,7 +144,7 @@
         (limiter(&mut stage).has_budget, limiter(&mut stage).exemptions) =
             (has_budget, vec![BudgetExemption::Failing, BudgetExemption::Down]);
         limiter(&mut stage).sent.clear();
-        let (same_zone, cross_zone, unsent) = serve_requests(&mut stage, ONCE, 20);
+        let (same_zone, cross_zone, unsent) = serve_requests(&mut stage, NON_IDEMPOTENT, 20);
         assert!(cross_zone >= 15 && unsent == 0, "{same_zone} {cross_zone} {unsent}");
         let exempted = limiter(&mut stage).sent.iter().filter(|attempt| attempt.exemption.is_some()).count();
         assert_eq!(exempted, if has_budget { 0 } else { cross_zone });
@@ -157,7 +157,7 @@
     // Idle servers answer in 160 ms, with an aim of 200 ms. Two of seven answers are late, more than the threshold.
     for _ in 0..400 {
         stage.now += 5.0;
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         if let Some(to) = sent_to(&actions) {
             stage.now += 160.0;
             stage.finish(request, 0, to, Outcome::Ok, 160.0);
@@ -177,7 +177,7 @@
     // The reports of the other zone grow old, so that its servers are probed before the request is dispatched.
     stage.now += 900.0;
     [0, 1].into_iter().for_each(|id| stage.report(id, 200.0, 1.0));
-    let (request, class, tenant) = (RequestId(77_777), REPEATABLE, TenantId(0));
+    let (request, class, tenant) = (RequestId(77_777), IDEMPOTENT, TenantId(0));
     let actions = stage.event(Event::RequestArrived { request, class, tenant, time_left: 500.0 });
     let probed: Vec<u64> =
         actions.iter().filter_map(|a| if let Action::Probe(id) = a { Some(id.0) } else { None }).collect();
@@ -187,7 +187,8 @@
     );
     limiter(&mut stage).has_budget = false;
     stage.now += 2.0;
-    let after_probes: Vec<Action> = probed.into_iter().flat_map(|id| stage.probed(id, 2.0, 0.2)).collect();
+    let after_probes: Vec<Action> =
+        probed.into_iter().flat_map(|id| stage.answer_probe(id, 2.0, 0.2)).collect();
     assert!(sent_to(&after_probes).is_none() && refused(&after_probes), "{after_probes:?}");
 }
 
@@ -195,7 +196,7 @@
 #[test]
 fn retry_of_a_request_that_may_have_run_stays_within_its_key_scope_whatever_the_limiter_allows() {
     // The key is known only in the cell or zone that may have run the request, so a retry stays there even with a budget.
-    for class in [BY_CELL, BY_ZONE, ONCE] {
+    for class in [KEYED_BY_CELL, KEYED_BY_ZONE, NON_IDEMPOTENT] {
         for has_budget in [true, false] {
             let mut stage = stage(has_budget, &BudgetExemption::ALL);
             let (request, actions) = stage.arrive(class);
@@ -203,7 +204,7 @@
             stage.now += 10.0;
             let retry = stage.finish(request, 0, first, Outcome::Reset, 10.0);
             match (class, sent_to(&retry)) {
-                (ONCE, to) => assert!(to.is_none() && failed(&retry), "{retry:?}"),
+                (NON_IDEMPOTENT, to) => assert!(to.is_none() && failed(&retry), "{retry:?}"),
                 (_, to) => assert!(to.is_some_and(|to| to.0 < 10 && to != first), "{retry:?}"),
             }
         }
@@ -214,7 +215,7 @@
     {
         let mut stage = stage(false, exemptions);
         fill_same_zone(&mut stage);
-        let (request, actions) = stage.arrive(BY_ZONE);
+        let (request, actions) = stage.arrive(KEYED_BY_ZONE);
         let first = sent_to(&actions).expect("the request leaves the full zone");
         stage.now += 10.0;
         let retry = stage.finish(request, 0, first, Outcome::Reset, 10.0);
--- a/crates/decide/tests/upload.rs
+++ b/crates/decide/tests/upload.rs
@@ -75,7 +75,7 @@
     let mut stage = UploadStage::new(2);
     let uploads: Vec<RequestId> = (0..40)
         .map(|number| {
-            let (request, sent) = stage.arrive(f64::from(number), ONCE);
+            let (request, sent) = stage.arrive(f64::from(number), NON_IDEMPOTENT);
             assert!(sent.is_some(), "request {number} is refused");
             stage.upload(f64::from(number), request, true);
             request
@@ -84,20 +84,20 @@
     // 20 s later the uploads still count as no load, and no server as unresponsive.
     for number in 0..20 {
         let now = 20_000.0 + 30.0 * f64::from(number);
-        let (request, sent) = stage.arrive(now, REPEATABLE);
+        let (request, sent) = stage.arrive(now, IDEMPOTENT);
         let (upstream, _) = sent.expect("the servers have capacity");
         stage.finish(now + 20.0, request, upstream, Outcome::Ok);
     }
     // All uploads end at once and become load.
     uploads.into_iter().for_each(|request| stage.upload(21_000.0, request, false));
-    let refused = (0..10).filter(|_| stage.arrive(21_001.0, REPEATABLE).1.is_none()).count();
+    let refused = (0..10).filter(|_| stage.arrive(21_001.0, IDEMPOTENT).1.is_none()).count();
     assert_eq!(refused, 10, "forty requests are in flight");
 }
 
 #[test]
 fn time_of_a_request_counts_from_the_last_byte_of_its_upload() {
     let mut stage = UploadStage::new(3);
-    let (request, sent) = stage.arrive(0.0, REPEATABLE);
+    let (request, sent) = stage.arrive(0.0, IDEMPOTENT);
     stage.upload(0.0, request, true);
     stage.upload(5_000.0, request, false);
     // The server turns the attempt away: there is time for another one, on any server.
@@ -114,7 +114,7 @@
     let mut stage = UploadStage::new(1);
     for number in 0..200 {
         let now = 50.0 * f64::from(number);
-        let (request, sent) = stage.arrive(now, ONCE);
+        let (request, sent) = stage.arrive(now, NON_IDEMPOTENT);
         let (upstream, _) = sent.expect("the server has capacity");
         stage.upload(now, request, true);
         stage.upload(now + 1.0, request, true);
@@ -126,7 +126,7 @@
 #[test]
 fn server_that_leaves_during_an_upload_is_not_selected_again() {
     let mut stage = UploadStage::new(2);
-    let (request, sent) = stage.arrive(0.0, ONCE);
+    let (request, sent) = stage.arrive(0.0, NON_IDEMPOTENT);
     let (upstream, _) = sent.expect("the request is sent");
     stage.upload(0.0, request, true);
     let draining = Listing { lifecycle: Lifecycle::Draining, ..listing(upstream.0) };
@@ -135,7 +135,7 @@
     let actions = stage.finish(30.0, request, upstream, Outcome::Reset);
     assert!(matches!(actions[..], [Action::Fail(_)]), "the request may have run: {actions:?}");
     for _ in 0..20 {
-        if let (request, Some((to, _))) = stage.arrive(40.0, REPEATABLE) {
+        if let (request, Some((to, _))) = stage.arrive(40.0, IDEMPOTENT) {
             assert_ne!(to, upstream);
             stage.finish(50.0, request, to, Outcome::Ok);
         }
