--- a/crates/pools/src/counts.rs
+++ b/crates/pools/src/counts.rs
@@ -1,5 +1,5 @@
-//! What crosses, counted: by class and zone, with every reason. Kept by one plan after another, read by anyone while
-//! they run.
+//! Counts of attempts, by class and destination zone, with the reasons of those that left the zone without a budget. A table
+//! of counts outlives the budgets that write to it, and may be read from any thread meanwhile.
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
@@ -9,34 +9,34 @@
 
 use crate::cross_zone_budget::MAX_BUDGETS;
 
-/// Zones that the settings do not name are counted together under this name.
+/// The name under which zones that the settings don't name are counted together.
 pub const UNNAMED_ZONES: &str = "elsewhere";
 
-/// Something that is counted of an attempt.
+/// What is counted for each class and destination zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Counter {
-    /// A first attempt.
+    /// First attempts of requests.
     First,
-    /// A further one.
+    /// Further attempts of requests.
     Retry,
-    /// One that crossed without a budget.
+    /// Attempts that left the zone without a budget, for this reason.
     Exempted(BudgetExemption),
-    /// One that never left: no connection came up.
+    /// Attempts that were not sent, since no connection could be established.
     Unsent,
-    /// One that was served.
+    /// Attempts that were served.
     Served,
-    /// One that came to anything else.
+    /// Attempts that were sent and not served.
     Failed,
     /// Bytes of request bodies.
     BytesOut,
-    /// Bytes of answers.
+    /// Bytes of answer bodies.
     BytesIn,
 }
 
-const KINDS: usize = 12;
+const COUNTERS: usize = 12;
 
 impl Counter {
-    fn place(self) -> usize {
+    fn index(self) -> usize {
         match self {
             Counter::First => 0,
             Counter::Retry => 1,
@@ -54,127 +54,137 @@
     }
 }
 
-/// What is counted is told apart by these names. Their number, which settings bound, is all that the table's size
-/// depends on.
+/// The names that counts are kept under. The size of a table depends only on their number, which is bounded by the settings.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Names {
-    /// Of classes, by id.
+    /// Names of classes, by id.
     pub classes: Vec<String>,
-    /// Of zones, by id.
+    /// Names of zones, by id.
     pub zones: Vec<String>,
-    /// The zone that all of this leaves from.
+    /// The index of the zone of the instance that is counted.
     pub local_zone: usize,
 }
 
-/// The counts of one instance, from when its table was made on.
+/// The counts of one instance since the table was created.
 #[derive(Debug)]
 pub struct Counts {
     names: Names,
-    /// By class, then zone.
-    attempts: Vec<[AtomicU64; KINDS]>,
-    /// By zone.
+    /// By class, then destination zone.
+    attempts: Vec<[AtomicU64; COUNTERS]>,
+    /// By destination zone.
     probes: Vec<AtomicU64>,
-    /// What each budget held and could hold at the last attempt: the bits of the numbers.
-    levels: [[AtomicU64; 2]; MAX_BUDGETS],
+    /// The level and the burst of each budget at the last attempt, as the bits of floating-point numbers.
+    budget_levels: [[AtomicU64; 2]; MAX_BUDGETS],
     budgets: AtomicUsize,
 }
 
 impl Counts {
-    /// All zero.
+    /// A table of zeros.
     pub fn new(names: Names) -> Counts {
         let zones = names.zones.len() + 1;
         let attempts = (0..names.classes.len() * zones).map(|_| Default::default()).collect();
         let probes = (0..zones).map(|_| AtomicU64::new(0)).collect();
-        Counts { names, attempts, probes, levels: Default::default(), budgets: AtomicUsize::new(0) }
+        Counts { names, attempts, probes, budget_levels: Default::default(), budgets: AtomicUsize::new(0) }
     }
 
-    /// What it tells apart.
+    /// The names that counts are kept under.
     pub fn names(&self) -> &Names {
         &self.names
     }
 
-    fn zone(&self, zone: ZoneId) -> usize {
+    /// The index of a zone; that after the last one for zones without a name.
+    fn zone_index(&self, zone: ZoneId) -> usize {
         usize::try_from(zone.0).unwrap_or(usize::MAX).min(self.names.zones.len())
     }
 
-    /// Counts so many more.
-    pub fn add(&self, class: ClassId, to: ZoneId, kind: Counter, more: u64) {
-        let cell = class.0 * self.probes.len() + self.zone(to);
-        if let Some(cell) = self.attempts.get(cell) {
-            cell[kind.place()].fetch_add(more, Ordering::Relaxed);
+    /// Increases a counter.
+    pub fn add(&self, class: ClassId, to: ZoneId, counter: Counter, increment: u64) {
+        let index = class.0 * self.probes.len() + self.zone_index(to);
+        if let Some(counters) = self.attempts.get(index) {
+            counters[counter.index()].fetch_add(increment, Ordering::Relaxed);
         }
     }
 
     /// Counts a probe.
     pub fn add_probe(&self, to: ZoneId) {
-        self.probes[self.zone(to)].fetch_add(1, Ordering::Relaxed);
+        self.probes[self.zone_index(to)].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Tells what the budgets hold and can hold.
+    /// Sets the level and the burst of each budget, in the order of the rules.
     pub fn set_budget_levels(&self, levels: impl Iterator<Item = (f64, f64)>) {
         let mut count = 0;
-        for (place, (level, burst)) in self.levels.iter().zip(levels) {
-            place[0].store(level.to_bits(), Ordering::Relaxed);
-            place[1].store(burst.to_bits(), Ordering::Relaxed);
+        for (stored, (level, burst)) in self.budget_levels.iter().zip(levels) {
+            stored[0].store(level.to_bits(), Ordering::Relaxed);
+            stored[1].store(burst.to_bits(), Ordering::Relaxed);
             count += 1;
         }
         self.budgets.store(count, Ordering::Release);
     }
 
-    /// What the budgets held and could hold at the last attempt, in the order of the rules.
+    /// The level and the burst of each budget at the last attempt, in the order of the rules.
     pub fn budget_levels(&self) -> Vec<(f64, f64)> {
         let number = |bits: &AtomicU64| f64::from_bits(bits.load(Ordering::Relaxed));
         let count = self.budgets.load(Ordering::Acquire);
-        self.levels.iter().take(count).map(|[level, burst]| (number(level), number(burst))).collect()
+        self.budget_levels.iter().take(count).map(|[level, burst]| (number(level), number(burst))).collect()
     }
 
-    /// The counts as they stand, without rows of zeros.
+    /// The present counts, without rows of zeros.
     pub fn totals(&self) -> Totals {
-        let name = |zone: usize| self.names.zones.get(zone).map_or(UNNAMED_ZONES, String::as_str).to_owned();
-        let from = name(self.names.local_zone);
+        let zone_name =
+            |zone: usize| self.names.zones.get(zone).map_or(UNNAMED_ZONES, String::as_str).to_owned();
+        let from = zone_name(self.names.local_zone);
         let zones = self.probes.len();
         let mut totals = Totals::default();
-        for (at, cell) in self.attempts.iter().enumerate() {
-            let [first, again, unsent, served, failed, bytes_out, bytes_in, down, full, late, failing, bound] =
-                std::array::from_fn(|kind| cell[kind].load(Ordering::Relaxed));
-            if first + again > 0 {
-                let class = self.names.classes[at / zones].clone();
-                let bent = ExemptionCounts { down, full, late, failing, bound };
-                let (from, to) = (from.clone(), name(at % zones));
+        for (index, counters) in self.attempts.iter().enumerate() {
+            let [
+                first,
+                retries,
+                unsent,
+                served,
+                failed,
+                bytes_out,
+                bytes_in,
+                down,
+                full,
+                late,
+                failing,
+                bound,
+            ] = std::array::from_fn(|counter| counters[counter].load(Ordering::Relaxed));
+            if first + retries > 0 {
                 totals.rows.push(AttemptsRow {
-                    class,
-                    from,
-                    to,
+                    class: self.names.classes[index / zones].clone(),
+                    from: from.clone(),
+                    to: zone_name(index % zones),
                     first,
-                    retries: again,
+                    retries,
                     unsent,
                     served,
                     failed,
                     bytes_out,
                     bytes_in,
-                    exempted: bent,
+                    exempted: ExemptionCounts { down, full, late, failing, bound },
                 });
             }
         }
         for (zone, probes) in self.probes.iter().enumerate() {
             let probes = probes.load(Ordering::Relaxed);
             if probes > 0 {
-                totals.probes.push(ProbesRow { from: from.clone(), to: name(zone), probes });
+                totals.probes.push(ProbesRow { from: from.clone(), to: zone_name(zone), probes });
             }
         }
         totals
     }
 
-    /// Adds what was counted before, as far as its names are still there. Others' are dropped.
-    pub fn add_previous(&self, before: &Totals) {
+    /// Adds counts of an earlier table. Rows whose classes or zones no longer exist are dropped.
+    pub fn add_previous(&self, previous: &Totals) {
         let find = |names: &[String], name: &str| names.iter().position(|known| known == name);
-        let zone = |name: &str| match find(&self.names.zones, name) {
+        let find_zone = |name: &str| match find(&self.names.zones, name) {
             Some(zone) => Some(zone),
             None => (name == UNNAMED_ZONES).then_some(self.names.zones.len()),
         };
-        let home = self.names.zones.get(self.names.local_zone);
-        for row in before.rows.iter().filter(|row| Some(&row.from) == home) {
-            let Some((class, to)) = find(&self.names.classes, &row.class).zip(zone(&row.to)) else {
+        let local_zone = self.names.zones.get(self.names.local_zone);
+        for row in previous.rows.iter().filter(|row| Some(&row.from) == local_zone) {
+            let Some((class, to)) = find(&self.names.classes, &row.class).zip(find_zone(&row.to)) else {
                 continue;
             };
             let ExemptionCounts { down, full, late, failing, bound } = row.exempted;
@@ -192,41 +202,41 @@
                 (Counter::Exempted(BudgetExemption::Failing), failing),
                 (Counter::Exempted(BudgetExemption::Bound), bound),
             ];
-            for (kind, count) in counts {
-                self.add(ClassId(class), ZoneId(to as u64), kind, count);
+            for (counter, count) in counts {
+                self.add(ClassId(class), ZoneId(to as u64), counter, count);
             }
         }
-        for row in before.probes.iter().filter(|row| Some(&row.from) == home) {
-            if let Some(to) = zone(&row.to) {
+        for row in previous.probes.iter().filter(|row| Some(&row.from) == local_zone) {
+            if let Some(to) = find_zone(&row.to) {
                 self.probes[to].fetch_add(row.probes, Ordering::Relaxed);
             }
         }
     }
 }
 
-/// Attempts that crossed without a budget, by reason. See [`BudgetExemption`].
+/// Attempts that left their zone without a budget, by reason. See [`BudgetExemption`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExemptionCounts {
-    /// No near server took part.
+    /// The zone had no server to select.
     pub down: u64,
-    /// No near server had room.
+    /// No server of the zone had capacity.
     pub full: u64,
-    /// Near ones would have answered too late.
+    /// Answers from the zone would have been too late.
     pub late: u64,
-    /// Near ones failed too often.
+    /// Servers of the zone failed too often.
     pub failing: u64,
-    /// Only those across drop its repeats.
+    /// Only servers in other zones recognise the key of the request as a duplicate.
     pub bound: u64,
 }
 
 impl ExemptionCounts {
-    /// For all reasons.
+    /// The sum over all reasons.
     pub fn total(&self) -> u64 {
         self.down + self.full + self.late + self.failing + self.bound
     }
 }
 
-/// What went from one zone to one, of one class.
+/// The attempts of one class from one zone to one zone.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AttemptsRow {
     /// The class.
@@ -235,33 +245,33 @@
     pub from: String,
     /// The zone of the servers.
     pub to: String,
-    /// First attempts.
+    /// First attempts of requests.
     pub first: u64,
-    /// Further ones.
+    /// Further attempts of requests.
     #[serde(rename = "again")]
     pub retries: u64,
-    /// Of both, those that never left: no connection came up.
+    /// First attempts and retries that were not sent, since no connection could be established.
     pub unsent: u64,
-    /// Of both, those that were served.
+    /// First attempts and retries that were served.
     pub served: u64,
-    /// Of both, those that came to anything else.
+    /// First attempts and retries that were sent and not served.
     pub failed: u64,
     /// Bytes of request bodies.
     pub bytes_out: u64,
-    /// Bytes of answers' bodies.
+    /// Bytes of answer bodies.
     pub bytes_in: u64,
-    /// Of both, those that crossed without a budget.
+    /// First attempts and retries that left the zone without a budget.
     #[serde(rename = "bent")]
     pub exempted: ExemptionCounts,
 }
 
 impl AttemptsRow {
-    /// Whether it crosses.
+    /// Whether the attempts left their zone.
     pub fn is_cross_zone(&self) -> bool {
         self.from != self.to
     }
 
-    /// First and further attempts.
+    /// First attempts and retries.
     pub fn attempts(&self) -> u64 {
         self.first + self.retries
     }
@@ -282,50 +292,49 @@
     }
 }
 
-/// Probes from one zone to one.
+/// The probes from one zone to one zone.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProbesRow {
     /// The zone of the sidecars.
     pub from: String,
     /// The zone of the servers.
     pub to: String,
-    /// How many.
+    /// The number of probes.
     pub probes: u64,
 }
 
 /// The counts of one or many instances.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Totals {
-    /// Attempts.
+    /// Attempts, by class and zones.
     pub rows: Vec<AttemptsRow>,
-    /// Probes.
+    /// Probes, by zones.
     pub probes: Vec<ProbesRow>,
 }
 
 impl Totals {
-    /// Adds another's.
+    /// Adds the counts of other instances.
     pub fn add(&mut self, other: &Totals) {
         for row in &other.rows {
-            let same = |mine: &&mut AttemptsRow| {
-                (&mine.class, &mine.from, &mine.to) == (&row.class, &row.from, &row.to)
-            };
-            match self.rows.iter_mut().find(same) {
-                Some(mine) => mine.add(row),
+            let is_same =
+                |own: &&mut AttemptsRow| (&own.class, &own.from, &own.to) == (&row.class, &row.from, &row.to);
+            match self.rows.iter_mut().find(is_same) {
+                Some(own) => own.add(row),
                 None => self.rows.push(row.clone()),
             }
         }
         for row in &other.probes {
-            match self.probes.iter_mut().find(|mine| (&mine.from, &mine.to) == (&row.from, &row.to)) {
-                Some(mine) => mine.probes += row.probes,
+            match self.probes.iter_mut().find(|own| (&own.from, &own.to) == (&row.from, &row.to)) {
+                Some(own) => own.probes += row.probes,
                 None => self.probes.push(row.clone()),
             }
         }
     }
 
-    /// Attempts of a class, or of all: all of them, and those that crossed.
+    /// All attempts of a class (`None` for all classes), and those of them that left their zone.
     pub fn attempts_and_crossings(&self, class: Option<&str>) -> (u64, u64) {
         let rows = || self.rows.iter().filter(|row| class.is_none_or(|class| row.class == class));
-        let crossed = rows().filter(|row| row.is_cross_zone()).map(AttemptsRow::attempts).sum();
-        (rows().map(AttemptsRow::attempts).sum(), crossed)
+        let crossings = rows().filter(|row| row.is_cross_zone()).map(AttemptsRow::attempts).sum();
+        (rows().map(AttemptsRow::attempts).sum(), crossings)
     }
 }
--- a/crates/pools/src/cross_zone_budget.rs
+++ b/crates/pools/src/cross_zone_budget.rs
@@ -1,5 +1,6 @@
-//! Budgets for traffic that leaves a zone: what they pay for, what a crossing costs as they are used up, and where they
-//! bend. Pure: the decision module tells it of attempts, with the time.
+//! Budgets for traffic that leaves a zone: what they pay for, what leaving the zone costs as they are used up, and for which
+//! reasons requests are exempt from them. No clock and no I/O: the decision module notifies this code of attempts, with the
+//! time.
 
 use std::sync::Arc;
 
@@ -10,186 +11,189 @@
 use crate::counts::{Counter, Counts, Names};
 use crate::token_bucket::TokenBucket;
 
-/// So many budgets at most: each is looked at for every attempt.
+/// The most budgets in force. All of them are examined for every attempt.
 pub const MAX_BUDGETS: usize = 32;
-/// What the bodies of an attempt are taken to hold together until some have ended.
-const FIRST_BYTES: f64 = 8_192.0;
-/// Weight of one attempt in the mean of what its class moves.
-const SMOOTH: f64 = 0.05;
+/// Expected bytes of both bodies of an attempt before any attempt of its class has ended.
+const INITIAL_ATTEMPT_BYTES: f64 = 8_192.0;
+/// Weight of one attempt in the running mean of its class's bytes.
+const MEAN_BYTES_SMOOTHING: f64 = 0.05;
 
-/// What a budget counts.
+/// The unit and the amount that a budget limits.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum BudgetLimit {
-    /// Crossings, as a share of this sidecar's attempts of the same classes.
+    /// Cross-zone attempts, as a share of this sidecar's attempts of the same classes.
     Share(f64),
-    /// Crossings a second, of all sidecars together.
+    /// Cross-zone attempts a second, of all sidecars together.
     PerSecond(f64),
-    /// Bytes of bodies a second both ways, of all sidecars together.
+    /// Bytes of bodies a second in both directions, of all sidecars together.
     BytesPerSecond(f64),
 }
 
-/// A budget. A crossing needs every budget that it falls under.
+/// A budget. A cross-zone attempt needs tokens from every budget that applies to it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Budget {
-    /// Only these classes; `None` for all.
+    /// The classes that it applies to; `None` for all.
     pub classes: Option<Vec<ClassId>>,
-    /// Only to these zones; `None` for all.
+    /// The destination zones that it applies to; `None` for all.
     pub to: Option<Vec<ZoneId>>,
-    /// How much.
+    /// What it limits.
     pub limit: BudgetLimit,
-    /// The most that is saved up, and owed after bends: crossings, or bytes. Of all sidecars together where the
-    /// measure is.
+    /// The most that can be saved up, or owed after exemptions, in attempts or bytes. It is of all sidecars together where
+    /// the limit is.
     pub burst: f64,
 }
 
 impl Budget {
-    /// In words, with the names that counts go by.
+    /// A description for people, with the names that counts are kept under.
     pub fn describe(&self, names: &Names) -> String {
-        let name = |names: &[String], at: usize| names.get(at).cloned().unwrap_or_else(|| at.to_string());
+        let name_of =
+            |names: &[String], index: usize| names.get(index).cloned().unwrap_or_else(|| index.to_string());
         let mut text = match self.limit {
             BudgetLimit::Share(share) => format!("{} % of attempts", share * 100.0),
             BudgetLimit::PerSecond(rate) => format!("{rate} a second"),
             BudgetLimit::BytesPerSecond(rate) => format!("{rate} bytes a second"),
         };
         if let Some(classes) = &self.classes {
-            let classes: Vec<_> = classes.iter().map(|class| name(&names.classes, class.0)).collect();
+            let classes: Vec<_> = classes.iter().map(|class| name_of(&names.classes, class.0)).collect();
             text += &format!(", {}", classes.join(" and "));
         }
         if let Some(zones) = &self.to {
-            let zones: Vec<_> = zones.iter().map(|zone| name(&names.zones, zone.0 as usize)).collect();
+            let zones: Vec<_> = zones.iter().map(|zone| name_of(&names.zones, zone.0 as usize)).collect();
             text += &format!(", to {}", zones.join(" and "));
         }
         text
     }
 }
 
-/// What holds for crossings.
+/// The configuration of cross-zone traffic.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rules {
-    /// The terms while budgets are full.
+    /// [`CrossZoneCost::cost`] while the budgets are full.
     pub cost: f64,
-    /// The terms when they are empty, and for bends.
+    /// [`CrossZoneCost::exemption_threshold`], and the cost when a budget is empty.
     pub exemption_threshold: f64,
-    /// Reasons for which requests cross without a budget.
+    /// Reasons for which requests may leave the zone without a budget.
     pub exemptions: Vec<BudgetExemption>,
     /// The budgets.
     pub budgets: Vec<Budget>,
 }
 
 #[derive(Debug)]
-struct Purse {
+struct BudgetState {
     budget: Budget,
     bucket: TokenBucket,
-    /// Whether it bears on every way out of the zone.
-    whole: bool,
+    /// Whether the budget applies to every other zone.
+    applies_to_all_zones: bool,
 }
 
-impl Purse {
-    fn covers(&self, class: ClassId) -> bool {
+impl BudgetState {
+    fn applies_to_class(&self, class: ClassId) -> bool {
         self.budget.classes.as_ref().is_none_or(|classes| classes.contains(&class))
     }
 
-    fn covers_to(&self, class: ClassId, to: ZoneId) -> bool {
-        self.covers(class) && self.budget.to.as_ref().is_none_or(|zones| zones.contains(&to))
+    fn applies_to(&self, class: ClassId, to: ZoneId) -> bool {
+        self.applies_to_class(class) && self.budget.to.as_ref().is_none_or(|zones| zones.contains(&to))
     }
 
-    fn price(&self, bytes: f64) -> f64 {
+    /// The tokens that one attempt with this many bytes costs.
+    fn tokens_for(&self, bytes: f64) -> f64 {
         if matches!(self.budget.limit, BudgetLimit::BytesPerSecond(_)) { bytes } else { 1.0 }
     }
 }
 
-/// An attempt that is out, and the bytes that were paid for it ahead if it crosses.
+/// An attempt in flight.
 #[derive(Debug, Clone, Copy)]
-struct Out {
+struct OutstandingAttempt {
     class: ClassId,
     to: ZoneId,
-    paid: f64,
+    /// The bytes that were charged when the attempt was sent, if it is a cross-zone attempt.
+    prepaid_bytes: f64,
 }
 
-/// The plan of one instance.
+/// The cross-zone budgets of one instance.
 #[derive(Debug)]
 pub struct CrossZoneBudgets {
     rules: Rules,
-    purses: Vec<Purse>,
+    budgets: Vec<BudgetState>,
     sidecars: u32,
     counts: Arc<Counts>,
-    /// What an attempt moves, by class.
-    usual_bytes: Vec<f64>,
-    /// Bounded by the attempts that are out.
-    out: FxHashMap<(RequestId, AttemptNo), Out>,
+    /// Running mean of the bytes of an attempt, by class.
+    mean_bytes: Vec<f64>,
+    outstanding: FxHashMap<(RequestId, AttemptNo), OutstandingAttempt>,
 }
 
-/// How a bucket is filled and what it holds, for one of so many sidecars.
-fn shape(budget: &Budget, sidecars: u32) -> (f64, f64) {
-    let part = f64::from(sidecars.max(1));
+/// The tokens per millisecond and the burst of one sidecar's part of a budget.
+fn rate_and_burst(budget: &Budget, sidecars: u32) -> (f64, f64) {
+    let sidecars = f64::from(sidecars.max(1));
     match budget.limit {
         BudgetLimit::Share(_) => (0.0, budget.burst),
-        // A part of less than one crossing is still saved up until it is one.
-        BudgetLimit::PerSecond(rate) => (rate / part / 1e3, (budget.burst / part).max(1.0)),
-        BudgetLimit::BytesPerSecond(rate) => (rate / part / 1e3, budget.burst / part),
+        // A part of less than one attempt can still be saved up to one.
+        BudgetLimit::PerSecond(rate) => (rate / sidecars / 1e3, (budget.burst / sidecars).max(1.0)),
+        BudgetLimit::BytesPerSecond(rate) => (rate / sidecars / 1e3, budget.burst / sidecars),
     }
 }
 
 impl CrossZoneBudgets {
-    /// A plan whose budgets are empty: a restart makes none. What it counts goes on in these counts, whose names tell
-    /// the zone that it is for.
+    /// Budgets that are empty, so that a restart grants nothing. `counts` is continued, and names the zone of the instance.
     pub fn new(rules: Rules, counts: Arc<Counts>, sidecars: u32, now: Millis) -> CrossZoneBudgets {
         let classes = counts.names().classes.len();
-        let mut plan = CrossZoneBudgets {
+        let mut budgets = CrossZoneBudgets {
             rules: Rules { budgets: Vec::new(), ..rules.clone() },
-            purses: Vec::new(),
+            budgets: Vec::new(),
             sidecars,
             counts,
-            usual_bytes: vec![FIRST_BYTES; classes],
-            out: FxHashMap::default(),
+            mean_bytes: vec![INITIAL_ATTEMPT_BYTES; classes],
+            outstanding: FxHashMap::default(),
         };
-        plan.set_rules(rules, now);
-        plan
+        budgets.set_rules(rules, now);
+        budgets
     }
 
-    /// Brings other rules into force. A budget that stays the same keeps what it holds; a new one is empty.
+    /// Replaces the rules. An unchanged budget keeps its tokens; a new one is empty.
     pub fn set_rules(&mut self, rules: Rules, now: Millis) {
         let names = self.counts.names();
-        let home = names.local_zone;
-        let far: Vec<ZoneId> =
-            (0..names.zones.len()).filter(|zone| *zone != home).map(|zone| ZoneId(zone as u64)).collect();
-        let mut old = std::mem::take(&mut self.purses);
+        let other_zones: Vec<ZoneId> = (0..names.zones.len())
+            .filter(|zone| *zone != names.local_zone)
+            .map(|zone| ZoneId(zone as u64))
+            .collect();
+        let mut previous = std::mem::take(&mut self.budgets);
         for budget in rules.budgets.iter().take(MAX_BUDGETS) {
-            let whole = budget.to.as_ref().is_none_or(|to| far.iter().all(|zone| to.contains(zone)));
-            let kept =
-                old.iter().position(|purse| purse.budget == *budget).map(|at| old.swap_remove(at).bucket);
-            let (per_ms, burst) = shape(budget, self.sidecars);
-            let bucket = kept.unwrap_or_else(|| TokenBucket::new(per_ms, burst, now));
-            self.purses.push(Purse { budget: budget.clone(), bucket, whole });
+            let applies_to_all_zones =
+                budget.to.as_ref().is_none_or(|to| other_zones.iter().all(|zone| to.contains(zone)));
+            let unchanged = previous.iter().position(|state| state.budget == *budget);
+            let kept_bucket = unchanged.map(|index| previous.swap_remove(index).bucket);
+            let (tokens_per_ms, burst) = rate_and_burst(budget, self.sidecars);
+            let bucket = kept_bucket.unwrap_or_else(|| TokenBucket::new(tokens_per_ms, burst, now));
+            self.budgets.push(BudgetState { budget: budget.clone(), bucket, applies_to_all_zones });
         }
         self.rules = rules;
-        self.tell_levels(now);
+        self.publish_levels(now);
     }
 
-    fn tell_levels(&self, now: Millis) {
+    fn publish_levels(&self, now: Millis) {
         self.counts.set_budget_levels(self.levels(now));
     }
 
-    /// The counts that it keeps.
+    /// The counts of these budgets.
     pub fn counts(&self) -> &Arc<Counts> {
         &self.counts
     }
 
-    /// What each budget holds and can hold, in the order of the rules.
+    /// The level and the burst of each budget, in the order of the rules.
     pub fn levels(&self, now: Millis) -> impl Iterator<Item = (f64, f64)> {
-        self.purses.iter().map(move |purse| (purse.bucket.level(now), purse.bucket.burst()))
+        self.budgets.iter().map(move |state| (state.bucket.level(now), state.bucket.burst()))
     }
 
-    /// Attempts that are out.
+    /// The number of attempts in flight.
     pub fn outstanding_attempts(&self) -> usize {
-        self.out.len()
+        self.outstanding.len()
     }
 
-    fn usual(&self, class: ClassId) -> f64 {
-        self.usual_bytes.get(class.0).copied().unwrap_or(FIRST_BYTES)
+    fn expected_bytes(&self, class: ClassId) -> f64 {
+        self.mean_bytes.get(class.0).copied().unwrap_or(INITIAL_ATTEMPT_BYTES)
     }
 
-    fn crosses(&self, to: ZoneId) -> bool {
+    fn is_cross_zone(&self, to: ZoneId) -> bool {
         to.0 != self.counts.names().local_zone as u64
     }
 }
@@ -197,50 +201,51 @@
 impl CrossZoneLimiter for CrossZoneBudgets {
     fn set_sidecar_count(&mut self, now: Millis, count: u32) {
         self.sidecars = count;
-        for purse in &mut self.purses {
-            let (per_ms, burst) = shape(&purse.budget, count);
-            purse.bucket.set_rate_and_burst(now, per_ms, burst);
+        for state in &mut self.budgets {
+            let (tokens_per_ms, burst) = rate_and_burst(&state.budget, count);
+            state.bucket.set_rate_and_burst(now, tokens_per_ms, burst);
         }
     }
 
-    /// The fee grows from [`Rules::fee`] to [`Rules::bend_at`] as the emptiest budget is used up.
+    /// The cost rises from [`Rules::cost`] to [`Rules::exemption_threshold`] as the emptiest budget is used up.
     fn cross_zone_cost(&self, now: Millis, class: ClassId) -> CrossZoneCost {
-        let purses = self.purses.iter().filter(|purse| purse.whole && purse.covers(class));
-        let fill = purses.map(|purse| purse.bucket.fill_fraction(now)).fold(1.0, f64::min);
-        let Rules { cost: fee, exemption_threshold: bend_at, .. } = self.rules;
-        CrossZoneCost { cost: fee.powf(fill) * bend_at.powf(1.0 - fill), exemption_threshold: bend_at }
+        let applicable =
+            self.budgets.iter().filter(|state| state.applies_to_all_zones && state.applies_to_class(class));
+        let fill = applicable.map(|state| state.bucket.fill_fraction(now)).fold(1.0, f64::min);
+        let Rules { cost, exemption_threshold, .. } = self.rules;
+        CrossZoneCost { cost: cost.powf(fill) * exemption_threshold.powf(1.0 - fill), exemption_threshold }
     }
 
     fn has_budget(&self, now: Millis, class: ClassId, to: Option<ZoneId>) -> bool {
-        let bytes = self.usual(class);
-        let mut purses = self.purses.iter().filter(|purse| match to {
-            Some(to) => purse.covers_to(class, to),
-            None => purse.whole && purse.covers(class),
+        let bytes = self.expected_bytes(class);
+        let mut applicable = self.budgets.iter().filter(|state| match to {
+            Some(to) => state.applies_to(class, to),
+            None => state.applies_to_all_zones && state.applies_to_class(class),
         });
-        purses.all(|purse| purse.bucket.has_tokens(now, purse.price(bytes)))
+        applicable.all(|state| state.bucket.has_tokens(now, state.tokens_for(bytes)))
     }
 
-    fn allows_exemption(&self, why: BudgetExemption) -> bool {
-        self.rules.exemptions.contains(&why)
+    fn allows_exemption(&self, reason: BudgetExemption) -> bool {
+        self.rules.exemptions.contains(&reason)
     }
 
     fn attempt_sent(&mut self, now: Millis, attempt: CrossZoneAttempt) {
-        let CrossZoneAttempt { request, number, class, to, exemption: bend } = attempt;
-        let (crosses, paid) = (self.crosses(to), self.usual(class));
-        for purse in &mut self.purses {
-            if let (true, BudgetLimit::Share(share)) = (purse.covers(class), purse.budget.limit) {
-                purse.bucket.add(now, share);
+        let CrossZoneAttempt { request, number, class, to, exemption } = attempt;
+        let (is_cross_zone, prepaid_bytes) = (self.is_cross_zone(to), self.expected_bytes(class));
+        for state in &mut self.budgets {
+            if let (true, BudgetLimit::Share(share)) = (state.applies_to_class(class), state.budget.limit) {
+                state.bucket.add(now, share);
             }
-            if crosses && purse.covers_to(class, to) {
-                purse.bucket.add(now, -purse.price(paid));
+            if is_cross_zone && state.applies_to(class, to) {
+                state.bucket.add(now, -state.tokens_for(prepaid_bytes));
             }
         }
-        self.out.insert((request, number), Out { class, to, paid });
+        self.outstanding.insert((request, number), OutstandingAttempt { class, to, prepaid_bytes });
         self.counts.add(class, to, if number.0 == 0 { Counter::First } else { Counter::Retry }, 1);
-        if let Some(bend) = bend {
-            self.counts.add(class, to, Counter::Exempted(bend), 1);
+        if let Some(reason) = exemption {
+            self.counts.add(class, to, Counter::Exempted(reason), 1);
         }
-        self.tell_levels(now);
+        self.publish_levels(now);
     }
 
     fn attempt_ended(
@@ -251,31 +256,34 @@
         outcome: Outcome,
         bytes: [u64; 2],
     ) {
-        let Some(Out { class, to, paid }) = self.out.remove(&(request, number)) else { return };
-        let left = !matches!(outcome, Outcome::Unreachable | Outcome::NotSent);
-        let moved = if left { bytes[0].saturating_add(bytes[1]) as f64 } else { 0.0 };
-        if self.crosses(to) {
-            for purse in self.purses.iter_mut().filter(|purse| purse.covers_to(class, to)) {
-                match purse.budget.limit {
-                    BudgetLimit::BytesPerSecond(_) => purse.bucket.add(now, paid - moved),
-                    // What never left has cost nothing.
-                    _ if !left => purse.bucket.add(now, 1.0),
+        let Some(attempt) = self.outstanding.remove(&(request, number)) else { return };
+        let OutstandingAttempt { class, to, prepaid_bytes } = attempt;
+        let was_sent = !matches!(outcome, Outcome::Unreachable | Outcome::NotSent);
+        let transferred_bytes = if was_sent { bytes[0].saturating_add(bytes[1]) as f64 } else { 0.0 };
+        if self.is_cross_zone(to) {
+            for state in self.budgets.iter_mut().filter(|state| state.applies_to(class, to)) {
+                match state.budget.limit {
+                    BudgetLimit::BytesPerSecond(_) => {
+                        state.bucket.add(now, prepaid_bytes - transferred_bytes)
+                    }
+                    // An attempt that was never sent is refunded.
+                    _ if !was_sent => state.bucket.add(now, 1.0),
                     _ => {}
                 }
             }
         }
-        let kind = match outcome {
-            _ if !left => Counter::Unsent,
+        let counter = match outcome {
+            _ if !was_sent => Counter::Unsent,
             Outcome::Ok => Counter::Served,
             _ => Counter::Failed,
         };
-        self.counts.add(class, to, kind, 1);
-        if left {
+        self.counts.add(class, to, counter, 1);
+        if was_sent {
             self.counts.add(class, to, Counter::BytesOut, bytes[0]);
             self.counts.add(class, to, Counter::BytesIn, bytes[1]);
         }
-        if let (Outcome::Ok, Some(usual)) = (outcome, self.usual_bytes.get_mut(class.0)) {
-            *usual += SMOOTH * (moved - *usual);
+        if let (Outcome::Ok, Some(mean_bytes)) = (outcome, self.mean_bytes.get_mut(class.0)) {
+            *mean_bytes += MEAN_BYTES_SMOOTHING * (transferred_bytes - *mean_bytes);
         }
     }
 
--- a/crates/pools/src/file.rs
+++ b/crates/pools/src/file.rs
@@ -1,4 +1,4 @@
-//! Reads the text of `pools.toml`, and fits it to the settings of an instance. All faults are found, each with line
+//! Parses the text of `pools.toml`, and applies it to the settings of an instance. All faults are reported, each with its line
 //! and key.
 
 use std::fmt;
@@ -6,32 +6,32 @@
 
 use sagemast_decide::api::{ClassId, ZoneId};
 use sagemast_decide::cross_zone::BudgetExemption;
-use sagemast_decide::settings::Config as SettingsObject;
+use sagemast_decide::settings::Config as SettingsConfig;
 use serde::Deserialize;
 use toml::Spanned;
 
 use crate::counts::Names;
 use crate::cross_zone_budget::{Budget, BudgetLimit, MAX_BUDGETS, Rules};
 
-/// A crossing of no more worth than this is made freely; as [`Rules::fee`].
-const FEE: f64 = 0.03;
-/// As [`Rules::bend_at`].
-const BEND_AT: f64 = 0.2;
-/// Crossings that a budget by share saves up.
-const BURST: f64 = 10.0;
-/// Seconds of its rate that any other saves up.
-const BURST_SECONDS: f64 = 2.0;
-/// No rate or burst is larger in earnest.
-const MOST: f64 = 1e12;
+/// Default of [`Rules::cost`], as a share of a request's worth.
+const DEFAULT_COST: f64 = 0.03;
+/// Default of [`Rules::exemption_threshold`], as a share of a request's worth.
+const DEFAULT_EXEMPTION_THRESHOLD: f64 = 0.2;
+/// Default burst of a budget by share, in attempts.
+const DEFAULT_SHARE_BURST: f64 = 10.0;
+/// Default burst of a budget by rate, in seconds of its rate.
+const DEFAULT_RATE_BURST_SECONDS: f64 = 2.0;
+/// Upper bound of rates and bursts; no realistic one is larger.
+const MAX_RATE_OR_BURST: f64 = 1e12;
 
-/// Something wrong in the file.
+/// A fault of the file.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Fault {
-    /// Which line, from 1; 0 where it is about the whole file.
+    /// The line, from 1.
     pub line: usize,
-    /// Which key, from the top of the file down.
+    /// The full key, such as `crossing.budget[0].share`.
     pub key: String,
-    /// What is wrong, and what to do.
+    /// What is wrong, and what is needed instead.
     pub text: String,
 }
 
@@ -41,32 +41,37 @@
     }
 }
 
-/// A file that is sound as far as it can tell by itself.
+/// A parsed file without faults of its own. Its names have not been compared with any settings.
 #[derive(Debug, Clone)]
 pub struct File {
     text: String,
-    crossing: Crossing,
+    cross_zone: CrossZoneTable,
 }
 
+/// The top level of the file.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Top {
-    crossing: Crossing,
+struct Document {
+    #[serde(rename = "crossing")]
+    cross_zone: CrossZoneTable,
 }
 
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Crossing {
-    fee: Option<Spanned<f64>>,
-    bend_at: Option<Spanned<f64>>,
-    bends: Option<Vec<Spanned<String>>>,
-    #[serde(default)]
-    budget: Vec<Spanned<Entry>>,
+struct CrossZoneTable {
+    #[serde(rename = "fee")]
+    cost: Option<Spanned<f64>>,
+    #[serde(rename = "bend_at")]
+    exemption_threshold: Option<Spanned<f64>>,
+    #[serde(rename = "bends")]
+    exemptions: Option<Vec<Spanned<String>>>,
+    #[serde(default, rename = "budget")]
+    budgets: Vec<Spanned<BudgetTable>>,
 }
 
 #[derive(Debug, Clone, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Entry {
+struct BudgetTable {
     classes: Option<Vec<Spanned<String>>>,
     from: Option<Vec<Spanned<String>>>,
     to: Option<Vec<Spanned<String>>>,
@@ -76,8 +81,9 @@
     burst: Option<Spanned<f64>>,
 }
 
-impl Entry {
-    fn measures(&self) -> impl Iterator<Item = (BudgetLimit, &Spanned<f64>)> {
+impl BudgetTable {
+    /// The limits that are given; exactly one is valid.
+    fn limits(&self) -> impl Iterator<Item = (BudgetLimit, &Spanned<f64>)> {
         let share = self.share.as_ref().map(|value| (BudgetLimit::Share(*value.get_ref()), value));
         let rate = self.per_second.as_ref().map(|value| (BudgetLimit::PerSecond(*value.get_ref()), value));
         let bytes = self
@@ -88,7 +94,7 @@
     }
 }
 
-fn bend(name: &str) -> Option<BudgetExemption> {
+fn exemption(name: &str) -> Option<BudgetExemption> {
     match name {
         "down" => Some(BudgetExemption::Down),
         "full" => Some(BudgetExemption::Full),
@@ -99,35 +105,40 @@
     }
 }
 
-fn line(text: &str, span: &Range<usize>) -> usize {
+fn value_or(value: &Option<Spanned<f64>>, default: f64) -> f64 {
+    value.as_ref().map_or(default, |value| *value.get_ref())
+}
+
+/// The number of the line in which a span begins, from 1.
+fn line_of(text: &str, span: &Range<usize>) -> usize {
     1 + text.as_bytes()[..span.start.min(text.len())].iter().filter(|byte| **byte == b'\n').count()
 }
 
 impl File {
-    /// Reads a text.
+    /// Parses a text.
     pub fn read(text: &str) -> Result<File, Vec<Fault>> {
-        let top: Top = toml::from_str(text).map_err(|error| {
-            let at = error.span().unwrap_or(0..0);
+        let document: Document = toml::from_str(text).map_err(|error| {
+            let span = error.span().unwrap_or(0..0);
             vec![Fault {
-                line: line(text, &at),
+                line: line_of(text, &span),
                 key: "crossing".to_owned(),
                 text: error.message().to_owned(),
             }]
         })?;
-        let file = File { text: text.to_owned(), crossing: top.crossing };
+        let file = File { text: text.to_owned(), cross_zone: document.cross_zone };
         let faults = file.faults();
         if faults.is_empty() { Ok(file) } else { Err(faults) }
     }
 
     fn fault(&self, span: Range<usize>, key: String, text: impl Into<String>) -> Fault {
-        Fault { line: line(&self.text, &span), key, text: text.into() }
+        Fault { line: line_of(&self.text, &span), key, text: text.into() }
     }
 
-    /// All that is wrong whatever the settings.
+    /// The faults that don't depend on settings.
     fn faults(&self) -> Vec<Fault> {
-        let Crossing { fee, bend_at, bends, budget } = &self.crossing;
+        let CrossZoneTable { cost, exemption_threshold, exemptions, budgets } = &self.cross_zone;
         let mut faults = Vec::new();
-        for (key, value) in [("fee", fee), ("bend_at", bend_at)] {
+        for (key, value) in [("fee", cost), ("bend_at", exemption_threshold)] {
             let Some(value) = value else { continue };
             if !(*value.get_ref() > 0.0 && *value.get_ref() < 1.0) {
                 let text = format!(
@@ -137,126 +148,125 @@
                 faults.push(self.fault(value.span(), format!("crossing.{key}"), text));
             }
         }
-        let figure =
-            |value: &Option<Spanned<f64>>, usual| value.as_ref().map_or(usual, |value| *value.get_ref());
-        if faults.is_empty() && figure(fee, FEE) > figure(bend_at, BEND_AT) {
-            let span = fee.as_ref().or(bend_at.as_ref()).map_or(0..0, Spanned::span);
-            let text =
-                "it is above crossing.bend_at: a full budget would close the border more than an empty one";
+        let threshold = value_or(exemption_threshold, DEFAULT_EXEMPTION_THRESHOLD);
+        if faults.is_empty() && value_or(cost, DEFAULT_COST) > threshold {
+            let span = cost.as_ref().or(exemption_threshold.as_ref()).map_or(0..0, Spanned::span);
+            let text = "it is above crossing.bend_at: leaving the zone would cost more with a full budget than with \
+                        an empty one";
             faults.push(self.fault(span, "crossing.fee".to_owned(), text));
         }
-        for name in bends.iter().flatten().filter(|name| bend(name.get_ref()).is_none()) {
+        for name in exemptions.iter().flatten().filter(|name| exemption(name.get_ref()).is_none()) {
             let text =
                 format!("{:?} is no reason; there are down, full, late, failing and bound", name.get_ref());
             faults.push(self.fault(name.span(), "crossing.bends".to_owned(), text));
         }
-        if budget.len() > MAX_BUDGETS {
-            let text = format!("there are {}; {MAX_BUDGETS} are allowed", budget.len());
-            faults.push(self.fault(budget[MAX_BUDGETS].span(), "crossing.budget".to_owned(), text));
+        if budgets.len() > MAX_BUDGETS {
+            let text = format!("there are {}; {MAX_BUDGETS} are allowed", budgets.len());
+            faults.push(self.fault(budgets[MAX_BUDGETS].span(), "crossing.budget".to_owned(), text));
         }
-        for (number, entry) in budget.iter().enumerate() {
-            let key = |key: &str| format!("crossing.budget[{number}].{key}");
-            let measures: Vec<_> = entry.get_ref().measures().collect();
-            if measures.len() != 1 {
+        for (number, table) in budgets.iter().enumerate() {
+            let full_key = |key: &str| format!("crossing.budget[{number}].{key}");
+            let limits: Vec<_> = table.get_ref().limits().collect();
+            if limits.len() != 1 {
                 let text = "give one of share, per_second and bytes_per_second";
-                faults.push(self.fault(entry.span(), format!("crossing.budget[{number}]"), text));
+                faults.push(self.fault(table.span(), format!("crossing.budget[{number}]"), text));
             }
-            for (measure, value) in measures {
-                let (name, most) = match measure {
+            for (limit, value) in limits {
+                let (key, max) = match limit {
                     BudgetLimit::Share(_) => ("share", 1.0),
-                    BudgetLimit::PerSecond(_) => ("per_second", MOST),
-                    BudgetLimit::BytesPerSecond(_) => ("bytes_per_second", MOST),
+                    BudgetLimit::PerSecond(_) => ("per_second", MAX_RATE_OR_BURST),
+                    BudgetLimit::BytesPerSecond(_) => ("bytes_per_second", MAX_RATE_OR_BURST),
                 };
-                if !(0.0..=most).contains(value.get_ref()) {
-                    let text = format!("it is {}; from 0 to {most} is allowed", value.get_ref());
-                    faults.push(self.fault(value.span(), key(name), text));
+                if !(0.0..=max).contains(value.get_ref()) {
+                    let text = format!("it is {}; from 0 to {max} is allowed", value.get_ref());
+                    faults.push(self.fault(value.span(), full_key(key), text));
                 }
             }
-            if let Some(burst) =
-                entry.get_ref().burst.as_ref().filter(|b| !(1.0..=MOST).contains(b.get_ref()))
-            {
+            let burst = table.get_ref().burst.as_ref();
+            if let Some(burst) = burst.filter(|burst| !(1.0..=MAX_RATE_OR_BURST).contains(burst.get_ref())) {
                 let text = format!("it is {}; at least 1 is needed", burst.get_ref());
-                faults.push(self.fault(burst.span(), key("burst"), text));
+                faults.push(self.fault(burst.span(), full_key("burst"), text));
             }
-            let Entry { classes, from, to, .. } = entry.get_ref();
-            for (name, list) in [("classes", classes), ("from", from), ("to", to)] {
-                if list.as_ref().is_some_and(Vec::is_empty) {
-                    let text = "it is empty, so that it would never count; leave it out for all";
-                    faults.push(self.fault(entry.span(), key(name), text));
+            let BudgetTable { classes, from, to, .. } = table.get_ref();
+            for (key, names) in [("classes", classes), ("from", from), ("to", to)] {
+                if names.as_ref().is_some_and(Vec::is_empty) {
+                    let text = "it is empty, so the budget would never apply; leave it out for all";
+                    faults.push(self.fault(table.span(), full_key(key), text));
                 }
             }
         }
         faults
     }
 
-    /// The rules for an instance with these settings, and the names to count under.
-    pub fn rules(&self, settings: &SettingsObject) -> Result<(Rules, Names), Vec<Fault>> {
+    /// The rules for an instance with these settings, and the names that its counts are kept under.
+    pub fn rules(&self, settings: &SettingsConfig) -> Result<(Rules, Names), Vec<Fault>> {
         let classes: Vec<String> = settings.classes().into_iter().map(|class| class.name).collect();
         let zones = settings.zone_names().to_vec();
-        let home = usize::try_from(settings.settings().zone.0).unwrap_or(usize::MAX);
+        let local_zone = usize::try_from(settings.settings().zone.0).unwrap_or(usize::MAX);
         let mut faults = Vec::new();
-        if home >= zones.len() {
-            let text =
-                format!("settings.azs names {} zones, and not number {home} of the instance", zones.len());
+        if local_zone >= zones.len() {
+            let text = format!(
+                "settings.azs names {} zones; the zone of the instance, number {local_zone}, is not one of them",
+                zones.len()
+            );
             faults.push(self.fault(0..0, "crossing".to_owned(), text));
             return Err(faults);
         }
-        let Crossing { fee, bend_at, bends, budget } = &self.crossing;
-        let figure =
-            |value: &Option<Spanned<f64>>, usual| value.as_ref().map_or(usual, |value| *value.get_ref());
+        let CrossZoneTable { cost, exemption_threshold, exemptions, budgets: tables } = &self.cross_zone;
         let mut budgets = Vec::new();
-        for (number, entry) in budget.iter().enumerate() {
-            let mut find = |key: &str, what: &str, names: &Option<Vec<Spanned<String>>>, known: &[String]| {
+        for (number, table) in tables.iter().enumerate() {
+            // Looks up names of classes or zones; each unknown one is a fault.
+            let mut find = |key: &str, noun: &str, names: &Option<Vec<Spanned<String>>>, known: &[String]| {
                 names.as_ref().map(|names| {
-                    let place = |name: &Spanned<String>| {
-                        let place = known.iter().position(|known| known == name.get_ref());
-                        if place.is_none() {
+                    let index_of = |name: &Spanned<String>| {
+                        let index = known.iter().position(|known| known == name.get_ref());
+                        if index.is_none() {
                             let text = format!(
-                                "the settings know no {what} {:?}; there are {}",
+                                "the settings know no {noun} {:?}; there are {}",
                                 name.get_ref(),
                                 known.join(", ")
                             );
                             let key = format!("crossing.budget[{number}].{key}");
                             faults.push(self.fault(name.span(), key, text));
                         }
-                        place
+                        index
                     };
-                    names.iter().filter_map(place).collect::<Vec<usize>>()
+                    names.iter().filter_map(index_of).collect::<Vec<usize>>()
                 })
             };
-            let entry = entry.get_ref();
-            let of = find("classes", "class", &entry.classes, &classes);
-            let from = find("from", "zone", &entry.from, &zones);
-            let to = find("to", "zone", &entry.to, &zones);
-            let Some((measure, _)) = entry.measures().next() else { continue };
-            if from.is_some_and(|from| !from.contains(&home)) {
+            let table = table.get_ref();
+            let budget_classes = find("classes", "class", &table.classes, &classes);
+            let from = find("from", "zone", &table.from, &zones);
+            let to = find("to", "zone", &table.to, &zones);
+            let Some((limit, _)) = table.limits().next() else { continue };
+            if from.is_some_and(|from| !from.contains(&local_zone)) {
                 continue;
             }
-            let usual = match measure {
-                BudgetLimit::Share(_) => BURST,
-                BudgetLimit::PerSecond(rate) => (BURST_SECONDS * rate).max(1.0),
-                BudgetLimit::BytesPerSecond(rate) => (BURST_SECONDS * rate).max(1.0),
+            let default_burst = match limit {
+                BudgetLimit::Share(_) => DEFAULT_SHARE_BURST,
+                BudgetLimit::PerSecond(rate) => (DEFAULT_RATE_BURST_SECONDS * rate).max(1.0),
+                BudgetLimit::BytesPerSecond(rate) => (DEFAULT_RATE_BURST_SECONDS * rate).max(1.0),
             };
             budgets.push(Budget {
-                classes: of.map(|classes| classes.into_iter().map(ClassId).collect()),
+                classes: budget_classes.map(|classes| classes.into_iter().map(ClassId).collect()),
                 to: to.map(|zones| zones.into_iter().map(|zone| ZoneId(zone as u64)).collect()),
-                limit: measure,
-                burst: figure(&entry.burst, usual),
+                limit,
+                burst: value_or(&table.burst, default_burst),
             });
         }
         if !faults.is_empty() {
             return Err(faults);
         }
-        let bends = match bends {
-            Some(names) => names.iter().filter_map(|name| bend(name.get_ref())).collect(),
+        let exemptions = match exemptions {
+            Some(names) => names.iter().filter_map(|name| exemption(name.get_ref())).collect(),
             None => BudgetExemption::ALL.to_vec(),
         };
         let rules = Rules {
-            cost: figure(fee, FEE),
-            exemption_threshold: figure(bend_at, BEND_AT),
-            exemptions: bends,
+            cost: value_or(cost, DEFAULT_COST),
+            exemption_threshold: value_or(exemption_threshold, DEFAULT_EXEMPTION_THRESHOLD),
+            exemptions,
             budgets,
         };
-        Ok((rules, Names { classes, zones, local_zone: home }))
+        Ok((rules, Names { classes, zones, local_zone }))
     }
 }
--- a/crates/pools/src/lib.rs
+++ b/crates/pools/src/lib.rs
@@ -1,5 +1,6 @@
-//! Limits on where the decision module may choose. [`cross_zone_budget::CrossZoneBudgets`] holds traffic that leaves a sidecar's zone
-//! within budgets; it plugs into the module as its [`CrossZone`](sagemast_decide::cross_zone::CrossZone).
+//! Limits on the servers that the decision module may choose. [`cross_zone_budget::CrossZoneBudgets`] keeps the traffic that
+//! leaves a sidecar's zone within budgets; it implements the module's
+//! [`CrossZoneLimiter`](sagemast_decide::cross_zone::CrossZoneLimiter).
 
 pub mod counts;
 pub mod cross_zone_budget;
