--- a/crates/decide/src/balancer.rs
+++ b/crates/decide/src/balancer.rs
@@ -10,12 +10,11 @@
 use rustc_hash::FxHashMap;
 
 use crate::api::*;
-use crate::attempt_timeout::AttemptEvidence;
 use crate::check_schedule::{self, CheckSchedule};
-use crate::cross_zone::{CrossZone, CrossZoneAttempt};
+use crate::cross_zone::{CrossZoneAttempt, CrossZoneLimiter};
 use crate::estimates::{ClassEstimates, Estimates};
 use crate::fleet::{CandidateSampler, CandidateScope, Fleet, Slot};
-use crate::latency_outlier::MUTE;
+use crate::latency_outlier::UNRESPONSIVE_MULTIPLE;
 use crate::outlier_ejection;
 use crate::probe_budget::ProbeBudget;
 use crate::reports;
@@ -84,7 +83,7 @@
     pub(crate) rng: Rand64,
     pub(crate) now: Millis,
     /// Limits traffic that leaves the zone, if there is such a limit.
-    pub(crate) cross_zone_budget: Option<Box<dyn CrossZone>>,
+    pub(crate) cross_zone_budget: Option<Box<dyn CrossZoneLimiter>>,
     pub(crate) requests: FxHashMap<RequestId, PendingRequest>,
     pub(crate) upstreams: Fleet,
     /// Attempts that have not finished, with their number among the sends of the module and their server.
@@ -149,10 +148,10 @@
                 self.request_arrived(request, pending, out);
             }
             Event::UploadProgress { request, attempt, in_progress } => {
-                self.upload(request, attempt, in_progress)
+                self.track_upload(request, attempt, in_progress)
             }
             Event::AttemptFinished(finished) => {
-                self.upload(finished.request, finished.attempt, false);
+                self.track_upload(finished.request, finished.attempt, false);
                 self.record_attempt(finished, out);
                 self.attempt_finished(finished, out);
             }
@@ -171,18 +170,18 @@
             Event::ListReceived(update) => self.list_received(update, out),
             Event::SidecarCountChanged(count) => {
                 self.settings.sidecars = count;
-                self.cross_zone_budget.iter_mut().for_each(|plan| plan.sidecars(self.now, count));
+                self.cross_zone_budget.iter_mut().for_each(|plan| plan.set_sidecar_count(self.now, count));
             }
             Event::TimerFired(0) if self.discovery_calls.begin_call(self.now) => out.push(Action::Subscribe),
-            Event::TimerFired(check_schedule::TOKEN) => {
-                self.check_schedule.woke();
-                while let Some(request) = self.check_schedule.next(self.now) {
-                    self.look_after(request, out);
+            Event::TimerFired(check_schedule::TIMER_TOKEN) => {
+                self.check_schedule.timer_fired();
+                while let Some(request) = self.check_schedule.pop_due(self.now) {
+                    self.check_attempt(request, out);
                 }
             }
             Event::TimerFired(token) => self.probe_wait_ended(token, out),
         }
-        self.check_schedule.arm(out);
+        self.check_schedule.arm_timer(out);
     }
 
     fn request_arrived(&mut self, request: RequestId, pending: PendingRequest, out: &mut Vec<Action>) {
@@ -232,7 +231,7 @@
         class.refused += FLEET_SMOOTHING * (refused - class.refused);
         let by_load = pair.map(|[a, b]| if b.projected_load < a.projected_load { [b, a] } else { [a, b] });
         let admitting = by_load.into_iter().flatten().find(|c| self.admits(c, &pending, was_probed));
-        let other = |_| self.warm_one(&pending).or_else(|| self.cold_one(&pending));
+        let other = |_| self.select_warm(&pending).or_else(|| self.cold_one(&pending));
         match admitting.or_else(|| pair.and_then(other)) {
             Some(candidate) => self.send(request, candidate, out),
             None => self.refuse_or_fail(request, out),
@@ -343,7 +342,7 @@
 
     pub(crate) fn cancel_check(&mut self, request: RequestId) {
         if let Some(pending) = self.requests.get_mut(&request) {
-            self.check_schedule.set(request, pending.check_at.take(), None);
+            self.check_schedule.reschedule(request, pending.check_at.take(), None);
         }
     }
 
@@ -367,7 +366,7 @@
         let has_time = aim_left > 2.0 * PROBE_WAIT_AIM_SHARE * self.settings.classes[pending.class.0].aim;
         // With roughly exponential answer times, one expected at `wait` misses the aim with probability
         // exp(-aim/wait). While that is below the cost of crossing, crossing does not pay.
-        let terms = self.cross_zone_budget.as_ref().map(|plan| plan.terms(self.now, pending.class));
+        let terms = self.cross_zone_budget.as_ref().map(|plan| plan.cross_zone_cost(self.now, pending.class));
         let limit = |cost: f64| if cost > 0.0 { aim_left / (1.0 / cost).ln().max(1.0) } else { 0.0 };
         let service_time = self.estimates.service[pending.class.0].time;
         let longest_probe = MAX_PROBE_TIME_SHARE * service_time;
@@ -384,8 +383,8 @@
                 && has_time
                 && self.estimates.probe_time.is_none_or(|time| time <= longest_probe),
             max_wait: self.max_wait_share(pending) * aim_left * wait_factor,
-            same_zone_limit: limit(terms.map_or(self.settings.cross_zone_cost, |terms| terms.fee)),
-            max_failure_rate: terms.map_or(1.0, |terms| terms.bend_at),
+            same_zone_limit: limit(terms.map_or(self.settings.cross_zone_cost, |terms| terms.cost)),
+            max_failure_rate: terms.map_or(1.0, |terms| terms.exemption_threshold),
         }
     }
 
@@ -415,7 +414,7 @@
             awaits_probe: context.may_wait_for_probe && report_age > context.max_report_age,
             // A server that has just failed this request is the likeliest to fail it again.
             healthy: self.is_available(server)
-                && !self.outages.is_out(server.zone)
+                && !self.outages.is_unreachable(server.zone)
                 && pending.attempts.iter().all(|t| t.upstream != id),
             projected_load: (in_flight + 1.0) / capacity * slowness,
             depth,
@@ -502,17 +501,17 @@
     /// for.
     fn select_pair(&mut self, pending: &PendingRequest, out: &mut Vec<Action>) -> Option<(Pair, bool)> {
         self.update_subset();
-        self.ask_zones(out);
+        self.probe_unreachable_zones(out);
         let scope = self.candidate_scope(pending)?;
         let context = self.selection_context(pending);
         let probed = self.probed_pair(pending, &context);
         let subset = scope.inside();
         let is_new = probed.is_none() && pending.probe_waits == 0;
         let same_zone = if is_new { self.same_zone_pair(subset, pending, &context) } else { None };
-        let mut pair = probed.or(same_zone).or_else(|| self.open(subset, pending, &context));
+        let mut pair = probed.or(same_zone).or_else(|| self.sample_allowed(subset, pending, &context));
         if pair.is_none() && subset != scope && self.upstreams.size(scope) != self.upstreams.size(subset) {
             // Before a refusal, servers outside the subset are examined, too. A pair found there widens it.
-            pair = self.open(scope, pending, &SelectionContext { outside_subset: true, ..context });
+            pair = self.sample_allowed(scope, pending, &SelectionContext { outside_subset: true, ..context });
             if pair.is_some() {
                 self.subset_size.widen();
             }
@@ -560,7 +559,7 @@
             false => context.max_wait,
         };
         let is_usable = |c: &Candidate| c.healthy && context.has_capacity(c) && c.wait <= limit(c);
-        let is_allowed = |c: &Candidate| self.is_serving(c.id) && self.still_pays(pending, c);
+        let is_allowed = |c: &Candidate| self.is_serving(c.id) && self.is_still_allowed(pending, c);
         let [a, b] = pending.pair?.map(|id| {
             let candidate = self.examine(self.upstreams.slot(id)?, pending, context);
             candidate.filter(|c| is_usable(c) && is_allowed(c))
@@ -637,7 +636,7 @@
         };
         let same_zone = if context.same_zone_limit != 0.0 {
             // Where no budget pays for crossing, pairs are from the zone while a server there has capacity.
-            let stays = self.stays(pending.class);
+            let stays = self.is_confined_to_zone(pending.class);
             let suits = |c: &Candidate| context.suits_same_zone(c) || stays && c.same_zone && has_capacity(c);
             self.estimate_count(zone, pending, &context, suits)
         } else {
@@ -688,7 +687,7 @@
             is_due
         };
         if self.upstreams.change(id, start_if_due) == Some(true) {
-            self.tell_probed(id);
+            self.account_probe(id);
             self.probe_budget.spend();
             out.push(Action::Probe(id));
         }
@@ -697,19 +696,19 @@
     fn send(&mut self, request: RequestId, to: Candidate, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&request) else { return };
         let left = (pending.deadline - self.now).max(0.0);
-        let evidence = AttemptEvidence { wait: to.wait, failing: to.failure_rate, ..self.no_evidence() };
-        let may_retry = self.may_go_on(pending, pending.attempts.len() + 1);
-        let check_after = may_retry.then(|| self.next_look(pending, &evidence, 0.0)).flatten();
+        let evidence = self.initial_evidence(to.wait, to.failure_rate);
+        let may_retry = self.may_retry(pending, pending.attempts.len() + 1);
+        let check_after = may_retry.then(|| self.next_check_after(pending, &evidence, 0.0)).flatten();
         // Where attempts cannot be cancelled, the time-out has to be decided beforehand.
         let (timeout, check_after) = match self.settings.limits.cancel {
             true => (left, check_after),
-            false if may_retry => (self.timeout(pending, to).min(left), None),
+            false if may_retry => (self.attempt_timeout(pending, to).min(left), None),
             false => (left, None),
         };
         let mean_wait = &mut self.estimates.service[pending.class.0].wait;
         *mean_wait += FLEET_SMOOTHING * (to.wait - *mean_wait);
         let (class, attempt) = (pending.class, AttemptNo(pending.attempts.len() as u32));
-        let bend = to.exemption.or(pending.exemption);
+        let exemption = to.exemption.or(pending.exemption);
         let (sent, number) = (self.now, self.next_send);
         let add_send = |server: &mut Upstream| {
             server.add_send(number, OutstandingSend { class, sent, depth: to.depth, wait: to.wait });
@@ -722,10 +721,10 @@
             pending.attempts.push(started);
             let pair = pending.pair.take();
             pending.check_at = check_after.map(|after| sent + after);
-            self.check_schedule.set(request, None, pending.check_at);
+            self.check_schedule.reschedule(request, None, pending.check_at);
             self.stop_waiting(request, pair);
         }
-        self.tell_sent(CrossZoneAttempt { request, number: attempt, class, to: to.zone, bend });
+        self.account_attempt(CrossZoneAttempt { request, number: attempt, class, to: to.zone, exemption });
         out.push(Action::Send { request, upstream: to.id, timeout });
     }
 
@@ -738,7 +737,7 @@
         let Some(pending) = self.requests.get_mut(&request) else { return };
         let Some(attempt) = pending.attempts.get_mut(number).filter(|t| t.in_flight) else { return };
         attempt.in_flight = false;
-        self.check_schedule.set(request, pending.check_at.take(), None);
+        self.check_schedule.reschedule(request, pending.check_at.take(), None);
         // Full servers answer soon. Counted as in time, their answers let in more requests and fed overload.
         let is_full = outcome == Outcome::Full;
         let is_late = is_full || self.now > pending.arrived + self.settings.classes[pending.class.0].aim;
@@ -786,29 +785,30 @@
         let is_unanswered = was_abandoned || outcome == Outcome::TimedOut;
         let server = self.upstreams.get(id).filter(|_| is_unanswered);
         let outstanding = server.and_then(|server| Some((server, server.outstanding.get(number)?)));
-        let evidence = outstanding.map(|(server, sent)| self.evidence_of(server, number, &sent));
+        let evidence = outstanding.map(|(server, sent)| self.gather_evidence(server, number, &sent));
         let sent = self.upstreams.change(id, |server| server.remove_send(number)).flatten();
         let Some(sent) = sent else { return };
-        self.tell_of_zone(id, outcome);
+        self.record_zone_outcome(id, outcome);
         self.update_observed_capacity(id, &sent, outcome);
         let latencies = &mut self.estimates.service[sent.class.0].latencies;
         let relative_latency = latency / sent.wait;
-        let unresponsive = evidence.map_or(0.0, |evidence| evidence.silent(latencies, latency));
-        let is_mute = evidence.is_some_and(|e| !e.answers && latency >= MUTE * e.crowd * e.wait);
+        let unresponsive = evidence.map_or(0.0, |e| e.unresponsive_probability(latencies, latency));
+        let is_mute = evidence
+            .is_some_and(|e| !e.answered_since && latency >= UNRESPONSIVE_MULTIPLE * e.slowdown * e.expected);
         match outcome {
             Outcome::Ok => {
-                latencies.answered(relative_latency);
-                self.estimates.unresponsive.took(relative_latency);
-                self.estimates.unresponsive.met(0.0);
+                latencies.record_answer(relative_latency);
+                self.estimates.unresponsive.record_latency(relative_latency);
+                self.estimates.unresponsive.record_attempt(0.0);
                 self.record_latency(id, sent, latency, true);
             }
             Outcome::Cancelled if !was_abandoned => {}
             Outcome::TimedOut | Outcome::Cancelled => {
-                latencies.given_up(relative_latency, 1.0 - unresponsive);
+                latencies.record_abandoned(relative_latency, 1.0 - unresponsive);
                 if unresponsive < UNRESPONSIVE_PROBABILITY {
-                    self.estimates.unresponsive.took(relative_latency);
+                    self.estimates.unresponsive.record_latency(relative_latency);
                 }
-                self.estimates.unresponsive.met(unresponsive);
+                self.estimates.unresponsive.record_attempt(unresponsive);
                 self.record_latency(id, sent, latency, false);
             }
             _ => {}
@@ -875,7 +875,7 @@
     fn probe_ended(&mut self, id: UpstreamId, answered: bool, report: Option<Report>, out: &mut Vec<Action>) {
         self.record_probe(id, answered, report);
         if answered {
-            self.hear_from(id);
+            self.record_server_contact(id);
         }
         let is_probed = |id: &UpstreamId| self.upstreams.get(*id).is_none_or(|u| u.probe_sent.is_none());
         let is_ready = |request: &RequestId| {
@@ -954,16 +954,16 @@
     fn list_received(&mut self, update: ListUpdate, out: &mut Vec<Action>) {
         let must_call = matches!(update, ListUpdate::Unavailable | ListUpdate::Restored(_));
         if !must_call {
-            self.discovery_calls.answered();
+            self.discovery_calls.record_answer();
         }
         match update {
             // Servers that a complete list lacks are gone.
             ListUpdate::Restored(list) | ListUpdate::Complete(list) => {
                 self.upstreams.begin_list();
-                list.iter().for_each(|entry| self.list(entry));
+                list.iter().for_each(|entry| self.apply_listing(entry));
                 self.upstreams.end_list();
             }
-            ListUpdate::Changed(list) => list.iter().for_each(|entry| self.list(entry)),
+            ListUpdate::Changed(list) => list.iter().for_each(|entry| self.apply_listing(entry)),
             ListUpdate::Unavailable => out.push(Action::Log("server list unavailable".to_owned())),
         }
         if self.estimates.kinds.len() > MAX_KINDS {
@@ -972,7 +972,7 @@
         let Discovery::Subscribed { must_ask_in } = self.settings.discovery else { return };
         if must_call {
             let random = self.rng.rand_float();
-            let at = self.discovery_calls.next_call(self.now, must_ask_in, random);
+            let at = self.discovery_calls.schedule_call(self.now, must_ask_in, random);
             out.extend(at.map(|at| Action::SetTimer { at, token: 0 }));
         }
     }
--- a/crates/sidecar/src/cross_zone_budget.rs
+++ b/crates/sidecar/src/cross_zone_budget.rs
@@ -34,14 +34,16 @@
         sidecars: u32,
         now: Millis,
     ) {
-        let Some(CrossZoneBudget { rules, counts }) = crossing else { return module.set_cross_zone(None) };
-        let plan =
-            module.cross_zone().and_then(|plan| (plan as &mut dyn Any).downcast_mut::<CrossZoneBudgets>());
+        let Some(CrossZoneBudget { rules, counts }) = crossing else {
+            return module.set_cross_zone_budget(None);
+        };
+        let plan = module
+            .cross_zone_budget_mut()
+            .and_then(|plan| (plan as &mut dyn Any).downcast_mut::<CrossZoneBudgets>());
         match plan.filter(|plan| Arc::ptr_eq(plan.counts(), &counts)) {
-            Some(plan) => plan.change(rules, now),
-            None => {
-                module.set_cross_zone(Some(Box::new(CrossZoneBudgets::new(rules, counts, sidecars, now))))
-            }
+            Some(plan) => plan.set_rules(rules, now),
+            None => module
+                .set_cross_zone_budget(Some(Box::new(CrossZoneBudgets::new(rules, counts, sidecars, now)))),
         }
     }
 }
