--- a/crates/decide/src/attempt_timeout.rs
+++ b/crates/decide/src/attempt_timeout.rs
@@ -1,26 +1,28 @@
-//! When an attempt is abandoned: by evidence about its server compared with the other servers, never by a multiple of the
-//! mean latency.
+//! When an attempt is abandoned: by evidence about its server compared with the other servers, never by a
+//! multiple of the mean latency.
 //!
-//! A request of a heavy-tailed class may be long by itself, and would take as long on a second attempt. Elapsed time alone
-//! therefore doesn't decide; the question is whether the server is working on the attempt or is unresponsive. How likely a
-//! working server is to take this long follows from the answer times of the class ([`LatencyHistogram`]). How likely an
-//! unresponsive server is follows from how often attempts met one recently ([`UnresponsiveRate`]) and from what this server
-//! has done since the attempt was sent ([`AttemptEvidence`]). Together they give the probability of an answer in the time
-//! that is left, on this server and on another one.
-
-/// Latencies are counted as multiples of the expected latency. The first bin ends at `FIRST_BIN_END`, and each further bin
-/// ends `BIN_GROWTH` times as high.
+//! A request of a heavy-tailed class may be long by itself, and would take as long on a second attempt.
+//! Elapsed time alone therefore doesn't decide; the question is whether the server is working on the attempt
+//! or is unresponsive. How likely a working server is to take this long follows from the answer times of the
+//! class ([`LatencyHistogram`]). How likely an unresponsive server is follows from how often attempts met one
+//! recently ([`UnresponsiveRate`]) and from what this server has done since the attempt was sent
+//! ([`AttemptEvidence`]). Together they give the probability of an answer in the time that is left, on this
+//! server and on another one.
+
+/// Latencies are counted as multiples of the expected latency. The first bin ends at `FIRST_BIN_END`, and
+/// each further bin ends `BIN_GROWTH` times as high.
 const BIN_GROWTH: f64 = 1.25;
 const FIRST_BIN_END: f64 = 0.25;
 /// The last bin ends at about 250 times the expected latency.
 const BIN_COUNT: usize = 32;
-/// Each new answer reduces the weight of the earlier ones by the factor `1 - 1 / HISTORY_ANSWERS`.
+/// How many recent answers the histogram represents. Each new answer multiplies the weight of the earlier
+/// ones by `1 - 1 / HISTORY_ANSWERS`.
 const HISTORY_ANSWERS: f64 = 1_000.0;
-/// Weight of the prior distribution, in answers. The prior has a heavy tail, so that no attempt is abandoned early before
-/// short latencies have been observed.
+/// Weight of the prior distribution, in answers. The prior has a heavy tail, so that no attempt is abandoned
+/// early before short latencies have been observed.
 const PRIOR_WEIGHT_ANSWERS: f64 = 10.0;
-/// Bounds of the rate at which attempts are assumed to meet an unresponsive server. The lower one applies while none was
-/// met recently.
+/// Bounds of the rate at which attempts are assumed to meet an unresponsive server. The lower one applies
+/// while none was met recently.
 const MIN_UNRESPONSIVE_RATE: f64 = 0.002;
 const MAX_UNRESPONSIVE_RATE: f64 = 0.9;
 /// Weight of a new attempt in the running rate of unresponsive servers.
@@ -31,12 +33,14 @@
 const MAX_SLOWDOWN_SAMPLE: f64 = 20.0;
 /// A server is suspect from this recent failure rate on.
 const SUSPECT_FAILURE_RATE: f64 = 0.2;
-/// A server is suspect if the waits of its other attempts are so long that at most this share of answers takes longer.
+/// A server is suspect if its other attempts have waited so long that at most this share of answers takes
+/// longer.
 const SUSPECT_TAIL_PROBABILITY: f64 = 0.1;
-/// A server is suspect if it has answered nothing since the attempt was sent, for this multiple of the current usual latency.
+/// A server is suspect if it has answered nothing since the attempt was sent, for this multiple of the
+/// current usual latency.
 const SUSPECT_LATENCY_MULTIPLE: f64 = 12.0;
-/// Factor on the prior if the server has answered another attempt since: it is then unresponsive to this attempt only, which
-/// is much rarer.
+/// Factor on the prior if the server has answered another attempt since: it is then unresponsive to this
+/// attempt only, which is much rarer.
 const ANSWERED_SINCE_FACTOR: f64 = 0.02;
 /// Factor on the likelihood that a server is unresponsive if it leaves a probe unanswered.
 const PROBE_UNANSWERED_FACTOR: f64 = 10.0;
@@ -85,8 +89,9 @@
         self.total = self.total * keep + weight;
     }
 
-    /// Records an attempt that was abandoned at this multiple and would have been answered later with this probability. The
-    /// probability is spread over the longer latencies in proportion to their present distribution.
+    /// Records an attempt that was abandoned at this multiple and would have been answered later with this
+    /// probability. The probability is spread over the longer latencies in proportion to their present
+    /// distribution.
     pub fn record_abandoned(&mut self, multiple: f64, answer_probability: f64) {
         let tail = self.tail_probability(multiple);
         let first_bin = bin_index(multiple);
@@ -123,8 +128,8 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct UnresponsiveRate {
     rate: f64,
-    /// How many times the expected latency answers take. Under overload this rises for all servers, and is no evidence
-    /// against any one of them.
+    /// How many times the expected latency answers take. Under overload this rises for all servers, and is no
+    /// evidence against any one of them.
     slowdown: f64,
 }
 
@@ -161,8 +166,8 @@
 pub(crate) struct AttemptEvidence {
     /// Expected latency in milliseconds, by the latest report of the server.
     pub expected: f64,
-    /// Probability that a working server leaves its other attempts unanswered for as long as this one has: a product over
-    /// as many of them as it works on at once, 1 if there are none.
+    /// Probability that a working server leaves its other attempts unanswered for as long as this one has: a
+    /// product over as many of them as it works on at once, 1 if there are none.
     pub others_tail_probability: f64,
     /// How often attempts meet an unresponsive server, over all servers.
     pub unresponsive_rate: f64,
@@ -177,8 +182,9 @@
 }
 
 impl AttemptEvidence {
-    /// Whether there is evidence against the server after this elapsed time. Elapsed time alone counts only when it is
-    /// extreme: an attempt abandoned for its elapsed time alone never shows whether an answer would have come.
+    /// Whether there is evidence against the server after this elapsed time. Elapsed time alone counts only
+    /// when it is extreme: an attempt abandoned for its elapsed time alone never shows whether an answer
+    /// would have come.
     pub fn is_suspect(&self, elapsed: f64) -> bool {
         let is_long = elapsed >= SUSPECT_LATENCY_MULTIPLE * self.slowdown * self.expected;
         let has_other_evidence = self.probe_unanswered
@@ -187,7 +193,8 @@
         !self.answered_since && (has_other_evidence || is_long)
     }
 
-    /// The probability that the server is unresponsive, given that the attempt is unanswered after this elapsed time.
+    /// The probability that the server is unresponsive, given that the attempt is unanswered after this
+    /// elapsed time.
     pub fn unresponsive_probability(&self, latencies: &LatencyHistogram, elapsed: f64) -> f64 {
         if !self.is_suspect(elapsed) {
             return 0.0;
@@ -201,8 +208,8 @@
         unresponsive / (unresponsive + working)
     }
 
-    /// By how much a retry on another server, with the expected latency `expected_elsewhere`, raises the probability of an
-    /// answer within `time_left`.
+    /// By how much a retry on another server, with the expected latency `expected_elsewhere`, raises the
+    /// probability of an answer within `time_left`.
     pub fn retry_gain(
         &self,
         latencies: &LatencyHistogram,
@@ -219,7 +226,8 @@
             * (1.0 - latencies.tail_probability((elapsed + time_left) / self.expected) / tail);
         let answer_elsewhere = (1.0 - self.unresponsive_rate)
             * (1.0 - latencies.tail_probability(time_left / expected_elsewhere));
-        // Work that is long by itself has to be repeated elsewhere from the start, for at least as long as it has run here.
+        // Work that is long by itself has to be repeated elsewhere from the start, for at least as long as it
+        // has run here.
         let long_answer_elsewhere = if time_left / expected_elsewhere > elapsed / self.expected {
             1.0 - latencies.tail_probability(time_left / expected_elsewhere) / tail
         } else {
@@ -229,8 +237,8 @@
             - answer_here
     }
 
-    /// The elapsed time at which the attempt is to be checked next: as soon as a retry gains more than `cost` if no further
-    /// evidence arrives. An answer has no worth from the elapsed time `worthless_after` on.
+    /// The elapsed time at which the attempt is to be checked next: as soon as a retry gains more than `cost`
+    /// if no further evidence arrives. An answer has no worth from the elapsed time `worthless_after` on.
     pub fn next_check(
         &self,
         latencies: &LatencyHistogram,
@@ -278,7 +286,8 @@
         probe_unanswered: false,
     };
 
-    /// The multiple of the expected latency at which an attempt on a server with recent failures is first checked.
+    /// The multiple of the expected latency at which an attempt on a server with recent failures is first
+    /// checked.
     fn first_check(latencies: &LatencyHistogram, unresponsive_rate: f64) -> Option<f64> {
         AttemptEvidence { unresponsive_rate, failure_rate: 0.2, ..NO_EVIDENCE }
             .next_check(latencies, 0.0, 250.0, 30.0, 0.1)
@@ -296,7 +305,8 @@
         assert!((latencies.tail_probability(0.0) - 1.0).abs() < 1e-9, "{}", latencies.tail_probability(0.0));
     }
 
-    /// An attempt on a suspect server is checked earlier if latencies have a light tail or unresponsive servers are common.
+    /// An attempt on a suspect server is checked earlier if latencies have a light tail or unresponsive
+    /// servers are common.
     #[test]
     fn first_check_is_earlier_for_light_tails_and_frequent_unresponsive_servers() {
         let (light, heavy) = (histogram_of(exponential), histogram_of(pareto));
@@ -307,8 +317,8 @@
         assert!(heavy_often >= often && heavy_often < 8.0, "{heavy_often}");
     }
 
-    /// Guards against a feedback loop: attempts abandoned for their elapsed time alone never show that an answer would have
-    /// come, so that all servers seem unresponsive, under overload all at once.
+    /// Guards against a feedback loop: attempts abandoned for their elapsed time alone never show that an
+    /// answer would have come, so that all servers seem unresponsive, under overload all at once.
     #[test]
     fn elapsed_time_alone_is_no_evidence_until_it_is_extreme() {
         let latencies = histogram_of(exponential);
@@ -329,8 +339,8 @@
         );
     }
 
-    /// Guards against duplicate work under overload: queue lengths differ, and an attempt that leaves a longer queue for a
-    /// shorter one leaves work behind that the first server still executes.
+    /// Guards against duplicate work under overload: queue lengths differ, and an attempt that leaves a
+    /// longer queue for a shorter one leaves work behind that the first server still executes.
     #[test]
     fn longer_queue_alone_gives_no_retry_gain() {
         let latencies = histogram_of(exponential);
@@ -362,8 +372,8 @@
         );
     }
 
-    /// Guards against a feedback loop: if abandoned attempts were left out of the histogram, long answers would vanish from
-    /// it, and every long attempt would seem lost.
+    /// Guards against a feedback loop: if abandoned attempts were left out of the histogram, long answers
+    /// would vanish from it, and every long attempt would seem lost.
     #[test]
     fn abandoned_attempts_keep_the_tail_of_the_histogram() {
         let (mut latencies, mut rng) = (LatencyHistogram::default(), Rand64::new(4));
--- a/crates/decide/src/check_schedule.rs
+++ b/crates/decide/src/check_schedule.rs
@@ -1,12 +1,13 @@
-//! The times at which requests are to be checked, with one timer for all of them. A request that is answered in time leaves
-//! no timer behind.
+//! The times at which requests are to be checked, with one timer for all of them. A request that is answered
+//! in time leaves no timer behind.
 
 use std::collections::BTreeSet;
 
 use crate::api::{Action, Millis, RequestId};
 use crate::fleet::Due;
 
-/// The token of the timer. The timers of requests that wait for probes have smaller tokens, except for one in 2^62.
+/// The token of the timer. The timers of requests that wait for probes have smaller tokens, except for one in
+/// 2^62.
 pub(crate) const TIMER_TOKEN: u64 = u64::MAX >> 1;
 
 /// A timer may fire this much early, since its time is kept in whole microseconds.
--- a/crates/decide/src/cross_zone.rs
+++ b/crates/decide/src/cross_zone.rs
@@ -1,9 +1,10 @@
-//! Whether a request may leave its zone where cross-zone traffic is limited. A [`CrossZoneLimiter`] keeps the budgets. The
-//! selection applies them: a request stays in its zone while that costs it little, crosses while a budget pays for it, and
-//! crosses without a budget only where staying would break the service.
+//! Whether a request may leave its zone where cross-zone traffic is limited. A [`CrossZoneLimiter`] keeps the
+//! budgets. The selection applies them: a request stays in its zone while that costs it little, crosses while
+//! a budget pays for it, and crosses without a budget only where staying would break the service.
 //!
-//! A limiter narrows the servers that a request may be sent to. It never widens them and never causes an attempt: whether a
-//! request may be sent again, and to which servers, is decided before the limiter is asked.
+//! A limiter narrows the servers that a request may be sent to. It never widens them and never causes an
+//! attempt: whether a request may be sent again, and to which servers, is decided before the limiter is
+//! asked.
 
 use std::any::Any;
 use std::fmt::Debug;
@@ -20,9 +21,11 @@
     Down,
     /// No server of the zone has capacity, so that the request would be refused.
     Full,
-    /// Servers of the zone have capacity, but the expected loss of worth by late answers exceeds the limiter's threshold.
+    /// Servers of the zone have capacity, but the expected loss of worth by late answers exceeds the
+    /// limiter's threshold.
     Late,
-    /// Servers of the zone have capacity, but the expected loss of worth by failures exceeds the limiter's threshold.
+    /// Servers of the zone have capacity, but the expected loss of worth by failures exceeds the limiter's
+    /// threshold.
     Failing,
     /// The request may have run, and all servers that recognise its key as a duplicate are in other zones.
     Bound,
@@ -42,10 +45,11 @@
 /// The cost of leaving the zone at present. Both values are shares of a request's worth, above 0 and below 1.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CrossZoneCost {
-    /// A request stays in its zone while its expected loss there is below this. Rises as the budget is used up.
+    /// A request stays in its zone while its expected loss there is below this. Rises as the budget is used
+    /// up.
     pub cost: f64,
-    /// Without a budget, a request stays in its zone while its expected loss there is below this, or while it would gain less
-    /// than this in another zone.
+    /// Without a budget, a request stays in its zone while its expected loss there is below this, or while it
+    /// would gain less than this in another zone.
     pub exemption_threshold: f64,
 }
 
@@ -64,8 +68,8 @@
     pub exemption: Option<BudgetExemption>,
 }
 
-/// Limits the traffic that leaves the sidecar's zone. Implementations have no clock and do no I/O; `now` never decreases. The
-/// owner of a limiter may downcast it to its type.
+/// Limits the traffic that leaves the sidecar's zone. Implementations have no clock and do no I/O; `now`
+/// never decreases. The owner of a limiter may downcast it to its type.
 pub trait CrossZoneLimiter: Any + Debug + Send {
     /// Sets the number of sidecars that share the budgets, this one included.
     fn set_sidecar_count(&mut self, now: Millis, count: u32);
@@ -73,7 +77,8 @@
     /// What leaving the zone costs a request of this class.
     fn cross_zone_cost(&self, now: Millis, class: ClassId) -> CrossZoneCost;
 
-    /// Whether a budget pays for one more attempt to this zone, or for `None` to any zone without a budget of its own.
+    /// Whether a budget pays for one more attempt to this zone, or for `None` to any zone without a budget of
+    /// its own.
     fn has_budget(&self, now: Millis, class: ClassId, to: Option<ZoneId>) -> bool;
 
     /// Whether a request may leave the zone without a budget for this reason.
@@ -96,8 +101,8 @@
     fn probe_sent(&mut self, to: ZoneId);
 }
 
-/// The share of its worth that a request is expected to lose at a server. An answer expected after `wait` is late with the
-/// probability exp(-time_left / wait), since latencies are roughly exponential.
+/// The share of its worth that a request is expected to lose at a server. An answer expected after `wait` is
+/// late with the probability exp(-time_left / wait), since latencies are roughly exponential.
 fn expected_loss(candidate: &Candidate, time_left: Millis) -> f64 {
     let late_probability = match candidate.awaits_probe {
         true => 0.0,
@@ -108,7 +113,8 @@
 }
 
 impl Balancer {
-    /// Sets or removes the limiter of cross-zone traffic. Without one, [`Settings::cross_zone_cost`] alone applies.
+    /// Sets or removes the limiter of cross-zone traffic. Without one, [`Settings::cross_zone_cost`] alone
+    /// applies.
     pub fn set_cross_zone_budget(&mut self, limiter: Option<Box<dyn CrossZoneLimiter>>) {
         self.cross_zone_budget = limiter;
     }
@@ -134,8 +140,8 @@
         pair
     }
 
-    /// Selects two candidates with capacity that the limiter allows, after the search for good candidates in the same zone
-    /// has found none.
+    /// Selects two candidates with capacity that the limiter allows, after the search for good candidates in
+    /// the same zone has found none.
     fn sample_within_budget(
         &mut self,
         limiter: &dyn CrossZoneLimiter,
@@ -195,8 +201,9 @@
         any_zone_pair.map(|pair| pair.map(exempted)).or(same_zone_pair)
     }
 
-    /// Selects the better of two warm servers with capacity after a pair was warming up and neither may be sent more. Other
-    /// servers may well have capacity, in the same zone or, with a budget or an exemption, in another one.
+    /// Selects the better of two warm servers with capacity after a pair was warming up and neither may be
+    /// sent more. Other servers may well have capacity, in the same zone or, with a budget or an exemption,
+    /// in another one.
     pub(crate) fn select_warm(&mut self, pending: &PendingRequest) -> Option<Candidate> {
         let (scope, context) = (self.candidate_scope(pending)?.inside(), self.selection_context(pending));
         let (now, class, limiter) = (self.now, pending.class, self.cross_zone_budget.take());
--- a/crates/decide/src/latency_outlier.rs
+++ b/crates/decide/src/latency_outlier.rs
@@ -1,5 +1,5 @@
-//! Checks of attempts that take long: when they are checked, the evidence against their servers, and whether they are
-//! abandoned for a retry elsewhere.
+//! Checks of attempts that take long: when they are checked, the evidence against their servers, and whether
+//! they are abandoned for a retry elsewhere.
 
 use crate::Balancer;
 use crate::api::*;
@@ -8,12 +8,14 @@
 
 /// Time that a timeout set in advance leaves for a retry before the aim, in service times.
 const RETRY_RESERVE_SERVICE_TIMES: f64 = 1.5;
-/// Additional gain that abandoning an attempt of a keyed request needs: the attempt may still run after its window.
+/// Additional gain that abandoning an attempt of a keyed request needs: the attempt may still run after its
+/// window.
 const KEYED_RETRY_EXTRA_COST: f64 = 0.3;
 /// A probe counts as unanswered after this multiple of the current usual probe time.
 const PROBE_UNANSWERED_MULTIPLE: f64 = 10.0;
 /// An overdue attempt is checked again when its elapsed time has grown by this factor.
 const RECHECK_GROWTH: f64 = 1.5;
+/// An attempt is not checked again before this time has passed.
 const MIN_RECHECK_INTERVAL: Millis = 1.0;
 /// At most this many unanswered attempts of a server are used as evidence.
 const MAX_COMPARED_ATTEMPTS: usize = 16;
@@ -21,8 +23,8 @@
 pub(crate) const UNRESPONSIVE_MULTIPLE: f64 = 4.0;
 
 impl Balancer {
-    /// The timeout of an attempt that cannot be cancelled later: long enough for an answer, and short enough for a retry to
-    /// meet the aim.
+    /// The timeout of an attempt that cannot be cancelled later: long enough for an answer, and short enough
+    /// for a retry to meet the aim.
     pub(crate) fn attempt_timeout(&self, pending: &PendingRequest, to: Candidate) -> Millis {
         let service_time = self.estimates.service[pending.class.0].time;
         let spare = self.aim_left(pending) - RETRY_RESERVE_SERVICE_TIMES * service_time;
@@ -69,13 +71,15 @@
         let worthless_after = elapsed + self.aim_left(pending);
         let cost = self.abandon_cost(pending);
         let worth_retry = evidence.next_check(&class.latencies, elapsed, worthless_after, class.wait, cost);
-        // The server of an overdue attempt is probed, then again at growing intervals: its answers are further evidence.
+        // The server of an overdue attempt is probed, and probed again at growing intervals. A reply, or its
+        // absence, is further evidence.
         let overdue = class.latencies.overdue_multiple() * evidence.slowdown * evidence.expected;
         let probe = Some((RECHECK_GROWTH * elapsed).max(overdue)).filter(|at| *at < worthless_after);
         worth_retry.into_iter().chain(probe).reduce(f64::min)
     }
 
-    /// Checks the latest attempt of a request: cancels it if an answer in time is likelier elsewhere, else probes its server.
+    /// Checks the latest attempt of a request: cancels it if an answer in time is likelier elsewhere, else
+    /// probes its server.
     pub(crate) fn check_attempt(&mut self, request: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get_mut(&request) else { return };
         pending.check_at = None;
@@ -96,7 +100,7 @@
             }
             return out.push(Action::Cancel { request, attempt });
         }
-        // The interval keeps the next check out of the present moment.
+        // Without a minimum interval, the check could be due again at the present time.
         let check_at = self
             .next_check_after(&pending, &evidence, elapsed)
             .map(|at| self.now + (at - elapsed).max(MIN_RECHECK_INTERVAL));
@@ -135,8 +139,8 @@
             .map(|(_, other)| tail_probability(other))
             .collect();
         tails.sort_by(f64::total_cmp);
-        // A server works on as many attempts at once as it has cores. Only that many waits are independent evidence; the
-        // other attempts wait behind them.
+        // A server works on as many attempts at once as it has cores. Only that many waits are independent
+        // evidence; the other attempts wait behind them.
         let capacity = self.estimated_capacity(upstream);
         let others_tail_probability = tails.iter().take((capacity as usize).saturating_sub(1)).product();
         // A queue that the server has reported since the attempt was sent explains a longer wait.
--- a/crates/decide/src/outstanding_sends.rs
+++ b/crates/decide/src/outstanding_sends.rs
@@ -4,8 +4,8 @@
 
 use crate::state::OutstandingSend;
 
-/// Sends in the order of their numbers. A send that has ended leaves a gap until all earlier ones have ended, so the length
-/// of the queue is bounded by the longest deadline.
+/// Sends in the order of their numbers. A send that has ended leaves a gap until all earlier ones have ended,
+/// so the length of the queue is bounded by the longest deadline.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct OutstandingSends {
     queue: VecDeque<(u64, Option<OutstandingSend>)>,
--- a/crates/decide/src/staleness.rs
+++ b/crates/decide/src/staleness.rs
@@ -1,21 +1,22 @@
-//! The staleness bound: when discovery is called, and how long to wait between calls, so that a change is taken in within the
-//! bound. Owned by the balancer. No I/O and no clock.
+//! The staleness bound: when discovery is called, and how long to wait between calls, so that a change is
+//! taken in within the bound. Owned by the balancer. No I/O and no clock.
 //!
-//! The bound is measured from the time at which discovery has a change and can be reached. In the worst case the change comes
-//! right after a call has begun, that call fails at the last moment, and the next one is answered at the last moment. The time
-//! that two such calls leave of the bound is the longest wait between them. Calls that fail at once leave more time: after the
-//! first failure it is used for one more call, after further ones for longer waits, since a discovery that refuses calls may
-//! be overloaded.
+//! The bound is measured from the time at which discovery has a change and can be reached. In the worst case
+//! the change comes right after a call has begun, that call fails at the last moment, and the next one is
+//! answered at the last moment. The time that two such calls leave of the bound is the longest wait between
+//! them. Calls that fail at once leave more time: after the first failure it is used for one more call, after
+//! further ones for longer waits, since a discovery that refuses calls may be overloaded.
 
 use crate::api::Millis;
 
-/// The longest duration of a call, including the connect. Discovery turns away calls that have waited for 2 s.
+/// The longest duration of a call, including the connect. Discovery turns away calls after a wait of 2 s.
 pub const CALL_TIMEOUT: Millis = 2_200.0;
 /// Allowance for timers and for the transmission of an answer.
 const DELIVERY_MARGIN: Millis = 100.0;
 /// The jitter is at most this share of the bound, even where calls leave more time.
 const MAX_JITTER_SHARE: f64 = 0.25;
-/// The jitter is at least this share of the bound, even where calls leave less time: many sidecars lose their watches together.
+/// The jitter is at least this share of the bound, even where calls leave less time: many sidecars lose their
+/// watches together.
 const MIN_JITTER_SHARE: f64 = 0.1;
 
 /// The longest wait between two calls that both last for [`CALL_TIMEOUT`].
@@ -45,8 +46,9 @@
         self.failures = 0;
     }
 
-    /// The time of the next call, unless one is scheduled already. `random` is from 0 to 1 and spreads the call over the whole
-    /// jitter: many sidecars may have restarted or been cut off together, and discovery handles calls one after another.
+    /// The time of the next call, unless one is scheduled already. `random` is from 0 to 1 and spreads the
+    /// call over the whole jitter: many sidecars may have restarted or been cut off together, and discovery
+    /// handles calls one after another.
     pub fn schedule_call(&mut self, now: Millis, bound: Millis, random: f64) -> Option<Millis> {
         if std::mem::replace(&mut self.is_scheduled, true) {
             return None;
@@ -57,7 +59,8 @@
         Some(earliest + jitter * random)
     }
 
-    /// Begins the scheduled call, if there is one, and returns whether there is. A call counts as failed until it is answered.
+    /// Begins the scheduled call, if there is one, and returns whether there is. A call counts as failed
+    /// until it is answered.
     pub fn begin_call(&mut self, now: Millis) -> bool {
         let is_due = std::mem::take(&mut self.is_scheduled);
         if is_due {
--- a/crates/decide/src/upload.rs
+++ b/crates/decide/src/upload.rs
@@ -1,6 +1,6 @@
-//! Attempts whose request body is still being received from the client. A server begins its work with the last byte. Until
-//! then the attempt is no load on the server, its missing answer is no evidence against the server, and the request's time
-//! doesn't run.
+//! Attempts whose request body is still being received from the client. A server begins its work with the
+//! last byte. Until then the attempt is no load on the server, its missing answer is no evidence against the
+//! server, and the request's time doesn't run.
 
 use rustc_hash::FxHashMap;
 
@@ -8,18 +8,20 @@
 use crate::api::*;
 use crate::state::OutstandingSend;
 
-/// By request and attempt: the send as it was removed from its server's outstanding sends, and the time of the removal.
+/// By request and attempt: the send as it was removed from its server's outstanding sends, and the time of
+/// the removal.
 pub(crate) type Uploads = FxHashMap<(RequestId, AttemptNo), (OutstandingSend, Millis)>;
 
 impl Balancer {
-    /// Removes an attempt from its server's outstanding sends while its body is being received, and adds it again once the
-    /// last byte was sent.
+    /// Removes an attempt from its server's outstanding sends while its body is being received, and adds it
+    /// again once the last byte was sent.
     pub(crate) fn track_upload(&mut self, request: RequestId, attempt: AttemptNo, in_progress: bool) {
         let key = (request, attempt);
         let Some(&(number, id)) = self.sends.get(&key) else { return };
         let now = self.now;
         if in_progress {
-            // The bytes that have been passed on cannot be sent a second time, so abandoning the attempt gains nothing.
+            // The bytes that have been passed on cannot be sent a second time, so abandoning the attempt
+            // gains nothing.
             self.cancel_check(request);
             let removed = self.upstreams.change(id, |upstream| upstream.remove_send(number)).flatten();
             // A repeated event finds the send removed and changes nothing.
--- a/crates/decide/src/zone_outage.rs
+++ b/crates/decide/src/zone_outage.rs
@@ -1,8 +1,10 @@
-//! Zones that are unreachable. A zone often fails as a whole: its power, its switch or the link to it. If its servers were
-//! detected one by one, each would cost a lost attempt, and each of many sidecars with little traffic would pay that again.
+//! Zones that are unreachable. A zone often fails as a whole: its power, its switch or the link to it. If its
+//! servers were found unreachable one by one, each would cost a lost attempt, and as many again for each of
+//! many sidecars with little traffic.
 //!
-//! A zone counts as unreachable once several different servers in a row could not be reached and nothing was received from the
-//! zone in between. It is probed at once and then at growing intervals; any contact makes it reachable again.
+//! A zone counts as unreachable once several different servers in a row could not be reached and nothing was
+//! received from the zone in between. It is probed at once and then at growing intervals; any contact makes
+//! it reachable again.
 
 use std::collections::BTreeMap;
 
@@ -12,8 +14,8 @@
 
 /// How many different servers in a row have to be unreachable. Two may share a rack or a release.
 const MIN_UNREACHABLE_SERVERS: usize = 3;
-/// First and longest interval between probes of an unreachable zone. A reachable server answers within a few milliseconds; the
-/// longest interval is about the time in which discovery notices an outage.
+/// First and longest interval between probes of an unreachable zone. A reachable server answers within a few
+/// milliseconds; the longest interval is about the time in which discovery notices an outage.
 const MIN_PROBE_INTERVAL: Millis = 250.0;
 const MAX_PROBE_INTERVAL: Millis = 2_000.0;
 
@@ -50,8 +52,8 @@
         }
     }
 
-    /// Records something that an unreachable zone could not have caused, such as an answer or a newly started server. Returns
-    /// whether the zone was unreachable until now.
+    /// Records something that an unreachable zone could not have caused, such as an answer or a newly started
+    /// server. Returns whether the zone was unreachable until now.
     pub fn record_contact(&mut self, zone: ZoneId) -> bool {
         self.zones.remove(&zone).is_some_and(|failures| failures.is_unreachable())
     }
@@ -64,8 +66,8 @@
         self.zones.values().any(ZoneFailures::is_unreachable)
     }
 
-    /// The zones that are to be probed now. The next probe of each follows after its interval times `jitter` (0.5 to 1), since
-    /// all sidecars notice an outage together. The interval doubles.
+    /// Returns the zones that are to be probed now, and schedules their next probes after their interval times
+    /// `jitter` (0.5 to 1), since all sidecars notice an outage together. The interval then doubles.
     pub fn take_due(&mut self, now: Millis, jitter: f64) -> Vec<ZoneId> {
         let due = self
             .zones
@@ -92,7 +94,8 @@
             let slot = sampler.next(&mut self.upstreams, &mut self.rng);
             match slot.and_then(|slot| self.upstreams.at(slot)) {
                 Some((id, _)) if self.settings.limits.probes => self.probe_if_due(id, out),
-                // The zone has no server left to probe, or probes are off and only requests can find it reachable again.
+                // The zone has no server left to probe, or probes are off and only requests can find it
+                // reachable again.
                 _ => self.record_zone_contact(zone),
             }
         }
@@ -124,7 +127,8 @@
         }
     }
 
-    /// Applies a server's entry in the list of discovery. A server that has restarted shows that its zone is reachable.
+    /// Applies a server's entry in the list of discovery. A server that has started since it was last
+    /// listed shows that its zone is reachable.
     pub(crate) fn apply_listing(&mut self, entry: &Listing) {
         let known_start = self.upstreams.get(entry.upstream).and_then(|server| server.started);
         if entry.started.is_some() && entry.started > known_start {
--- a/crates/decide/tests/crossing.rs
+++ b/crates/decide/tests/crossing.rs
@@ -58,8 +58,8 @@
         .expect("the limiter is the stub")
 }
 
-/// Sends this many requests, each of which is served at once. Returns how many went to the same zone, to the other zone and
-/// to no server.
+/// Sends this many requests, each of which is served at once. Returns how many went to the same zone, to the
+/// other zone and to no server.
 fn serve_requests(stage: &mut Harness, class: ClassId, count: usize) -> (usize, usize, usize) {
     let (mut same_zone, mut cross_zone, mut unsent) = (0, 0, 0);
     for _ in 0..count {
@@ -124,7 +124,8 @@
     assert!(sent.iter().all(|attempt| attempt.exemption == Some(BudgetExemption::Down)));
 }
 
-/// Resets all attempts. One server of the same zone is then ejected; the other is not, since too many would be.
+/// Resets all attempts. One server of the same zone is then ejected; the other is not, since too many would
+/// be.
 fn reset_attempts(stage: &mut Harness) {
     for _ in 0..20 {
         stage.now += 1.0;
@@ -154,7 +155,8 @@
 #[test]
 fn requests_stay_in_a_slow_zone_if_the_other_zone_is_as_slow() {
     let mut stage = stage(false, &BudgetExemption::ALL);
-    // Idle servers answer in 160 ms, with an aim of 200 ms. Two of seven answers are late, more than the threshold.
+    // Idle servers answer in 160 ms, with an aim of 200 ms. Two of seven answers are late, more than the
+    // threshold.
     for _ in 0..400 {
         stage.now += 5.0;
         let (request, actions) = stage.arrive(IDEMPOTENT);
@@ -169,12 +171,14 @@
     assert_eq!(sent.iter().skip(200).filter(|attempt| attempt.exemption.is_some()).count(), 0);
 }
 
-/// Guards against an overdrawn budget: it may be spent by others while a request waits for the probes of its pair.
+/// Guards against an overdrawn budget: it may be spent by others while a request waits for the probes of its
+/// pair.
 #[test]
 fn budget_is_checked_again_after_a_request_has_waited_for_probes() {
     let mut stage = stage(true, &[]);
     fill_same_zone(&mut stage);
-    // The reports of the other zone grow old, so that its servers are probed before the request is dispatched.
+    // The reports of the other zone grow old, so that its servers are probed before the request is
+    // dispatched.
     stage.now += 900.0;
     [0, 1].into_iter().for_each(|id| stage.report(id, 200.0, 1.0));
     let (request, class, tenant) = (RequestId(77_777), IDEMPOTENT, TenantId(0));
@@ -192,10 +196,12 @@
     assert!(sent_to(&after_probes).is_none() && refused(&after_probes), "{after_probes:?}");
 }
 
-/// Guards against duplicate execution: the limiter must not widen the servers to which a request that may have run is sent.
+/// Guards against duplicate execution: the limiter must not widen the servers to which a request that may
+/// have run is sent.
 #[test]
 fn retry_of_a_request_that_may_have_run_stays_within_its_key_scope_whatever_the_limiter_allows() {
-    // The key is known only in the cell or zone that may have run the request, so a retry stays there even with a budget.
+    // The key is known only in the cell or zone that may have run the request, so a retry stays there even
+    // with a budget.
     for class in [KEYED_BY_CELL, KEYED_BY_ZONE, NON_IDEMPOTENT] {
         for has_budget in [true, false] {
             let mut stage = stage(has_budget, &BudgetExemption::ALL);
@@ -209,7 +215,8 @@
             }
         }
     }
-    // The request ran in the other zone, so only that zone knows its key: a retry needs an exemption, else the request fails.
+    // The request ran in the other zone, so only that zone knows its key: a retry needs an exemption, else
+    // the request fails.
     for (exemptions, is_retried) in
         [(&[BudgetExemption::Full, BudgetExemption::Bound][..], true), (&[BudgetExemption::Full][..], false)]
     {
--- a/crates/decide/tests/staleness.rs
+++ b/crates/decide/tests/staleness.rs
@@ -1,5 +1,5 @@
-//! The staleness bound where discovery is called: a change is taken in within the bound after discovery can be reached,
-//! however calls failed before, and hundreds of sidecars together leave discovery time to answer.
+//! The staleness bound where discovery is called: a change is taken in within the bound after discovery can
+//! be reached, however calls failed before, and hundreds of sidecars together leave discovery time to answer.
 
 mod common;
 
@@ -68,7 +68,7 @@
 #[derive(Debug, Clone, Copy)]
 enum Failure {
     /// No answer until the call times out.
-    Hangs,
+    NoAnswer,
     /// Turned away or refused at once.
     Refused,
     /// Broken off after a random time.
@@ -81,19 +81,19 @@
     /// The duration of a call that fails in this way.
     fn call_duration(self, rng: &mut Rand64) -> Millis {
         match self {
-            Failure::Hangs => MAX_CALL,
+            Failure::NoAnswer => MAX_CALL,
             Failure::Refused => rng.rand_float(),
             Failure::Reset => MAX_CALL * rng.rand_float(),
             Failure::Mixed => {
-                let failures = [Failure::Hangs, Failure::Refused, Failure::Reset];
+                let failures = [Failure::NoAnswer, Failure::Refused, Failure::Reset];
                 failures[rng.rand_range(0..3) as usize].call_duration(rng)
             }
         }
     }
 }
 
-/// The time from when discovery has a change and can be reached until the module takes it in. A call that begins before then
-/// fails, even if it ends later; the next one is answered at the last moment.
+/// The time from when discovery has a change and can be reached until the module takes it in. A call that
+/// begins before then fails, even if it ends later; the next one is answered at the last moment.
 fn staleness(seed: u64, failure: Failure, outage: Millis) -> Millis {
     let mut rng = Rand64::new(u128::from(seed) + 77);
     let mut sidecar = Sidecar::start(seed, 0.0);
@@ -114,10 +114,11 @@
     panic!("no call was made after the outage");
 }
 
-/// Guards against waits that double after each failure: a change was then taken in up to 10 s after it was available.
+/// Guards against waits that double after each failure: a change was then taken in up to 10 s after it was
+/// available.
 #[test]
 fn change_is_taken_in_within_the_bound_however_calls_failed_before() {
-    for failure in [Failure::Hangs, Failure::Refused, Failure::Reset, Failure::Mixed] {
+    for failure in [Failure::NoAnswer, Failure::Refused, Failure::Reset, Failure::Mixed] {
         let mut worst: f64 = 0.0;
         for seed in 0..4_000 {
             // Outages from 0 to 60 s.
@@ -141,8 +142,8 @@
     last: Millis,
 }
 
-/// Simulates an outage. All watches end when it begins, calls hang or are refused while it lasts, and afterwards discovery
-/// answers waiting calls in order, at `per_second`.
+/// Simulates an outage. All watches end when it begins, calls time out or are refused while it lasts, and
+/// afterwards discovery answers waiting calls in order, at `per_second`.
 fn simulate_outage(
     sidecars: u64,
     per_second: f64,
@@ -160,7 +161,8 @@
         sidecar.fail(outage_begins);
     }
     let reachable_at = outage_begins + outage;
-    // Calls that fail, with the time of their failure, and calls that wait for an answer, with the time of their start.
+    // Calls that fail, with the time of their failure, and calls that wait for an answer, with the time of
+    // their start.
     let mut failing: Vec<(Millis, usize)> = Vec::new();
     let mut queue: VecDeque<(Millis, usize)> = VecDeque::new();
     let (mut answer_times, mut result) = (Vec::new(), OutageResult::default());
@@ -200,12 +202,13 @@
     result
 }
 
-/// Guards against sidecars that call in step or without pauses. A discovery that can answer all sidecars in half of the bound
-/// has answered them within the bound, and during an outage each sidecar calls at most once in two seconds.
+/// Guards against sidecars that call in step or without pauses. A discovery that can answer all sidecars in
+/// half of the bound has answered them within the bound, and during an outage each sidecar calls at most once
+/// in two seconds.
 #[test]
 fn hundreds_of_sidecars_receive_the_list_within_the_bound_without_overloading_discovery() {
     const SIDECARS: u64 = 300;
-    for failure in [Failure::Hangs, Failure::Refused] {
+    for failure in [Failure::NoAnswer, Failure::Refused] {
         for per_second in [100.0, 150.0, 600.0] {
             for outage in [500.0, 8_000.0] {
                 let result = simulate_outage(SIDECARS, per_second, failure, outage, 5);
@@ -222,7 +225,8 @@
     }
 }
 
-/// Guards against a schedule that keeps the bound only without failures: one call after a watch may fail at once.
+/// Guards against a schedule that keeps the bound only without failures: one call after a watch may fail at
+/// once.
 #[test]
 fn call_that_fails_at_once_after_a_watch_leaves_time_for_another_within_the_bound() {
     for seed in 0..4_000 {
--- a/crates/decide/tests/upload.rs
+++ b/crates/decide/tests/upload.rs
@@ -1,5 +1,5 @@
-//! Attempts whose request body is still being received: they are no load, no evidence of an unresponsive server, and don't
-//! use up the request's time.
+//! Attempts whose request body is still being received: they are no load, no evidence of an unresponsive
+//! server, and don't use up the request's time.
 
 mod common;
 
--- a/crates/pools/src/counts.rs
+++ b/crates/pools/src/counts.rs
@@ -1,5 +1,6 @@
-//! Counts of attempts, by class and destination zone, with the reasons of those that left the zone without a budget. A table
-//! of counts outlives the budgets that write to it, and may be read from any thread meanwhile.
+//! Counts of attempts, by class and destination zone, with the reasons of those that left the zone without a
+//! budget. A table of counts outlives the budgets that write to it, and may be read from any thread
+//! meanwhile.
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
@@ -54,7 +55,8 @@
     }
 }
 
-/// The names that counts are kept under. The size of a table depends only on their number, which is bounded by the settings.
+/// The names that counts are kept under. The size of a table depends only on their number, which is bounded
+/// by the settings.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Names {
     /// Names of classes, by id.
--- a/crates/pools/src/file.rs
+++ b/crates/pools/src/file.rs
@@ -1,5 +1,5 @@
-//! Parses the text of `pools.toml`, and applies it to the settings of an instance. All faults are reported, each with its line
-//! and key.
+//! Parses the text of `pools.toml`, and applies it to the settings of an instance. All faults are reported,
+//! each with its line and key.
 
 use std::fmt;
 use std::ops::Range;
@@ -151,8 +151,8 @@
         let threshold = value_or(exemption_threshold, DEFAULT_EXEMPTION_THRESHOLD);
         if faults.is_empty() && value_or(cost, DEFAULT_COST) > threshold {
             let span = cost.as_ref().or(exemption_threshold.as_ref()).map_or(0..0, Spanned::span);
-            let text = "it is above crossing.bend_at: leaving the zone would cost more with a full budget than with \
-                        an empty one";
+            let text = "it is above crossing.bend_at: leaving the zone would cost more with a full budget than \
+                        with an empty one";
             faults.push(self.fault(span, "crossing.fee".to_owned(), text));
         }
         for name in exemptions.iter().flatten().filter(|name| exemption(name.get_ref()).is_none()) {
--- a/crates/pools/src/lib.rs
+++ b/crates/pools/src/lib.rs
@@ -1,5 +1,5 @@
-//! Limits on the servers that the decision module may choose. [`cross_zone_budget::CrossZoneBudgets`] keeps the traffic that
-//! leaves a sidecar's zone within budgets; it implements the module's
+//! Limits on the servers that the decision module may choose. [`cross_zone_budget::CrossZoneBudgets`] keeps
+//! the traffic that leaves a sidecar's zone within budgets; it implements the module's
 //! [`CrossZoneLimiter`](sagemast_decide::cross_zone::CrossZoneLimiter).
 
 pub mod counts;
--- a/crates/pools/src/token_bucket.rs
+++ b/crates/pools/src/token_bucket.rs
@@ -5,8 +5,9 @@
 /// Tolerance for sums of shares such as 0.02, which differ from whole numbers by up to this much.
 const ROUNDING: f64 = 1e-6;
 
-/// Tokens that are earned at a rate or added one amount at a time, and spent one amount at a time. The bucket never holds
-/// more than its burst and never owes more than that: after a long disturbance, the debt must not block traffic for hours.
+/// Tokens that are earned at a rate or added one amount at a time, and spent one amount at a time. The bucket
+/// never holds more than its burst and never owes more than that: after a long disturbance, the debt must not
+/// block traffic for hours.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TokenBucket {
     level: f64,
--- a/crates/pools/tests/file.rs
+++ b/crates/pools/tests/file.rs
@@ -1,4 +1,5 @@
-//! `pools.toml`: how it is parsed and applied to settings, and that each fault is reported with its line and key.
+//! `pools.toml`: how it is parsed and applied to settings, and that each fault is reported with its line and
+//! key.
 
 use sagemast_decide::api::{ClassId, ZoneId};
 use sagemast_decide::cross_zone::BudgetExemption;
--- a/crates/pools/tests/plan.rs
+++ b/crates/pools/tests/plan.rs
@@ -1,4 +1,5 @@
-//! Cross-zone budgets under any order of attempts, ends, changes and waits: limits hold, and ended attempts leave no entries.
+//! Cross-zone budgets under any order of attempts, ends, changes and waits: limits hold, and ended attempts
+//! leave no entries.
 
 use std::sync::Arc;
 
