--- a/crates/sidecar/src/connection.rs
+++ b/crates/sidecar/src/connection.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams, and those that are idle.
+//! Connections to upstreams, and pools of idle ones.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,52 +14,53 @@
 use crate::metered_stream::{Meter, MeteredStream};
 use crate::transfer::request_body::AttemptBody;
 
-/// Room for a head; hyper also reads bodies through it.
-const BUFFER_BYTES: usize = 32 << 10;
-/// How long a connection may take to become ready for the next request once an answer was read.
-const SETTLE: Duration = Duration::from_millis(100);
+/// Size limit of an answer's head; hyper also reads bodies through this buffer.
+const MAX_BUFFER_BYTES: usize = 32 << 10;
+/// How long a connection may take to become ready for the next request after an answer was read.
+const READY_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// An open connection. It is closed when this is dropped; [`Connection::close`] waits until it is.
+/// An open connection. Dropping it closes it; [`Connection::close`] also waits until it is closed.
 pub struct Connection {
-    /// Where requests go in.
+    /// Sends requests over it.
     pub sender: SendRequest<AttemptBody>,
     task: JoinHandle<()>,
-    /// What has crossed it.
+    /// Counts its bytes.
     pub meter: Arc<Meter>,
-    /// Our port.
-    pub port: u16,
+    /// Local port.
+    pub local_port: u16,
     /// Whether it has carried a request before.
-    pub used: bool,
-    /// Since when it has carried nothing.
+    pub was_used: bool,
+    /// When it last became idle.
     pub idle_since: Instant,
     _permit: UpstreamPermit,
 }
 
 impl Connection {
-    /// Connects by `until`.
+    /// Opens a connection, which must be established by `connect_by`.
     pub async fn open(
-        dial: SocketAddr,
-        until: Instant,
+        address: SocketAddr,
+        connect_by: Instant,
         permit: UpstreamPermit,
     ) -> Result<Connection, String> {
-        let stream = timeout_at(until, TcpStream::connect(dial))
+        let stream = timeout_at(connect_by, TcpStream::connect(address))
             .await
-            .map_err(|_| "connecting took too long".to_owned())?
+            .map_err(|_| "connecting timed out".to_owned())?
             .map_err(|error| format!("cannot connect: {error}"))?;
-        // Without it the kernel may hold back a small request.
+        // Otherwise the kernel may delay a small request.
         stream.set_nodelay(true).map_err(|error| error.to_string())?;
-        let port = stream.local_addr().map_or(0, |address| address.port());
-        let (counted, meter) = MeteredStream::new(stream);
+        let local_port = stream.local_addr().map_or(0, |address| address.port());
+        let (metered_stream, meter) = MeteredStream::new(stream);
         let (sender, connection) = http1::Builder::new()
-            .max_buf_size(BUFFER_BYTES)
-            .handshake(TokioIo::new(counted))
+            .max_buf_size(MAX_BUFFER_BYTES)
+            .handshake(TokioIo::new(metered_stream))
             .await
             .map_err(|error| error.to_string())?;
         let task = tokio::spawn(async move {
-            // How an exchange failed shows at the exchange.
+            // The exchange reports its own errors.
             let _ = connection.await;
         });
-        Ok(Connection { sender, task, meter, port, used: false, idle_since: Instant::now(), _permit: permit })
+        let idle_since = Instant::now();
+        Ok(Connection { sender, task, meter, local_port, was_used: false, idle_since, _permit: permit })
     }
 
     /// Whether it can take a request now, as far as this side knows.
@@ -67,17 +68,19 @@
         self.sender.is_ready()
     }
 
-    /// Gives it up; when this returns, the socket is closed, and what the kernel had not sent yet never will be.
+    /// Closes the connection. When this returns, the socket is closed and bytes that the kernel has not sent
+    /// yet are discarded.
     pub async fn close(mut self) {
         self.meter.abort();
         self.task.abort();
         let _ = (&mut self.task).await;
     }
 
-    /// Waits until the next request can be sent. `None` if the upstream closes it.
-    pub async fn settle(mut self) -> Option<Connection> {
-        timeout(SETTLE, self.sender.ready()).await.ok()?.ok()?;
-        self.used = true;
+    /// Waits until the next request can be sent, and marks the connection as used and idle. `None` if it does
+    /// not become ready in time or the upstream closes it.
+    pub async fn into_idle(mut self) -> Option<Connection> {
+        timeout(READY_TIMEOUT, self.sender.ready()).await.ok()?.ok()?;
+        self.was_used = true;
         self.idle_since = Instant::now();
         Some(self)
     }
@@ -89,14 +92,14 @@
     }
 }
 
-/// The idle connections to one upstream, the latest used last.
+/// The idle connections to one upstream, ordered by last use; the most recently used one is last.
 #[derive(Default)]
 pub struct Pool {
     idle: Vec<Connection>,
 }
 
 impl Pool {
-    /// Takes the one used last, so that the others can grow old and close.
+    /// Takes the most recently used connection, so that the others can reach their idle limit.
     pub fn take(&mut self, idle_limit: Duration) -> Option<Connection> {
         while let Some(connection) = self.idle.pop() {
             if connection.is_usable() && connection.idle_since.elapsed() < idle_limit {
@@ -106,39 +109,39 @@
         None
     }
 
-    /// Takes one back.
+    /// Adds a connection that has just become idle.
     pub fn put(&mut self, connection: Connection) {
         self.idle.push(connection);
     }
 
-    /// Closes those that were closed by the upstream or have been idle for too long: the one used last after `idle_limit`,
-    /// the others, which a burst has left behind, after `spare_limit`.
-    pub fn sweep(&mut self, idle_limit: Duration, spare_limit: Duration) {
-        self.idle.retain(|c| c.is_usable() && c.idle_since.elapsed() < idle_limit);
+    /// Closes connections that the upstream has closed or that have been idle for too long: the most recently
+    /// used one after `last_limit`, the others, which are left over from a burst, after `spare_limit`.
+    pub fn sweep(&mut self, last_limit: Duration, spare_limit: Duration) {
+        self.idle.retain(|connection| connection.is_usable() && connection.idle_since.elapsed() < last_limit);
         if let Some(last) = self.idle.pop() {
-            self.idle.retain(|c| c.idle_since.elapsed() < spare_limit);
+            self.idle.retain(|connection| connection.idle_since.elapsed() < spare_limit);
             self.idle.push(last);
         }
     }
 
-    /// Since when the one longest idle has been so.
-    pub fn oldest(&self) -> Option<Instant> {
+    /// Since when the longest-idle connection has been idle.
+    pub fn oldest_idle_since(&self) -> Option<Instant> {
         self.idle.first().map(|connection| connection.idle_since)
     }
 
-    /// Closes the one longest idle.
-    pub fn drop_oldest(&mut self) {
+    /// Closes the longest-idle connection.
+    pub fn close_oldest(&mut self) {
         if !self.idle.is_empty() {
             self.idle.remove(0);
         }
     }
 
-    /// Closes all.
-    pub fn clear(&mut self) {
+    /// Closes all connections.
+    pub fn close_all(&mut self) {
         self.idle.clear();
     }
 
-    /// Whether there are none.
+    /// Whether there are no connections.
     pub fn is_empty(&self) -> bool {
         self.idle.is_empty()
     }
@@ -149,27 +152,28 @@
     use super::*;
     use crate::budget::Budgets;
 
-    /// Guards against places that many sidecars hold at one upstream for nothing, while others are turned away.
+    /// Guards against idle connections that use up an upstream's connection limit, so that it refuses other
+    /// sidecars.
     #[tokio::test]
-    async fn what_a_burst_leaves_behind_closes_before_the_one_that_is_used() {
-        let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
-        let dial = listener.local_addr().expect("it has an address");
+    async fn spare_idle_connections_are_closed_before_the_most_recently_used_one() {
+        let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
+        let address = listener.local_addr().expect("a local address");
         let budgets = Budgets::of(8);
         let (mut pool, mut accepted) = (Pool::default(), Vec::new());
         for _ in 0..3 {
-            let permit = budgets.permit(dial).expect("there is room");
-            let by = Instant::now() + Duration::from_secs(10);
-            let connection = Connection::open(dial, by, permit).await.expect("it connects");
-            accepted.push(listener.accept().await.expect("it comes"));
-            pool.put(connection.settle().await.expect("it is ready"));
+            let permit = budgets.permit(address).expect("a free permit");
+            let connect_by = Instant::now() + Duration::from_secs(10);
+            let connection = Connection::open(address, connect_by, permit).await.expect("a connection");
+            accepted.push(listener.accept().await.expect("an accepted connection"));
+            pool.put(connection.into_idle().await.expect("a ready connection"));
         }
         let latest = pool.idle[2].idle_since;
         let (long, none) = (Duration::from_secs(60), Duration::ZERO);
         pool.sweep(long, long);
         assert_eq!(pool.idle.len(), 3);
         pool.sweep(long, none);
-        assert_eq!(pool.idle.iter().map(|c| c.idle_since).collect::<Vec<_>>(), [latest]);
+        assert_eq!(pool.idle.iter().map(|connection| connection.idle_since).collect::<Vec<_>>(), [latest]);
         pool.sweep(none, none);
-        assert!(pool.is_empty(), "one to an upstream that is drawn from no more");
+        assert!(pool.is_empty(), "the last connection is closed as well once its limit has passed");
     }
 }
--- a/crates/sidecar/src/discovery.rs
+++ b/crates/sidecar/src/discovery.rs
@@ -1,4 +1,4 @@
-//! The discovery watch: reads the list of upstreams and its changes, and tells the driver.
+//! The discovery watch: reads the list of upstreams and its changes, and passes them to the driver.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -15,102 +15,105 @@
 use tokio::time::{Instant, sleep, timeout_at};
 
 use crate::hosts::HostList;
-use crate::json_stream::{JsonStream, Next};
+use crate::json_stream::{JsonStream, StreamItem};
 use crate::log::Log;
 use crate::messages::EventSink;
 use crate::watch_liveness::{self, WatchTimeouts};
 
-/// The longest list: thousands of hosts, indented. A stream without an end must not fill the memory.
+/// Size limit of a list. It fits an indented list of thousands of hosts, and keeps an endless stream from
+/// exhausting memory.
 const MAX_LIST_BYTES: usize = 2 << 20;
 
-/// What a watch has to tell.
+/// An event of a watch.
 pub enum DiscoveryEvent {
-    /// A list or changes.
+    /// The watch received a complete list or changes.
     ListReceived {
-        /// To which watch.
+        /// Id of the watch.
         watch: u64,
-        /// What.
+        /// The list.
         list: HostList,
     },
     /// A call failed or the watch ended.
     Failed {
-        /// Which.
+        /// Id of the watch.
         watch: u64,
-        /// The version to go on from: 0 if something was missed.
+        /// The version to continue from: 0 if changes were missed.
         seq: u64,
     },
 }
 
-/// Where watches start from and what they tell.
+/// A watch of discovery.
 pub struct Watch {
-    /// Discovery's address.
+    /// Address of discovery.
     pub address: SocketAddr,
-    /// Its number: what an earlier one left on its way to the driver is not to be believed any more.
+    /// Id of the watch. With it the driver recognizes queued events of a watch that has been replaced.
     pub id: u64,
     /// The version that the sidecar has.
     pub seq: u64,
-    /// Where it tells them.
+    /// Receives the events.
     pub events: EventSink<DiscoveryEvent>,
-    /// Where it says what went wrong.
+    /// Log for failures.
     pub log: Log,
-    /// How long it waits.
+    /// Timeouts.
     pub timeouts: WatchTimeouts,
-    /// This sidecar's place, from 0 to 1, among those that open a silent watch anew.
+    /// This sidecar's position, from 0 to 1, among those that reopen an unresponsive watch.
     pub spread_position: f64,
-    /// The last sign of life of a watch that has fallen silent, until another gives one.
+    /// The last sign of life of a watch that has become unresponsive, until there is another sign of life.
     pub silent_since: Option<Instant>,
 }
 
 impl Watch {
-    /// Watches for good, for settings under which news come by themselves.
+    /// Watches forever and reopens the watch whenever it ends. For settings under which lists are pushed.
     pub async fn run(mut self) {
-        let [first, last] = self.timeouts.back_off;
-        let (mut wait, mut said) = (first, String::new());
+        let [first_wait, longest_wait] = self.timeouts.back_off;
+        let (mut wait, mut logged_reason) = (first_wait, String::new());
         loop {
-            let before = self.seq;
-            let Err(end) = self.once().await;
-            let went_on = self.seq != before && self.seq != 0;
-            let why = format!("{end:#}");
-            // An outage is one line, however often it is asked.
-            if went_on || why != said {
-                self.log.line(format!("discovery: {why}; watching again"));
-                said = why;
+            let seq_before = self.seq;
+            let Err(error) = self.watch_once().await;
+            let made_progress = self.seq != seq_before && self.seq != 0;
+            let reason = format!("{error:#}");
+            // An outage is logged once, however many calls fail with the same reason.
+            if made_progress || reason != logged_reason {
+                self.log.line(format!("discovery: {reason}; reopening the watch"));
+                logged_reason = reason;
             }
-            // A watch that told something was in order; others back off, so as not to storm a discovery in need.
-            wait = if went_on { first } else { (wait * 2).min(last) };
+            // A watch that received a list was in order. Others back off, so as not to overload a struggling
+            // discovery.
+            wait = if made_progress { first_wait } else { (wait * 2).min(longest_wait) };
             sleep(wait).await;
         }
     }
 
-    /// Watches once, for settings under which the module asks; it hears of the end and asks again when it sees fit. A watch
-    /// that has fallen silent is another matter: what it misses counts as told soon, so it is opened anew at once.
+    /// Watches until the watch fails. For settings under which the decision module requests watches: it is
+    /// notified of the failure and decides when to watch again. A watch that has become unresponsive is
+    /// reopened at once, since changes that it misses soon count as received.
     pub async fn run_until_failure(mut self) {
-        let (mut tries, mut counted_since) = (0, None);
+        let (mut retries, mut retries_count_from) = (0, None);
         loop {
-            let Err(end) = self.once().await;
-            self.log.line(format!("discovery: {end:#}"));
-            // Without a silence there is no hurry; with one, the calls after it are counted until one is answered.
-            let Some(since) = self.silent_since else { break };
-            if counted_since.replace(since) != Some(since) {
-                tries = 0;
+            let Err(error) = self.watch_once().await;
+            self.log.line(format!("discovery: {error:#}"));
+            // Only an unresponsive watch is reopened at once. Calls are counted from its last sign of life
+            // until one is answered.
+            let Some(silent_since) = self.silent_since else { break };
+            if retries_count_from.replace(silent_since) != Some(silent_since) {
+                retries = 0;
             }
-            let Some(wait) = watch_liveness::again(since.elapsed(), tries, self.spread_position) else {
-                break;
-            };
-            tries += 1;
+            let wait = watch_liveness::reopen_wait(silent_since.elapsed(), retries, self.spread_position);
+            let Some(wait) = wait else { break };
+            retries += 1;
             sleep(wait).await;
         }
         self.events.send(DiscoveryEvent::Failed { watch: self.id, seq: self.seq });
     }
 
-    async fn once(&mut self) -> Result<Infallible> {
-        // Connecting and the head of the answer share one time: a budget is the sum of its parts.
+    async fn watch_once(&mut self) -> Result<Infallible> {
+        // One deadline covers both connecting and the head of the answer.
         let answer_by = Instant::now() + self.timeouts.call;
-        let stream = timeout_at(answer_by, TcpStream::connect(self.address))
+        let tcp_stream = timeout_at(answer_by, TcpStream::connect(self.address))
             .await
-            .map_err(|_| anyhow!("connecting took too long"))?
+            .map_err(|_| anyhow!("connecting timed out"))?
             .context("cannot connect")?;
-        let (mut sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
+        let (mut sender, connection) = http1::handshake(TokioIo::new(tcp_stream)).await?;
         let _connection = AbortOnDrop(tokio::spawn(async move {
             let _ = connection.await;
         }));
@@ -123,48 +126,52 @@
         if response.status() != StatusCode::OK {
             bail!("answered {}", response.status());
         }
-        let mut values = JsonStream::new(MAX_LIST_BYTES);
-        let end = self.listen(response.into_body(), &mut values).await;
-        if values.is_within() {
-            // What it would have said is missed: only the whole list can make up for it.
+        let mut stream = JsonStream::new(MAX_LIST_BYTES);
+        let end = self.read_stream(response.into_body(), &mut stream).await;
+        if stream.is_inside_item() {
+            // The truncated list is missed; only a complete list can make up for it.
             self.seq = 0;
         }
         end
     }
 
-    /// Listens to a watch until it ends. Only what is whole is a sign of life: bytes that end nothing may go on for good.
-    async fn listen(&mut self, mut body: Incoming, values: &mut JsonStream) -> Result<Infallible> {
-        let mut alive = Instant::now();
+    /// Reads a watch until it ends. Only a complete item is a sign of life, since a stream may bring
+    /// incomplete ones forever.
+    async fn read_stream(&mut self, mut body: Incoming, stream: &mut JsonStream) -> Result<Infallible> {
+        let mut last_item_at = Instant::now();
         loop {
-            let Ok(frame) = timeout_at(alive + self.timeouts.silence, body.frame()).await else {
-                // What this one misses counts as told so long after it fell silent, whatever fell silent before.
-                self.silent_since = Some(alive);
-                bail!("the watch fell silent");
+            let Ok(frame) = timeout_at(last_item_at + self.timeouts.silence, body.frame()).await else {
+                // The staleness bound counts from this watch's last sign of life, even if another watch
+                // became unresponsive before.
+                self.silent_since = Some(last_item_at);
+                bail!("the watch is unresponsive");
             };
             let frame = frame.context("the watch ended")??;
             let Ok(chunk) = frame.into_data() else { continue };
-            values.push(&chunk).map_err(anyhow::Error::msg)?;
-            let mut broken = None;
-            while let Some(next) = values.next_value() {
-                match next {
-                    Next::Blank => {}
-                    Next::Object(text) => broken = self.tell(&text)?.or(broken),
-                    Next::Broken(reason) => broken = Some(reason.to_owned()),
+            stream.push(&chunk).map_err(anyhow::Error::msg)?;
+            let mut malformed = None;
+            while let Some(item) = stream.next_item() {
+                match item {
+                    StreamItem::BlankLine => {}
+                    StreamItem::Object(text) => malformed = self.report_list(&text)?.or(malformed),
+                    StreamItem::Malformed(reason) => malformed = Some(reason.to_owned()),
                 }
-                (alive, self.silent_since) = (Instant::now(), None);
+                (last_item_at, self.silent_since) = (Instant::now(), None);
             }
-            if let Some(reason) = broken {
-                // What else came with it counts, but only the whole list can make up for what was missed.
+            if let Some(reason) = malformed {
+                // The valid lists in the chunk were reported, but only a complete list can make up for the
+                // malformed one.
                 self.seq = 0;
                 bail!("a list cannot be read: {reason}");
             }
         }
     }
 
-    /// Tells a list, or says why it cannot be read.
-    fn tell(&mut self, text: &[u8]) -> Result<Option<String>> {
+    /// Reports a list to the driver. Returns the reason if the list is invalid.
+    fn report_list(&mut self, text: &[u8]) -> Result<Option<String>> {
         match serde_json::from_slice::<HostList>(text) {
-            // Changes build on what went before: those of an older version would undo newer ones. From 0 on all are new.
+            // Changes build on earlier ones, so changes of an older version would undo newer ones. From
+            // version 0 on any change is new.
             Ok(list) if !list.whole && list.seq < self.seq => {
                 Ok(Some(format!("version {} comes after {}", list.seq, self.seq)))
             }
@@ -180,7 +187,7 @@
     }
 }
 
-/// A task that ends with its owner.
+/// A task that is aborted when its owner drops it.
 pub struct AbortOnDrop(pub JoinHandle<()>);
 
 impl Drop for AbortOnDrop {
--- a/crates/sidecar/src/driver.rs
+++ b/crates/sidecar/src/driver.rs
@@ -1,4 +1,5 @@
-//! The driver: owns the module, turns what happens into its events and carries out its actions in order.
+//! The driver of an instance: owns the decision module, translates what happens into its events and carries
+//! out its actions in order.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -33,150 +34,159 @@
 use crate::servers::Servers;
 use crate::transfer::request_body::AttemptBody;
 use crate::transfer::upload::UploadState;
-use crate::upstream::{Common, Source, UpstreamEvent, Wire, Writing, attempt, connect, probe};
+use crate::upstream::{
+    AttemptContext, AttemptRequest, ProbeConnection, UpstreamEvent, WireUsage, connect_for_attempt,
+    run_attempt, run_probe,
+};
 use crate::watch_liveness::{self, WatchTimeouts};
 use crate::write_check;
 
-/// Once its time to connect is over an attempt is written within this or not at all: the rest of a turn in which much else
-/// is to be done.
-const WRITE_IN: Duration = Duration::from_millis(10);
-/// A probe that has not come back in this share of the shortest aim says nothing: servers answer them beside
-/// their queue, and by then the request that it was for has gone on.
-const PROBE_SHARE: f64 = 0.5;
-/// How often idle connections are looked through.
-const SWEEP: Duration = Duration::from_millis(500);
-/// Idle connections to an upstream that is not drawn from, and those beyond the one that was used last, are closed after this
-/// time: upstreams hold so many and no more, and what one of many sidecars keeps for nothing another is turned away for.
-/// Longer than a burst and a reading of an upstream's load last.
-const SPARE: Duration = Duration::from_secs(2);
-/// Idle connections are closed after this share of the time that upstreams keep them: one that is written to
-/// just as the upstream closes it ends as a reset.
-const IDLE_SHARE: f64 = 0.7;
-
-/// What the owner of an instance asks of its driver.
+/// An attempt must be written within this time after its connect deadline, or not at all. It covers the rest
+/// of a busy turn of the event loop.
+const WRITE_GRACE: Duration = Duration::from_millis(10);
+/// Probe timeout as a fraction of the shortest aim. Servers answer probes outside their queue, and by then
+/// the request that caused the probe has been dispatched elsewhere.
+const PROBE_TIMEOUT_FRACTION_OF_AIM: f64 = 0.5;
+/// Interval between sweeps of idle connections.
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
+/// Idle limit for connections to upstreams outside the subset, and for all but the most recently used
+/// connection to any upstream. Upstreams accept a limited number of connections: one that a sidecar keeps
+/// idle is one that another sidecar is refused. Longer than a burst of requests lasts, and longer than a
+/// reading of an upstream's load is used.
+const SPARE_IDLE_LIMIT: Duration = Duration::from_secs(2);
+/// Idle limit as a fraction of the upstreams' keep-alive time. A request written just as the upstream closes
+/// the connection ends as a reset.
+const IDLE_LIMIT_FRACTION_OF_KEEPALIVE: f64 = 0.7;
+
+/// A command from the owner of an instance to its driver.
 pub enum InstanceCommand {
-    /// Watch discovery here from now on; the list and the connections stay.
+    /// Watch discovery at this address from now on. The host list and the connections stay.
     WatchDiscovery(SocketAddr),
-    /// There are so many sidecars from now on, this one included.
+    /// Set the number of sidecars, this one included.
     SetSidecarCount(u32),
-    /// Other budgets for traffic between zones are in force from now on, or none.
+    /// Replace the budgets for cross-zone traffic, or remove them.
     SetCrossZoneBudget(Option<CrossZoneBudget>),
-    /// A successor needs the connections: keep none that is idle from now on.
+    /// Close all idle connections and keep none from now on, since a successor needs them.
     Retire,
-    /// Hand over the list of upstreams as it stands.
+    /// Send the current host list.
     GetHostList(oneshot::Sender<HostList>),
-    /// Hand over what a successor goes on from.
+    /// Send the state from which a successor continues.
     GetHandoverState(oneshot::Sender<HandoverState>),
-    /// Tell others of the same sidecar what discovery tells, from now on.
+    /// Forward each list from discovery to the other processes of the same sidecar from now on.
     ForwardLists(mpsc::Sender<HostList>),
-    /// Another process of the same sidecar was told this by discovery.
+    /// Apply a list that another process of the same sidecar received from discovery.
     PeerList(HostList),
-    /// Fail, as a fault in the code would make it fail. Only the rig and tests ask for this.
+    /// Panic, as a bug would make the driver panic. Only the rig and tests send this.
     Panic,
 }
 
-/// Something that the driver is told.
+/// An event for the driver.
 pub enum DriverEvent {
-    /// By clients.
+    /// From clients.
     Client(ClientEvent),
-    /// By connections to upstreams.
+    /// From connections to upstreams.
     Upstream(UpstreamEvent),
-    /// By the discovery watch.
+    /// From the discovery watch.
     Discovery(DiscoveryEvent),
-    /// By the owner of the instance.
+    /// From the owner of the instance.
     Command(InstanceCommand),
 }
 
 impl From<ClientEvent> for DriverEvent {
-    fn from(message: ClientEvent) -> DriverEvent {
-        DriverEvent::Client(message)
+    fn from(event: ClientEvent) -> DriverEvent {
+        DriverEvent::Client(event)
     }
 }
 
 impl From<UpstreamEvent> for DriverEvent {
-    fn from(message: UpstreamEvent) -> DriverEvent {
-        DriverEvent::Upstream(message)
+    fn from(event: UpstreamEvent) -> DriverEvent {
+        DriverEvent::Upstream(event)
     }
 }
 
 impl From<DiscoveryEvent> for DriverEvent {
-    fn from(message: DiscoveryEvent) -> DriverEvent {
-        DriverEvent::Discovery(message)
+    fn from(event: DiscoveryEvent) -> DriverEvent {
+        DriverEvent::Discovery(event)
     }
 }
 
-/// A send that has not ended.
-struct Sent {
-    flight: AttemptInfo,
-    at: Instant,
-    /// Dropped to give it up, once something is under way for it.
-    give_up: Option<oneshot::Sender<()>>,
-    /// Whether that was done.
-    given_up: bool,
-    /// Bytes of its body, as far as they are known.
-    body: u64,
+/// An attempt that has not ended.
+struct InFlightAttempt {
+    info: AttemptInfo,
+    started_at: Instant,
+    /// Cancels the task that works on the attempt when dropped; `None` before there is a task.
+    cancel_on_drop: Option<oneshot::Sender<()>>,
+    cancelled: bool,
+    /// Length of its body; 0 if unknown.
+    body_bytes: u64,
 }
 
-impl Sent {
-    fn give_up(&mut self) {
-        (self.give_up, self.given_up) = (None, true);
+impl InFlightAttempt {
+    fn cancel(&mut self) {
+        (self.cancel_on_drop, self.cancelled) = (None, true);
     }
 }
 
 /// A request without its final answer.
-struct Open {
+struct OpenRequest {
+    /// The id that its client gave it.
     id: Box<str>,
     class: ClassId,
     forward: Arc<ForwardedRequest>,
     reply: oneshot::Sender<FinalAnswer>,
-    sends: u32,
+    attempt_count: u32,
     deadline: Deadline,
-    /// By when its client should have the answer.
+    /// When its client should have the answer.
     aim_at: Instant,
-    /// How long its client waits, from its last byte on.
+    /// How long its client waits, counted from the request's last byte.
     time_left: Duration,
-    /// Set once its last byte has come, and with that it is taken.
-    timer: Option<(Instant, u64)>,
+    /// Key of its [`Timer::AnswerBackstop`], set once its last byte has arrived. From then on it counts as
+    /// received.
+    backstop: Option<(Instant, u64)>,
 }
 
 enum Timer {
-    Wake(u64),
-    Backstop(RequestId),
+    /// Set by the decision module.
+    Module(u64),
+    /// The final answer to a request is overdue.
+    AnswerBackstop(RequestId),
+    /// Idle connections are due for a sweep.
     Sweep,
-    /// Discovery was given its time to tell what it has.
-    Current,
+    /// Discovery has had its time to send the current list.
+    DiscoveryGrace,
 }
 
-/// What the driver tells the owner of its instance.
+/// An event for the owner of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InstanceEvent {
-    /// It has a list of upstreams, from discovery itself unless that keeps it waiting: `/up` answers 200.
+    /// The instance is ready and `/up` answers 200: it has a host list, and discovery has sent one or has had
+    /// its time to.
     Ready,
-    /// The list has changed.
+    /// The host list has changed.
     ListChanged,
-    /// It has let its listener go: it accepts nobody any more.
+    /// The instance has released its listener and accepts no more connections.
     ListenerReleased,
 }
 
-/// What a driver is made of.
+/// What a driver is created from.
 pub struct DriverConfig {
-    /// The settings.
+    /// Settings.
     pub settings: SettingsObject,
-    /// For random numbers.
+    /// Seed for random numbers.
     pub seed: u64,
-    /// Where discovery is.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// What it may hold.
+    /// Limits on the resources that the instance may use.
     pub budgets: Budgets,
-    /// Budgets for traffic between zones, if there are any.
+    /// Budgets for cross-zone traffic, if any.
     pub cross_zone_budget: Option<CrossZoneBudget>,
-    /// What it counts.
+    /// Metrics to update.
     pub metrics: Arc<Metrics>,
-    /// Where it logs.
+    /// Log.
     pub log: Log,
-    /// Whom it tells how it fares.
+    /// Receives events for the instance's owner.
     pub events: EventSink<InstanceEvent>,
-    /// How long it may go on.
+    /// Lifecycle of the instance.
     pub lifecycle: watch::Receiver<lifecycle::Lifecycle>,
 }
 
@@ -184,186 +194,193 @@
 pub struct Driver {
     module: Balancer,
     settings: SettingsObject,
-    columns: Vec<Column>,
+    report_columns: Vec<Column>,
     class_names: Vec<String>,
-    /// By class: how soon its clients should have their answers.
+    /// By class: the time within which its clients should have their answers.
     aims: Vec<Option<Duration>>,
+    /// Whether the module itself asks discovery for lists, rather than an agent pushing them.
     subscribed: bool,
-    sidecars: u32,
+    sidecar_count: u32,
     metrics: Arc<Metrics>,
     log: Log,
     budgets: Budgets,
-    listener: EventSink<InstanceEvent>,
-    life: watch::Receiver<lifecycle::Lifecycle>,
+    instance_events: EventSink<InstanceEvent>,
+    lifecycle: watch::Receiver<lifecycle::Lifecycle>,
     inbox: mpsc::UnboundedReceiver<DriverEvent>,
-    upstreams: EventSink<UpstreamEvent>,
-    news: EventSink<DiscoveryEvent>,
+    upstream_events: EventSink<UpstreamEvent>,
+    discovery_events: EventSink<DiscoveryEvent>,
     discovery: SocketAddr,
-    /// How long a watch of it waits, and this sidecar's place among all that ask.
-    times: WatchTimeouts,
-    place: f64,
-    /// Whether it has told something, or was given the time to.
-    current: bool,
-    /// Whether there is a list.
+    watch_timeouts: WatchTimeouts,
+    /// This sidecar's position, from 0 to 1, among those that reopen an unresponsive watch.
+    spread_position: f64,
+    /// Whether discovery has sent a list or has had its time to.
+    discovery_settled: bool,
     has_list: bool,
+    /// Version of the host list.
     seq: u64,
     watch: Option<AbortOnDrop>,
-    /// The number of the present watch.
-    watches: u64,
-    /// Who is told what it tells.
-    followers: Option<mpsc::Sender<HostList>>,
+    /// Id of the current watch.
+    watch_id: u64,
+    /// Receives each list from discovery, for the other processes of this sidecar.
+    list_forwarder: Option<mpsc::Sender<HostList>>,
     epoch: Instant,
-    open: HashMap<RequestId, Open>,
+    open_requests: HashMap<RequestId, OpenRequest>,
     /// The ids that clients gave the open requests.
-    ids: HashSet<Box<str>>,
-    sent: BTreeMap<(RequestId, AttemptNo), Sent>,
-    /// Requests that have their answer, which is still passing through.
-    streams: HashMap<RequestId, ClassId>,
-    /// What attempts share.
-    common: Common,
+    open_client_ids: HashSet<Box<str>>,
+    in_flight: BTreeMap<(RequestId, AttemptNo), InFlightAttempt>,
+    /// Requests whose final answer is still being streamed to the client.
+    streaming: HashMap<RequestId, ClassId>,
+    attempt_context: AttemptContext,
     servers: Servers,
-    /// How many of them are listed as draining.
-    draining: usize,
+    /// Number of servers that are listed as draining.
+    draining_count: usize,
     timers: BTreeMap<(Instant, u64), Timer>,
-    next_timer: u64,
-    /// Whether a sweep is to come.
-    sweeping: bool,
+    /// Number of the timer that was set last.
+    last_timer: u64,
+    sweep_scheduled: bool,
     /// Whether idle connections are closed at once.
     retired: bool,
-    probe_time: Duration,
-    /// How long an attempt may take to get its connection, over all its tries.
-    connect_time: Duration,
+    probe_timeout: Duration,
+    /// How long an attempt may take to get its connection, over all connections that it tries.
+    connect_timeout: Duration,
     actions: Vec<Action>,
 }
 
 impl Driver {
-    /// A driver that knows the settings and nothing else, and the channel that leads to it.
-    pub fn new(parts: DriverConfig) -> (Driver, mpsc::UnboundedSender<DriverEvent>) {
+    /// Creates a driver without a host list, and the channel into which its events are sent.
+    pub fn new(config: DriverConfig) -> (Driver, mpsc::UnboundedSender<DriverEvent>) {
         let DriverConfig {
             settings,
             seed,
             discovery,
             budgets,
-            cross_zone_budget: crossing,
+            cross_zone_budget,
             metrics,
             log,
-            events: listener,
-            lifecycle: life,
-        } = parts;
-        let (happenings, inbox) = mpsc::unbounded_channel();
-        let unix = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-        let mut told = settings.settings();
-        // The module keeps one tick in hand before a key's window ends, since in the simulator a send is on
-        // its way at once. Here it may first have to connect.
-        let in_hand = settings.connect_timeout_ms() + WRITE_IN.as_secs_f64() * 1e3;
-        told.limits.tick = told.limits.tick.max(in_hand);
-        // What discovery has to tell counts as told after that long, whatever else the settings allow.
-        if let Discovery::Subscribed { must_ask_in } = &mut told.discovery {
-            *must_ask_in = must_ask_in.min(watch_liveness::TOLD.as_secs_f64() * 1e3);
-        }
-        let aims =
-            told.classes.iter().map(|class| Duration::try_from_secs_f64(class.aim / 1e3).ok()).collect();
-        let (subscribed, sidecars) = (matches!(told.discovery, Discovery::Subscribed { .. }), told.sidecars);
-        let mut module = Balancer::new(told, seed);
-        CrossZoneBudget::bring_into_force(crossing, &mut module, sidecars, 0.0);
-        let common = Common {
+            events,
+            lifecycle,
+        } = config;
+        let (driver_events, inbox) = mpsc::unbounded_channel();
+        let unix_time = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
+        let mut module_settings = settings.settings();
+        // The module stops sending one tick before a key's window ends. That suffices in the simulator, where
+        // a send leaves at once; here it may first have to connect.
+        let send_delay_ms = settings.connect_timeout_ms() + WRITE_GRACE.as_secs_f64() * 1e3;
+        module_settings.limits.tick = module_settings.limits.tick.max(send_delay_ms);
+        // A change in discovery counts as received after this time, whatever else the settings allow.
+        if let Discovery::Subscribed { must_ask_in } = &mut module_settings.discovery {
+            *must_ask_in = must_ask_in.min(watch_liveness::STALENESS_BOUND.as_secs_f64() * 1e3);
+        }
+        let aims = module_settings
+            .classes
+            .iter()
+            .map(|class| Duration::try_from_secs_f64(class.aim / 1e3).ok())
+            .collect();
+        let subscribed = matches!(module_settings.discovery, Discovery::Subscribed { .. });
+        let sidecar_count = module_settings.sidecars;
+        let mut module = Balancer::new(module_settings, seed);
+        CrossZoneBudget::bring_into_force(cross_zone_budget, &mut module, sidecar_count, 0.0);
+        let attempt_context = AttemptContext {
             log: log.clone(),
             metrics: metrics.clone(),
-            patience: Arc::default(),
-            lengths: Arc::default(),
+            stall_timeout: Arc::default(),
+            answer_lengths: Arc::default(),
             transfers: budgets.transfers.clone(),
         };
         let driver = Driver {
             subscribed,
-            sidecars,
+            sidecar_count,
             module,
-            columns: settings.columns(),
+            report_columns: settings.columns(),
             aims,
             class_names: settings.classes().into_iter().map(|form| form.name).collect(),
             metrics,
             log,
             budgets,
-            listener,
-            life,
+            instance_events: events,
+            lifecycle,
             inbox,
-            upstreams: EventSink::new(happenings.clone()),
-            news: EventSink::new(happenings.clone()),
+            upstream_events: EventSink::new(driver_events.clone()),
+            discovery_events: EventSink::new(driver_events.clone()),
             discovery,
-            times: match subscribed {
+            watch_timeouts: match subscribed {
                 true => WatchTimeouts::shared_service(),
                 false => WatchTimeouts::local_agent(Duration::from_secs_f64(settings.drain_grace_ms() / 1e3)),
             },
-            // A whole number below 2 to the power of 53 is one as a float, too.
-            place: (seed >> 11) as f64 / (1u64 << 53) as f64,
-            current: subscribed,
+            // Integers below 2 to the power of 53 are exact as floats.
+            spread_position: (seed >> 11) as f64 / (1u64 << 53) as f64,
+            discovery_settled: subscribed,
             has_list: false,
             seq: 0,
             watch: None,
-            watches: 0,
-            followers: None,
+            watch_id: 0,
+            list_forwarder: None,
             epoch: Instant::now(),
-            open: HashMap::new(),
-            ids: HashSet::new(),
-            sent: BTreeMap::new(),
-            streams: HashMap::new(),
-            common,
-            servers: Servers::new(unix.map_or(0.0, |since| since.as_secs_f64() * 1e3)),
-            draining: 0,
+            open_requests: HashMap::new(),
+            open_client_ids: HashSet::new(),
+            in_flight: BTreeMap::new(),
+            streaming: HashMap::new(),
+            attempt_context,
+            servers: Servers::new(unix_time.map_or(0.0, |since| since.as_secs_f64() * 1e3)),
+            draining_count: 0,
             timers: BTreeMap::new(),
-            next_timer: 0,
-            sweeping: false,
+            last_timer: 0,
+            sweep_scheduled: false,
             retired: false,
-            probe_time: Duration::from_secs_f64(settings.shortest_aim_ms() * PROBE_SHARE / 1e3),
-            connect_time: Duration::from_secs_f64(settings.connect_timeout_ms() / 1e3),
+            probe_timeout: Duration::from_secs_f64(
+                settings.shortest_aim_ms() * PROBE_TIMEOUT_FRACTION_OF_AIM / 1e3,
+            ),
+            connect_timeout: Duration::from_secs_f64(settings.connect_timeout_ms() / 1e3),
             actions: Vec::new(),
             settings,
         };
-        (driver, happenings)
+        (driver, driver_events)
     }
 
-    /// Runs for good.
-    pub async fn run(mut self, known: Option<HostList>, estate: Option<Box<HandoverState>>) {
-        match estate.filter(|estate| !estate.list.hosts.is_empty()) {
-            Some(estate) => self.inherit(&estate),
+    /// Runs until all senders of its channel are gone. Starts from a predecessor's state if there is one,
+    /// else from `list`.
+    pub async fn run(mut self, list: Option<HostList>, handover: Option<Box<HandoverState>>) {
+        match handover.filter(|handover| !handover.list.hosts.is_empty()) {
+            Some(handover) => self.restore_handover_state(&handover),
             None => {
-                let known = known.unwrap_or(HostList { seq: 0, whole: true, hosts: Vec::new() });
-                self.listed(&known, true);
+                let list = list.unwrap_or(HostList { seq: 0, whole: true, hosts: Vec::new() });
+                self.apply_list(&list, true);
             }
         }
         if !self.subscribed {
-            self.watch();
-            let first =
+            self.start_watch();
+            let wait =
                 watch_liveness::startup_wait(Duration::from_secs_f64(self.settings.shortest_aim_ms() / 1e3));
-            self.set_timer(Instant::now() + first, Timer::Current);
+            self.set_timer(Instant::now() + wait, Timer::DiscoveryGrace);
         }
         loop {
-            let due = self.timers.keys().next().map(|key| key.0);
+            let next_timer_at = self.timers.keys().next().map(|key| key.0);
             tokio::select! {
                 biased;
-                happening = self.inbox.recv() => match happening {
-                    Some(happening) => self.happened(happening),
+                event = self.inbox.recv() => match event {
+                    Some(event) => self.handle_event(event),
                     None => return,
                 },
-                Ok(()) = self.life.changed() => self.answer_before_the_end(),
-                // An idle instance has no timer, and so costs nothing.
-                () = sleep_until(due.unwrap_or_else(Instant::now)), if due.is_some() => {}
+                Ok(()) = self.lifecycle.changed() => self.shorten_deadlines_to_process_end(),
+                // An idle instance has no timer and therefore never wakes up.
+                () = sleep_until(next_timer_at.unwrap_or_else(Instant::now)), if next_timer_at.is_some() => {}
             }
-            self.fire();
+            self.fire_due_timers();
         }
     }
 
-    /// Watches from here on in place of the watch before. What that one had on its way is dropped; the new
-    /// one tells it again, since it goes on from the last version that was taken in.
-    fn watch(&mut self) {
-        self.watches += 1;
+    /// Starts a watch in place of the current one. Events of the old watch that are still queued are ignored;
+    /// the new watch delivers their changes again, since it continues from the last version that was applied.
+    fn start_watch(&mut self) {
+        self.watch_id += 1;
         let watch = Watch {
             address: self.discovery,
-            id: self.watches,
+            id: self.watch_id,
             seq: self.seq,
-            events: self.news.clone(),
+            events: self.discovery_events.clone(),
             log: self.log.clone(),
-            timeouts: self.times,
-            spread_position: self.place,
+            timeouts: self.watch_timeouts,
+            spread_position: self.spread_position,
             silent_since: None,
         };
         self.watch = Some(AbortOnDrop(if self.subscribed {
@@ -373,306 +390,329 @@
         }));
     }
 
-    /// The module's clock.
-    fn millis(&self, at: Instant) -> Millis {
+    /// Converts to the module's clock, which counts from the driver's epoch.
+    fn module_time(&self, at: Instant) -> Millis {
         at.saturating_duration_since(self.epoch).as_secs_f64() * 1e3
     }
 
     fn set_timer(&mut self, at: Instant, timer: Timer) -> (Instant, u64) {
-        self.next_timer += 1;
-        let key = (at, self.next_timer);
+        self.last_timer += 1;
+        let key = (at, self.last_timer);
         self.timers.insert(key, timer);
         key
     }
 
-    /// Fires the timers that are due.
-    fn fire(&mut self) {
+    fn fire_due_timers(&mut self) {
         let now = Instant::now();
         while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= now) {
             match entry.remove() {
-                Timer::Wake(token) => self.event(Event::TimerFired(token)),
-                Timer::Backstop(request) => {
-                    // The module answers in time unless it is at fault or the process was held up.
-                    self.finish(request, FinalAnswer::Failed);
-                    self.leave(request);
+                Timer::Module(token) => self.send_to_module(Event::TimerFired(token)),
+                Timer::AnswerBackstop(request) => {
+                    // The module decides in time unless it has a fault or the process was suspended.
+                    self.finish_request(request, FinalAnswer::Failed);
+                    self.abandon_request(request);
                 }
-                Timer::Current => {
-                    self.current = true;
-                    self.tell_ready();
+                Timer::DiscoveryGrace => {
+                    self.discovery_settled = true;
+                    self.announce_readiness();
                 }
                 Timer::Sweep => {
-                    let limit = self.idle_limit();
-                    let spare = limit.min(SPARE);
+                    let idle_limit = self.idle_limit();
+                    let spare_limit = idle_limit.min(SPARE_IDLE_LIMIT);
                     for (id, pool) in self.servers.pools_by_id() {
-                        let limit = if self.module.is_member(id) { limit } else { spare };
-                        pool.sweep(limit, spare);
+                        let last_limit = if self.module.is_member(id) { idle_limit } else { spare_limit };
+                        pool.sweep(last_limit, spare_limit);
                     }
-                    self.servers.forget(self.sent.values().map(|sent| sent.flight.upstream));
-                    self.sweeping = false;
-                    self.sweep_later();
+                    self.servers.remove_gone(self.in_flight.values().map(|attempt| attempt.info.upstream));
+                    self.sweep_scheduled = false;
+                    self.schedule_sweep();
                 }
             }
         }
     }
 
-    /// Looks through idle connections and the gone before long, if there are any.
-    fn sweep_later(&mut self) {
-        if !self.sweeping && self.servers.need_sweep() {
-            self.sweeping = true;
-            self.set_timer(Instant::now() + SWEEP, Timer::Sweep);
+    /// Schedules a sweep of idle connections and gone servers, if there are any.
+    fn schedule_sweep(&mut self) {
+        if !self.sweep_scheduled && self.servers.needs_sweep() {
+            self.sweep_scheduled = true;
+            self.set_timer(Instant::now() + SWEEP_INTERVAL, Timer::Sweep);
         }
     }
 
     fn idle_limit(&self) -> Duration {
-        Duration::from_secs_f64(self.settings.keepalive_ms() * IDLE_SHARE / 1e3)
+        Duration::from_secs_f64(self.settings.keepalive_ms() * IDLE_LIMIT_FRACTION_OF_KEEPALIVE / 1e3)
     }
 
-    /// Hands an event to the module and does what it says.
-    fn event(&mut self, event: Event) {
-        let now = self.millis(Instant::now());
+    /// Passes an event to the module and carries out the actions that it returns.
+    fn send_to_module(&mut self, event: Event) {
+        let now = self.module_time(Instant::now());
         let mut actions = std::mem::take(&mut self.actions);
         self.module.handle(now, event, &mut actions);
         for action in actions.drain(..) {
-            self.act(action);
+            self.execute(action);
         }
         self.actions = actions;
-        let skipped = self.module.avoided() + self.draining;
+        let skipped = self.module.avoided() + self.draining_count;
         self.metrics.skipped.store(skipped as u64, Ordering::Relaxed);
     }
 
-    fn happened(&mut self, happening: DriverEvent) {
-        match happening {
-            DriverEvent::Client(ClientEvent::Arrived(arrival)) => self.arrived(*arrival),
+    fn handle_event(&mut self, event: DriverEvent) {
+        match event {
+            DriverEvent::Client(ClientEvent::Arrived(arrival)) => self.handle_arrival(*arrival),
             DriverEvent::Client(ClientEvent::Disconnected(request)) => {
-                if let Some(open) = self.close(request) {
-                    self.log.trace(|| self.answer_line(&open, "none: its client has left"));
-                    if open.timer.is_some() {
+                if let Some(open) = self.remove_request(request) {
+                    self.log.trace(|| self.answer_trace(&open, "none: its client has left"));
+                    if open.backstop.is_some() {
                         self.metrics.ended(open.class, RequestOutcome::Left);
                     }
                 }
-                self.leave(request);
+                self.abandon_request(request);
             }
-            DriverEvent::Upstream(message) => self.heard_of_upstream(message),
-            DriverEvent::Discovery(message) => self.heard_of_list(message),
+            DriverEvent::Upstream(event) => self.handle_upstream_event(event),
+            DriverEvent::Discovery(event) => self.handle_discovery_event(event),
             DriverEvent::Command(InstanceCommand::WatchDiscovery(address)) => {
                 self.discovery = address;
-                self.watch();
+                self.start_watch();
             }
             DriverEvent::Command(InstanceCommand::SetSidecarCount(count)) => {
-                self.sidecars = count;
-                self.event(Event::SidecarCountChanged(count));
+                self.sidecar_count = count;
+                self.send_to_module(Event::SidecarCountChanged(count));
             }
-            DriverEvent::Command(InstanceCommand::SetCrossZoneBudget(crossing)) => {
-                let now = self.millis(Instant::now());
-                CrossZoneBudget::bring_into_force(crossing, &mut self.module, self.sidecars, now);
+            DriverEvent::Command(InstanceCommand::SetCrossZoneBudget(budget)) => {
+                let now = self.module_time(Instant::now());
+                CrossZoneBudget::bring_into_force(budget, &mut self.module, self.sidecar_count, now);
             }
             DriverEvent::Command(InstanceCommand::Retire) => {
                 self.retired = true;
-                self.servers.pools().for_each(Pool::clear);
+                self.servers.pools().for_each(Pool::close_all);
             }
             DriverEvent::Command(InstanceCommand::GetHostList(reply)) => {
-                // Who asked may have gone.
-                let _ = reply.send(self.servers.list(self.seq));
+                // The receiver may have been dropped.
+                let _ = reply.send(self.servers.to_host_list(self.seq));
             }
             DriverEvent::Command(InstanceCommand::GetHandoverState(reply)) => {
-                let _ = reply.send(self.estate());
+                let _ = reply.send(self.handover_state());
             }
-            DriverEvent::Command(InstanceCommand::ForwardLists(news)) => self.followers = Some(news),
-            DriverEvent::Command(InstanceCommand::PeerList(list)) => self.heard_from_peer(&list),
-            DriverEvent::Command(InstanceCommand::Panic) => panic!("told to fail"),
+            DriverEvent::Command(InstanceCommand::ForwardLists(forwarder)) => {
+                self.list_forwarder = Some(forwarder)
+            }
+            DriverEvent::Command(InstanceCommand::PeerList(list)) => self.apply_peer_list(&list),
+            DriverEvent::Command(InstanceCommand::Panic) => panic!("panic requested by the instance's owner"),
         }
     }
 
-    fn heard_of_upstream(&mut self, message: UpstreamEvent) {
-        match message {
-            UpstreamEvent::Connected(flight, connection) => self.connected(flight, connection),
-            UpstreamEvent::Ended { flight, end, wire } => self.ended(flight, end, wire),
-            UpstreamEvent::Uploads(flight, fate) => self.uploads(flight, fate),
-            UpstreamEvent::Streamed { request, came } => {
-                if let Some(class) = self.streams.remove(&request) {
-                    self.metrics.ended(class, came);
+    fn handle_upstream_event(&mut self, event: UpstreamEvent) {
+        match event {
+            UpstreamEvent::Connected { attempt, result } => self.handle_connect_result(attempt, result),
+            UpstreamEvent::Ended { attempt, end, wire } => self.handle_attempt_end(attempt, end, wire),
+            UpstreamEvent::UploadStateChanged(attempt, state) => self.handle_upload_state(attempt, state),
+            UpstreamEvent::StreamEnded { request, outcome } => {
+                if let Some(class) = self.streaming.remove(&request) {
+                    self.metrics.ended(class, outcome);
                 }
             }
-            UpstreamEvent::Idle { upstream, life, connection } => self.put_back(upstream, life, *connection),
-            UpstreamEvent::Probed { upstream, answer } => {
+            UpstreamEvent::Idle { upstream, incarnation, connection } => {
+                self.return_connection(upstream, incarnation, *connection)
+            }
+            UpstreamEvent::ProbeEnded { upstream, answer } => {
                 let answered = answer.as_ref().is_some_and(|answer| answer.status == 200);
-                let text = answer.filter(|_| answered);
-                let text = text.as_ref().and_then(|answer| std::str::from_utf8(answer.body.whole()?).ok());
-                let report = text.and_then(|text| report_from_text(&self.columns, text));
-                self.event(Event::ProbeFinished { upstream, answered, report });
+                let answer = answer.filter(|_| answered);
+                let text = answer.as_ref().and_then(|answer| std::str::from_utf8(answer.body.whole()?).ok());
+                let report = text.and_then(|text| report_from_text(&self.report_columns, text));
+                self.send_to_module(Event::ProbeFinished { upstream, answered, report });
             }
         }
     }
 
-    fn heard_of_list(&mut self, message: DiscoveryEvent) {
-        match message {
-            DiscoveryEvent::ListReceived { watch, list } if watch == self.watches => {
-                self.current = true;
-                self.listed(&list, false);
-                if let Some(followers) = &self.followers {
-                    // Who does not keep up has a watch of its own.
-                    let _ = followers.try_send(list);
+    fn handle_discovery_event(&mut self, event: DiscoveryEvent) {
+        match event {
+            DiscoveryEvent::ListReceived { watch, list } if watch == self.watch_id => {
+                self.discovery_settled = true;
+                self.apply_list(&list, false);
+                if let Some(forwarder) = &self.list_forwarder {
+                    // A process that cannot keep up also has a watch of its own.
+                    let _ = forwarder.try_send(list);
                 }
             }
-            DiscoveryEvent::Failed { watch, seq } if watch == self.watches => {
+            DiscoveryEvent::Failed { watch, seq } if watch == self.watch_id => {
                 self.seq = seq;
-                self.event(Event::ListReceived(ListUpdate::Unavailable));
+                self.send_to_module(Event::ListReceived(ListUpdate::Unavailable));
             }
-            // Of a watch that another has taken the place of.
+            // These come from a watch that has been replaced.
             DiscoveryEvent::ListReceived { .. } | DiscoveryEvent::Failed { .. } => {}
         }
     }
 
-    /// Takes in what discovery has told another process of this sidecar, if it has not told it here: to the rules
-    /// both were told. The own version stays, since what lies between is still to come.
-    fn heard_from_peer(&mut self, list: &HostList) {
-        let own = self.seq;
-        if list.seq > own {
-            self.listed(list, false);
-            self.seq = own;
+    /// Applies a list that discovery sent to another process of this sidecar, unless it is no newer than the
+    /// own one: the rules treat the sidecar as informed by either. The own version stays, since the changes
+    /// in between are still to come.
+    fn apply_peer_list(&mut self, list: &HostList) {
+        let own_seq = self.seq;
+        if list.seq > own_seq {
+            self.apply_list(list, false);
+            self.seq = own_seq;
         }
     }
 
-    /// What a successor goes on from.
-    fn estate(&self) -> HandoverState {
-        let Snapshot { servers, all } = self.module.memory(self.millis(Instant::now()));
-        let known = servers.into_iter().filter_map(|(id, memory)| {
+    /// The state from which a successor continues.
+    fn handover_state(&self) -> HandoverState {
+        let Snapshot { servers, all } = self.module.memory(self.module_time(Instant::now()));
+        let server_states = servers.into_iter().filter_map(|(id, memory)| {
             let host = &self.servers.get(UpstreamId(id))?.host;
             Some(ServerState { host: host.host.clone(), born_ms: host.born_ms, memory })
         });
-        let list = self.servers.list(self.seq);
-        HandoverState { names: SettingNames::of(&self.settings), list, all, servers: known.collect() }
-    }
-
-    /// Goes on from what a predecessor left.
-    fn inherit(&mut self, estate: &HandoverState) {
-        self.listed(&estate.list, true);
-        let memory = estate.memory(|host, born| self.servers.number(host, born).map(|id| id.0));
-        let now = self.millis(Instant::now());
-        let learnt = match estate.names == SettingNames::of(&self.settings) {
-            true => self.module.remember(now, &memory).map_err(|fault| fault.to_string()),
-            false => Err("the settings name other things".to_owned()),
+        let list = self.servers.to_host_list(self.seq);
+        HandoverState { names: SettingNames::of(&self.settings), list, all, servers: server_states.collect() }
+    }
+
+    /// Continues from a predecessor's state.
+    fn restore_handover_state(&mut self, state: &HandoverState) {
+        self.apply_list(&state.list, true);
+        let snapshot = state.memory(|host, born_ms| self.servers.id_of(host, born_ms).map(|id| id.0));
+        let now = self.module_time(Instant::now());
+        let estimates_restored = match state.names == SettingNames::of(&self.settings) {
+            true => self.module.remember(now, &snapshot).map_err(|fault| fault.to_string()),
+            false => {
+                Err("classes, tenants, zones or kinds differ from the predecessor's settings".to_owned())
+            }
         };
         let count = self.servers.count();
-        match learnt {
+        match estimates_restored {
             Ok(()) => self.log.line(format!("handover: goes on from {count} upstreams and what was learnt")),
             Err(fault) => self.log.line(format!("handover: goes on from {count} upstreams only: {fault}")),
         }
     }
 
-    fn arrived(&mut self, arrival: RequestArrival) {
-        let RequestArrival { request, class, tenant, id, received_at: at, time_left, forward, reply } =
-            arrival;
-        // Upstreams know a request by its id. One that says it is another's would be taken for that one's
-        // next attempt.
-        if !self.ids.insert(id.clone()) {
+    fn handle_arrival(&mut self, arrival: RequestArrival) {
+        let RequestArrival { request, class, tenant, id, received_at, time_left, forward, reply } = arrival;
+        // Upstreams identify a request by this id, so they would take a second request with the same id for
+        // another attempt of the first.
+        if !self.open_client_ids.insert(id.clone()) {
             let _ = reply.send(FinalAnswer::Rejected(StatusCode::CONFLICT));
             return;
         }
-        let uploads = forward.body.upload().is_some();
-        let deadline = Deadline::new(at, time_left, None);
+        let is_upload = forward.body.upload().is_some();
+        let deadline = Deadline::new(received_at, time_left, None);
         let forward = Arc::new(forward);
         let aim = self.aims.get(class.0).copied().flatten().unwrap_or(time_left);
-        let aim_at = at + aim.min(time_left);
-        let open = Open { id, class, forward, reply, sends: 0, deadline, aim_at, time_left, timer: None };
-        self.open.insert(request, open);
-        if !uploads {
-            self.taken(request, at);
+        let aim_at = received_at + aim.min(time_left);
+        let open = OpenRequest {
+            id,
+            class,
+            forward,
+            reply,
+            attempt_count: 0,
+            deadline,
+            aim_at,
+            time_left,
+            backstop: None,
+        };
+        self.open_requests.insert(request, open);
+        if !is_upload {
+            self.mark_received(request, received_at);
         }
         let time_left = deadline.attempts_by().saturating_duration_since(Instant::now()).as_secs_f64() * 1e3;
-        self.event(Event::RequestArrived { request, class, tenant, time_left });
+        self.send_to_module(Event::RequestArrived { request, class, tenant, time_left });
     }
 
-    /// The last byte of a request has come.
-    fn taken(&mut self, request: RequestId, at: Instant) {
-        let Some(open) = self.open.get(&request).filter(|open| open.timer.is_none()) else { return };
-        // A process that ends has no more time than that: who comes late is answered while it lasts.
-        let process_ends = self.life.borrow().answer_by();
-        let deadline = Deadline::new(at, open.time_left, process_ends);
+    /// Counts a request as received and sets its deadline, now that its last byte has arrived.
+    fn mark_received(&mut self, request: RequestId, received_at: Instant) {
+        let Some(open) = self.open_requests.get(&request).filter(|open| open.backstop.is_none()) else {
+            return;
+        };
+        // A request that arrives late in the life of the process is answered before the process ends.
+        let process_ends = self.lifecycle.borrow().answer_by();
+        let deadline = Deadline::new(received_at, open.time_left, process_ends);
         self.metrics.taken(open.class);
-        let timer = self.set_timer(bound(RequestState::Queued(deadline)).at, Timer::Backstop(request));
-        if let Some(open) = self.open.get_mut(&request) {
+        let backstop =
+            self.set_timer(bound(RequestState::Queued(deadline)).at, Timer::AnswerBackstop(request));
+        if let Some(open) = self.open_requests.get_mut(&request) {
             open.deadline = deadline;
-            open.timer = Some(timer);
+            open.backstop = Some(backstop);
         }
     }
 
-    /// Once the process is to end: whose client would wait for longer is answered while it lasts.
-    fn answer_before_the_end(&mut self) {
-        let Some(process_ends) = self.life.borrow_and_update().answer_by() else { return };
-        let taken =
-            self.open.iter().filter(|(_, open)| open.timer.is_some() && open.deadline.at() > process_ends);
-        let shortened: Vec<RequestId> = taken.map(|(request, _)| *request).collect();
-        for request in shortened {
-            let Some(open) = self.open.get_mut(&request) else { continue };
+    /// Moves deadlines that lie beyond the end of the process forward, once that end is known.
+    fn shorten_deadlines_to_process_end(&mut self) {
+        let Some(process_ends) = self.lifecycle.borrow_and_update().answer_by() else { return };
+        let too_late = self
+            .open_requests
+            .iter()
+            .filter(|(_, open)| open.backstop.is_some() && open.deadline.at() > process_ends);
+        let to_shorten: Vec<RequestId> = too_late.map(|(request, _)| *request).collect();
+        for request in to_shorten {
+            let Some(open) = self.open_requests.get_mut(&request) else { continue };
             open.deadline = open.deadline.ending_by(process_ends);
-            let (before, bound) = (open.timer.take(), bound(RequestState::Queued(open.deadline)));
-            if let Some(timer) = before {
+            let (old_backstop, bound) = (open.backstop.take(), bound(RequestState::Queued(open.deadline)));
+            if let Some(timer) = old_backstop {
                 self.timers.remove(&timer);
             }
-            let timer = self.set_timer(bound.at, Timer::Backstop(request));
-            if let Some(open) = self.open.get_mut(&request) {
-                open.timer = Some(timer);
+            let backstop = self.set_timer(bound.at, Timer::AnswerBackstop(request));
+            if let Some(open) = self.open_requests.get_mut(&request) {
+                open.backstop = Some(backstop);
             }
         }
     }
 
-    /// The body of an attempt is still coming, or has come.
-    fn uploads(&mut self, flight: AttemptInfo, fate: UploadState) {
-        let AttemptInfo { request, attempt, .. } = flight;
-        if let UploadState::Whole(at) = fate {
-            self.taken(request, at);
+    /// Handles a change in the upload that an attempt forwards.
+    fn handle_upload_state(&mut self, attempt: AttemptInfo, state: UploadState) {
+        let AttemptInfo { request, number, .. } = attempt;
+        if let UploadState::Whole(received_at) = state {
+            self.mark_received(request, received_at);
         }
-        if self.sent.contains_key(&(request, attempt)) {
-            self.event(Event::UploadProgress { request, attempt, in_progress: fate == UploadState::Coming });
+        if self.in_flight.contains_key(&(request, number)) {
+            let in_progress = state == UploadState::Coming;
+            self.send_to_module(Event::UploadProgress { request, attempt: number, in_progress });
         }
     }
 
-    /// Tells the module that a request is over without it, and ends what is out for it.
-    fn leave(&mut self, request: RequestId) {
-        self.event(Event::ClientDisconnected(request));
-        self.give_up_all(request);
+    /// Reports to the module that a request has ended without its decision, and cancels its attempts.
+    fn abandon_request(&mut self, request: RequestId) {
+        self.send_to_module(Event::ClientDisconnected(request));
+        self.cancel_attempts(request);
     }
 
-    fn give_up_all(&mut self, request: RequestId) {
+    fn cancel_attempts(&mut self, request: RequestId) {
         let first = (request, AttemptNo(0));
-        for (_, sent) in self.sent.range_mut(first..=(request, AttemptNo(u32::MAX))) {
-            sent.give_up();
+        for (_, attempt) in self.in_flight.range_mut(first..=(request, AttemptNo(u32::MAX))) {
+            attempt.cancel();
         }
     }
 
-    /// Takes a request off the books.
-    fn close(&mut self, request: RequestId) -> Option<Open> {
-        let open = self.open.remove(&request)?;
-        if let Some(timer) = &open.timer {
+    /// Removes an open request with its backstop and its client's id.
+    fn remove_request(&mut self, request: RequestId) -> Option<OpenRequest> {
+        let open = self.open_requests.remove(&request)?;
+        if let Some(timer) = &open.backstop {
             self.timers.remove(timer);
         }
-        self.ids.remove(&open.id);
+        self.open_client_ids.remove(&open.id);
         Some(open)
     }
 
-    /// Answers a request, if it is still owed one.
-    fn finish(&mut self, request: RequestId, answer: FinalAnswer) -> bool {
-        let Some(open) = self.close(request) else { return false };
+    /// Sends the final answer to a request, if it is still open. Returns whether the client's side received
+    /// it.
+    fn finish_request(&mut self, request: RequestId, answer: FinalAnswer) -> bool {
+        let Some(open) = self.remove_request(request) else { return false };
         self.log.trace(|| {
-            let said = match &answer {
+            let description = match &answer {
                 FinalAnswer::Served(..) => "served".to_owned(),
                 FinalAnswer::Refused(after) => format!("refused retry_after_ms={after:.0}"),
                 FinalAnswer::Failed => "failed".to_owned(),
                 FinalAnswer::Rejected(status) => format!("rejected status={}", status.as_u16()),
             };
-            self.answer_line(&open, &said)
+            self.answer_trace(&open, &description)
         });
-        // What never came whole was no request, unless it got an upstream's answer or a refusal all the same.
-        match (&answer, open.timer) {
+        match (&answer, open.backstop) {
+            // A request that is rejected before all of it was received is not counted.
             (FinalAnswer::Rejected(_), None) => return open.reply.send(answer).is_ok(),
+            // Any other final answer counts the request, even if its body never arrived completely.
             (_, None) => self.metrics.taken(open.class),
             (_, Some(_)) => {}
         }
         match &answer {
-            // It is served when its last byte has passed.
+            // A streamed answer counts as served once its last byte was passed on.
             FinalAnswer::Served(_, body) if body.is_stream() => {
-                self.streams.insert(request, open.class);
+                self.streaming.insert(request, open.class);
             }
             FinalAnswer::Served(..) => self.metrics.ended(open.class, RequestOutcome::Served),
             FinalAnswer::Refused(_) => self.metrics.ended(open.class, RequestOutcome::Refused),
@@ -680,7 +720,7 @@
                 self.metrics.ended(open.class, RequestOutcome::Failed)
             }
         }
-        // The client may have gone in this very moment.
+        // The client may have disconnected just now.
         open.reply.send(answer).is_ok()
     }
 
@@ -688,233 +728,261 @@
         self.class_names.get(class.0).map_or("?", String::as_str)
     }
 
-    /// What the trace says of a request that is over.
-    fn answer_line(&self, open: &Open, said: &str) -> String {
-        let (class, now) = (self.class_name(open.class), self.millis(Instant::now()));
+    /// The trace line for a request that has ended.
+    fn answer_trace(&self, open: &OpenRequest, answer: &str) -> String {
+        let (class, now) = (self.class_name(open.class), self.module_time(Instant::now()));
         format!(
-            "answer request={} class={class} attempts={} at_ms={now:.1} answer={said}",
-            open.id, open.sends
+            "answer request={} class={class} attempts={} at_ms={now:.1} answer={answer}",
+            open.id, open.attempt_count
         )
     }
 
-    fn act(&mut self, action: Action) {
+    /// Carries out an action of the module.
+    fn execute(&mut self, action: Action) {
         match action {
-            Action::Send { request, upstream, timeout } => self.send(request, upstream, timeout),
+            Action::Send { request, upstream, timeout } => self.start_attempt(request, upstream, timeout),
             Action::Cancel { request, attempt } => {
-                if let Some(sent) = self.sent.get_mut(&(request, attempt)) {
-                    sent.give_up();
+                if let Some(in_flight) = self.in_flight.get_mut(&(request, attempt)) {
+                    in_flight.cancel();
                 }
             }
             Action::Refuse { request, retry_after } => {
-                self.finish(request, FinalAnswer::Refused(retry_after));
+                self.finish_request(request, FinalAnswer::Refused(retry_after));
             }
             Action::Fail(request) => {
-                self.finish(request, FinalAnswer::Failed);
+                self.finish_request(request, FinalAnswer::Failed);
             }
-            Action::Probe(upstream) => self.probe(upstream),
+            Action::Probe(upstream) => self.start_probe(upstream),
             Action::SetTimer { at, token } => {
-                let after = Duration::try_from_secs_f64(at / 1e3).unwrap_or_default();
-                let at = self.epoch.checked_add(after).unwrap_or_else(Instant::now);
-                self.set_timer(at, Timer::Wake(token));
+                let since_epoch = Duration::try_from_secs_f64(at / 1e3).unwrap_or_default();
+                let at = self.epoch.checked_add(since_epoch).unwrap_or_else(Instant::now);
+                self.set_timer(at, Timer::Module(token));
             }
-            Action::Subscribe => self.watch(),
+            Action::Subscribe => self.start_watch(),
             Action::Log(text) => self.log.line(text),
         }
     }
 
     // --- Attempts ----------------------------------------------------------------------------
 
-    fn send(&mut self, request: RequestId, upstream: UpstreamId, timeout: Millis) {
+    fn start_attempt(&mut self, request: RequestId, upstream: UpstreamId, timeout: Millis) {
         let now = Instant::now();
-        let Some(open) = self.open.get_mut(&request) else { return };
-        let attempt = AttemptNo(open.sends);
-        open.sends += 1;
-        let body = open.forward.body.length().unwrap_or(0);
-        let gone = open.forward.body.upload().is_some_and(|upload| !upload.can_be_sent());
+        let Some(open) = self.open_requests.get_mut(&request) else { return };
+        let number = AttemptNo(open.attempt_count);
+        open.attempt_count += 1;
+        let body_bytes = open.forward.body.length().unwrap_or(0);
+        let body_is_spent = open.forward.body.upload().is_some_and(|upload| !upload.can_be_sent());
         let timeout = Duration::try_from_secs_f64(timeout / 1e3).unwrap_or_default();
-        let until = match now.checked_add(timeout) {
-            Some(until) if !timeout.is_zero() => until.min(open.deadline.attempts_by()),
+        let attempt_deadline = match now.checked_add(timeout) {
+            Some(deadline) if !timeout.is_zero() => deadline.min(open.deadline.attempts_by()),
             _ => open.deadline.attempts_by(),
         };
-        let (aim_at, deadline) = (open.aim_at, open.deadline.at());
-        let incarnation = self.servers.get(upstream).map_or(0, |server| server.life);
-        let connect_by = now + self.connect_time;
-        let flight =
-            AttemptInfo { request, attempt, upstream, incarnation, until, connect_by, aim_at, deadline };
-        self.sent.insert((request, attempt), Sent { flight, at: now, give_up: None, given_up: false, body });
-        if gone {
-            // Its body has passed, and there is no other.
-            return self.end_later(flight, Outcome::NotSent);
-        }
-        self.start(flight);
-    }
-
-    /// Whether an attempt may be written now.
-    fn may_be_written(&self, flight: &AttemptInfo) -> Result<(), Outcome> {
-        let sent = self.sent.get(&(flight.request, flight.attempt));
-        write_check::verdict(&write_check::AttemptState {
-            open: self.open.contains_key(&flight.request),
-            given_up: sent.is_none_or(|sent| sent.given_up),
-            time_is_up: Instant::now() >= flight.until,
-            too_late: Instant::now() > flight.connect_by + WRITE_IN,
-            upstream: self.servers.get(flight.upstream).map(|server| write_check::UpstreamState {
-                same_life: server.life == flight.incarnation,
-                serves: server.listing.lifecycle == Lifecycle::Serving,
+        let (aim_at, client_deadline) = (open.aim_at, open.deadline.at());
+        let incarnation = self.servers.get(upstream).map_or(0, |server| server.incarnation);
+        let connect_by = now + self.connect_timeout;
+        let attempt = AttemptInfo {
+            request,
+            number,
+            upstream,
+            incarnation,
+            attempt_deadline,
+            connect_by,
+            aim_at,
+            client_deadline,
+        };
+        let in_flight = InFlightAttempt {
+            info: attempt,
+            started_at: now,
+            cancel_on_drop: None,
+            cancelled: false,
+            body_bytes,
+        };
+        self.in_flight.insert((request, number), in_flight);
+        if body_is_spent {
+            // An earlier attempt has consumed the upload, which cannot be sent again.
+            return self.queue_attempt_end(attempt, Outcome::NotSent);
+        }
+        self.acquire_connection(attempt);
+    }
+
+    /// Whether an attempt may be written now, and its outcome if not.
+    fn check_write(&self, attempt: &AttemptInfo) -> Result<(), Outcome> {
+        let in_flight = self.in_flight.get(&(attempt.request, attempt.number));
+        write_check::check(&write_check::AttemptState {
+            request_open: self.open_requests.contains_key(&attempt.request),
+            cancelled: in_flight.is_none_or(|in_flight| in_flight.cancelled),
+            timed_out: Instant::now() >= attempt.attempt_deadline,
+            connect_timed_out: Instant::now() > attempt.connect_by + WRITE_GRACE,
+            upstream: self.servers.get(attempt.upstream).map(|server| write_check::UpstreamState {
+                same_incarnation: server.incarnation == attempt.incarnation,
+                is_serving: server.listing.lifecycle == Lifecycle::Serving,
             }),
         })
     }
 
-    /// Gets a connection for an attempt: an idle one, or a new one.
-    fn start(&mut self, flight: AttemptInfo) {
-        if let Err(outcome) = self.may_be_written(&flight) {
-            return self.end_later(flight, outcome);
+    /// Acquires a connection for an attempt: an idle one, or a new one.
+    fn acquire_connection(&mut self, attempt: AttemptInfo) {
+        if let Err(outcome) = self.check_write(&attempt) {
+            return self.queue_attempt_end(attempt, outcome);
         }
-        let limit = self.idle_limit();
-        let Some(server) = self.servers.get_mut(flight.upstream) else {
-            return self.end_later(flight, Outcome::NotSent);
+        let idle_limit = self.idle_limit();
+        let Some(server) = self.servers.get_mut(attempt.upstream) else {
+            return self.queue_attempt_end(attempt, Outcome::NotSent);
         };
-        if let Some(connection) = server.pool.take(limit) {
-            return self.write(flight, connection);
+        if let Some(connection) = server.pool.take(idle_limit) {
+            return self.write_attempt(attempt, connection);
         }
-        let dial = server.dial();
-        // Out of sockets of our own: no fault of the upstream's.
-        let Some(permit) = self.permit(dial) else { return self.end_later(flight, Outcome::NotSent) };
-        let (give_up, given_up) = oneshot::channel();
-        if let Some(sent) = self.sent.get_mut(&(flight.request, flight.attempt)) {
-            sent.give_up = Some(give_up);
+        let address = server.address();
+        // Running out of own sockets must not count against the upstream.
+        let Some(permit) = self.connection_permit(address) else {
+            return self.queue_attempt_end(attempt, Outcome::NotSent);
+        };
+        let (cancel_on_drop, cancelled) = oneshot::channel();
+        if let Some(in_flight) = self.in_flight.get_mut(&(attempt.request, attempt.number)) {
+            in_flight.cancel_on_drop = Some(cancel_on_drop);
         }
-        tokio::spawn(connect(dial, permit, flight, given_up, self.upstreams.clone()));
+        let events = self.upstream_events.clone();
+        tokio::spawn(connect_for_attempt(address, permit, attempt, cancelled, events));
     }
 
-    /// The right to one more connection; an idle one is closed for it if need be.
-    fn permit(&mut self, dial: SocketAddr) -> Option<UpstreamPermit> {
-        if let Some(permit) = self.budgets.permit(dial) {
+    /// A permit for one more connection. If none is available, the longest idle connection is closed for it.
+    fn connection_permit(&mut self, address: SocketAddr) -> Option<UpstreamPermit> {
+        if let Some(permit) = self.budgets.permit(address) {
             return Some(permit);
         }
-        let pools = self.servers.pools();
-        pools.filter(|pool| pool.oldest().is_some()).min_by_key(|pool| pool.oldest())?.drop_oldest();
-        self.budgets.permit(dial)
+        let pools = self.servers.pools().filter(|pool| pool.oldest_idle_since().is_some());
+        pools.min_by_key(|pool| pool.oldest_idle_since())?.close_oldest();
+        self.budgets.permit(address)
     }
 
-    fn connected(&mut self, flight: AttemptInfo, connection: Result<Box<Connection>, String>) {
-        // While it connected, its time may have run out, the request may have ended or the upstream may have
-        // begun to drain or to live anew: what is not written yet must not be.
-        let verdict = self.may_be_written(&flight);
-        match (connection, verdict) {
-            (Ok(connection), Ok(())) => self.write(flight, *connection),
+    fn handle_connect_result(&mut self, attempt: AttemptInfo, result: Result<Box<Connection>, String>) {
+        // While the attempt was connecting, it may have timed out, the request may have ended, or the
+        // upstream may have begun to drain or restarted.
+        let write_check = self.check_write(&attempt);
+        match (result, write_check) {
+            (Ok(connection), Ok(())) => self.write_attempt(attempt, *connection),
             (Ok(connection), Err(outcome)) => {
-                self.put_back(flight.upstream, flight.incarnation, *connection);
-                self.ended(flight, AttemptEnd::Outcome(outcome, None), Wire::default());
+                self.return_connection(attempt.upstream, attempt.incarnation, *connection);
+                self.handle_attempt_end(attempt, AttemptEnd::Outcome(outcome, None), WireUsage::default());
             }
             (Err(_), Err(Outcome::NotSent)) => {
-                self.ended(flight, AttemptEnd::Outcome(Outcome::NotSent, None), Wire::default())
+                let end = AttemptEnd::Outcome(Outcome::NotSent, None);
+                self.handle_attempt_end(attempt, end, WireUsage::default())
             }
             (Err(reason), _) => {
-                let host = self.servers.get(flight.upstream).map_or("?", |server| &server.host.host);
+                let host = self.servers.get(attempt.upstream).map_or("?", |server| &server.host.host);
                 self.log.line(format!("upstream {host}: {reason}"));
-                self.ended(flight, AttemptEnd::Outcome(Outcome::Unreachable, None), Wire::default());
+                let end = AttemptEnd::Outcome(Outcome::Unreachable, None);
+                self.handle_attempt_end(attempt, end, WireUsage::default());
             }
         }
     }
 
-    /// Writes an attempt to a connection.
-    fn write(&mut self, flight: AttemptInfo, connection: Connection) {
-        let key = (flight.request, flight.attempt);
-        let Some(open) = self.open.get(&flight.request) else {
-            self.put_back(flight.upstream, flight.incarnation, connection);
-            return self.end_later(flight, Outcome::NotSent);
+    /// Starts writing an attempt to a connection.
+    fn write_attempt(&mut self, attempt: AttemptInfo, connection: Connection) {
+        let key = (attempt.request, attempt.number);
+        let Some(open) = self.open_requests.get(&attempt.request) else {
+            self.return_connection(attempt.upstream, attempt.incarnation, connection);
+            return self.queue_attempt_end(attempt, Outcome::NotSent);
         };
-        let dial = self.servers.get(flight.upstream).map(|server| server.dial());
-        let (request, body) = (outgoing(&open.forward, dial, flight.until), open.forward.body.clone());
-        let terms = open.forward.client.clone().map(|client| WriteConditions { client, until: flight.until });
-        let (give_up, given_up) = oneshot::channel();
-        if let Some(sent) = self.sent.get_mut(&key) {
-            sent.give_up = Some(give_up);
-        }
-        tokio::spawn(attempt(
+        let address = self.servers.get(attempt.upstream).map(|server| server.address());
+        let head = upstream_request(&open.forward, address, attempt.attempt_deadline);
+        let body = open.forward.body.clone();
+        let client = open.forward.client.clone();
+        let write_conditions =
+            client.map(|client| WriteConditions { client, until: attempt.attempt_deadline });
+        let (cancel_on_drop, cancelled) = oneshot::channel();
+        if let Some(in_flight) = self.in_flight.get_mut(&key) {
+            in_flight.cancel_on_drop = Some(cancel_on_drop);
+        }
+        tokio::spawn(run_attempt(
             connection,
-            Writing { request, body, terms },
-            flight,
-            given_up,
-            self.common.clone(),
-            self.upstreams.clone(),
+            AttemptRequest { head, body, write_conditions },
+            attempt,
+            cancelled,
+            self.attempt_context.clone(),
+            self.upstream_events.clone(),
         ));
     }
 
-    /// Ends an attempt that never began, after the actions at hand.
-    fn end_later(&self, flight: AttemptInfo, outcome: Outcome) {
-        let (end, wire) = (AttemptEnd::Outcome(outcome, None), Wire::default());
-        self.upstreams.send(UpstreamEvent::Ended { flight, end, wire });
+    /// Ends an attempt that was never written. The end is queued, so that it is handled after the current
+    /// actions.
+    fn queue_attempt_end(&self, attempt: AttemptInfo, outcome: Outcome) {
+        let (end, wire) = (AttemptEnd::Outcome(outcome, None), WireUsage::default());
+        self.upstream_events.send(UpstreamEvent::Ended { attempt, end, wire });
     }
 
-    fn ended(&mut self, flight: AttemptInfo, end: AttemptEnd, wire: Wire) {
-        let key = (flight.request, flight.attempt);
+    fn handle_attempt_end(&mut self, attempt: AttemptInfo, end: AttemptEnd, wire: WireUsage) {
+        let key = (attempt.request, attempt.number);
         let (outcome, answer) = match end {
             AttemptEnd::Outcome(outcome, answer) => (outcome, answer),
-            // Nothing was written: the same attempt goes on over another connection, if it still may.
-            AttemptEnd::Stale => match self.may_be_written(&flight) {
-                Ok(()) => return self.start(flight),
+            // Nothing was written: the same attempt continues over another connection, if it may still be
+            // written.
+            AttemptEnd::StaleConnection => match self.check_write(&attempt) {
+                Ok(()) => return self.acquire_connection(attempt),
                 Err(outcome) => (outcome, None),
             },
         };
-        let Some(sent) = self.sent.remove(&key) else { return };
+        let Some(in_flight) = self.in_flight.remove(&key) else { return };
         self.log.trace(|| {
-            let open = self.open.get(&flight.request);
+            let open = self.open_requests.get(&attempt.request);
             let (id, class) = open.map_or(("gone", "-"), |open| (&*open.id, self.class_name(open.class)));
-            let host = self.servers.get(flight.upstream).map_or("?", |server| &server.host.host);
+            let host = self.servers.get(attempt.upstream).map_or("?", |server| &server.host.host);
             format!(
                 "attempt request={id} class={class} number={} upstream={host} port={} bytes={} sent_ms={:.1} took_ms={:.1} \
                  outcome={outcome:?} may_have_run={}",
-                flight.attempt.0,
-                wire.port,
-                wire.bytes,
-                self.millis(sent.at),
-                sent.at.elapsed().as_secs_f64() * 1e3,
+                attempt.number.0,
+                wire.local_port,
+                wire.bytes_written,
+                self.module_time(in_flight.started_at),
+                in_flight.started_at.elapsed().as_secs_f64() * 1e3,
                 outcome.may_have_run(),
             )
         });
-        let fate = self.open.get(&flight.request).and_then(|open| Some(open.forward.body.upload()?.fate()));
-        // A server begins with the last byte.
-        let began = match fate {
-            None => Some(sent.at),
-            Some(UploadState::Whole(at)) => Some(at.max(sent.at)),
+        let upload_state = self
+            .open_requests
+            .get(&attempt.request)
+            .and_then(|open| Some(open.forward.body.upload()?.fate()));
+        // A server begins to work on a request when its last byte arrives.
+        let work_started_at = match upload_state {
+            None => Some(in_flight.started_at),
+            Some(UploadState::Whole(received_at)) => Some(received_at.max(in_flight.started_at)),
             Some(UploadState::Coming | UploadState::Broken(_)) => None,
         };
-        let latency = began.map_or(0.0, |began| began.elapsed().as_secs_f64() * 1e3);
+        let latency = work_started_at.map_or(0.0, |started_at| started_at.elapsed().as_secs_f64() * 1e3);
         let report = answer.as_ref().and_then(|answer| {
             let text = answer.headers.get("x-server-load").filter(|_| self.settings.reports_in_answers())?;
-            report_from_text(&self.columns, text.to_str().ok()?)
+            report_from_text(&self.report_columns, text.to_str().ok()?)
         });
-        let now = self.millis(Instant::now());
-        if let Some(plan) = self.module.cross_zone() {
-            let got = answer.as_ref().and_then(|answer| answer.body.length()).unwrap_or(0);
-            plan.ended(now, flight.request, flight.attempt, outcome, [sent.body, got]);
-        }
-        // The first answer goes to the client by itself and ends the request; so does one that finds fault
-        // with the request itself, which other upstreams would find as well.
-        let mut client_answered = !self.open.contains_key(&flight.request);
-        if let Some(UploadState::Broken(status)) = fate {
+        let now = self.module_time(Instant::now());
+        if let Some(budgets) = self.module.cross_zone() {
+            let received_bytes = answer.as_ref().and_then(|answer| answer.body.length()).unwrap_or(0);
+            let body_bytes = [in_flight.body_bytes, received_bytes];
+            budgets.ended(now, attempt.request, attempt.number, outcome, body_bytes);
+        }
+        // The first answer ends the request without a decision of the module. So does an answer that finds
+        // the request invalid, since every upstream would.
+        let mut client_answered = !self.open_requests.contains_key(&attempt.request);
+        if let Some(UploadState::Broken(status)) = upload_state {
             client_answered = true;
-            self.finish(flight.request, FinalAnswer::Rejected(status));
+            self.finish_request(attempt.request, FinalAnswer::Rejected(status));
         }
         match (outcome, answer) {
             (Outcome::Ok, Some(answer)) => {
-                self.finish(
-                    flight.request,
-                    FinalAnswer::Served(client_headers(&answer.headers), answer.body),
-                );
+                let answer = FinalAnswer::Served(client_headers(&answer.headers), answer.body);
+                self.finish_request(attempt.request, answer);
                 client_answered = true;
             }
             (Outcome::Cancelled, Some(answer)) => {
-                self.finish(flight.request, FinalAnswer::Rejected(answer.status));
+                self.finish_request(attempt.request, FinalAnswer::Rejected(answer.status));
                 client_answered = true;
             }
             _ => {}
         }
-        self.event(Event::AttemptFinished(FinishedAttempt {
-            request: flight.request,
-            attempt: flight.attempt,
-            upstream: flight.upstream,
+        self.send_to_module(Event::AttemptFinished(FinishedAttempt {
+            request: attempt.request,
+            attempt: attempt.number,
+            upstream: attempt.upstream,
             outcome,
             latency,
             client_answered,
@@ -922,66 +990,73 @@
         }));
     }
 
-    fn put_back(&mut self, upstream: UpstreamId, life: u64, connection: Connection) {
+    /// Puts a connection back into its upstream's pool, or closes it if it is of no further use.
+    fn return_connection(&mut self, upstream: UpstreamId, incarnation: u64, connection: Connection) {
         let Some(server) = self.servers.get_mut(upstream).filter(|_| !self.retired) else { return };
-        if server.life == life && server.listing.lifecycle == Lifecycle::Serving && connection.is_usable() {
+        let is_serving = server.listing.lifecycle == Lifecycle::Serving;
+        if server.incarnation == incarnation && is_serving && connection.is_usable() {
             server.pool.put(connection);
-            self.sweep_later();
+            self.schedule_sweep();
         }
     }
 
-    fn probe(&mut self, upstream: UpstreamId) {
-        let limit = self.idle_limit();
+    fn start_probe(&mut self, upstream: UpstreamId) {
+        let idle_limit = self.idle_limit();
         let now = Instant::now();
-        let nothing = UpstreamEvent::Probed { upstream, answer: None };
+        let unanswered = UpstreamEvent::ProbeEnded { upstream, answer: None };
         let Some(server) = self.servers.get_mut(upstream) else {
-            self.upstreams.send(nothing);
+            self.upstream_events.send(unanswered);
             return;
         };
-        let (dial, life) = (server.dial(), server.life);
-        let source = match server.pool.take(limit) {
-            Some(connection) => Source::Idle(Box::new(connection)),
-            None => match self.permit(dial) {
-                Some(permit) => Source::Dial(dial, now + self.connect_time, permit),
+        let (address, incarnation) = (server.address(), server.incarnation);
+        let connection = match server.pool.take(idle_limit) {
+            Some(connection) => ProbeConnection::Idle(Box::new(connection)),
+            None => match self.connection_permit(address) {
+                Some(permit) => {
+                    ProbeConnection::New { address, connect_by: now + self.connect_timeout, permit }
+                }
                 None => {
-                    self.upstreams.send(nothing);
+                    self.upstream_events.send(unanswered);
                     return;
                 }
             },
         };
-        let path = if self.columns.is_empty() { "/alive" } else { "/metrics/load" };
+        let path = if self.report_columns.is_empty() { "/alive" } else { "/metrics/load" };
         let mut request = Request::new(AttemptBody::empty());
         *request.uri_mut() = Uri::from_static(path);
-        if let Ok(host) = HeaderValue::from_str(&dial.to_string()) {
+        if let Ok(host) = HeaderValue::from_str(&address.to_string()) {
             request.headers_mut().insert(header::HOST, host);
         }
-        tokio::spawn(probe(source, request, upstream, life, now + self.probe_time, self.upstreams.clone()));
+        let (probe_by, events) = (now + self.probe_timeout, self.upstream_events.clone());
+        tokio::spawn(run_probe(connection, request, upstream, incarnation, probe_by, events));
     }
 
-    /// Tells that it is ready, once it is.
-    fn tell_ready(&self) {
-        if self.has_list && self.current && !self.metrics.ready.swap(true, Ordering::Release) {
-            self.listener.send(InstanceEvent::Ready);
+    /// Reports once that the instance is ready, as soon as it is.
+    fn announce_readiness(&self) {
+        let is_ready = self.has_list && self.discovery_settled;
+        if is_ready && !self.metrics.ready.swap(true, Ordering::Release) {
+            self.instance_events.send(InstanceEvent::Ready);
         }
     }
 
-    // --- The list ----------------------------------------------------------------------------
+    // --- The host list -----------------------------------------------------------------------
 
-    fn listed(&mut self, list: &HostList, restored: bool) {
+    /// Applies a list from discovery, or with `restored` one that was stored or handed over.
+    fn apply_list(&mut self, list: &HostList, restored: bool) {
         self.seq = list.seq;
-        let whole = list.whole || restored;
-        let now = self.millis(Instant::now());
-        let listings = self.servers.take(list, whole, &self.settings, now, &self.log);
+        let is_complete = list.whole || restored;
+        let now = self.module_time(Instant::now());
+        let listings = self.servers.apply(list, is_complete, &self.settings, now, &self.log);
         self.metrics.seq.store(self.seq, Ordering::Relaxed);
         self.metrics.upstreams.store(self.servers.count() as u64, Ordering::Relaxed);
-        self.draining = self.servers.draining();
-        self.sweep_later();
-        if !listings.is_empty() || (whole && !restored) {
+        self.draining_count = self.servers.draining_count();
+        self.schedule_sweep();
+        if !listings.is_empty() || (is_complete && !restored) {
             self.has_list = true;
-            self.tell_ready();
-            self.listener.send(InstanceEvent::ListChanged);
+            self.announce_readiness();
+            self.instance_events.send(InstanceEvent::ListChanged);
         }
-        self.event(Event::ListReceived(match (restored, whole) {
+        self.send_to_module(Event::ListReceived(match (restored, is_complete) {
             (true, _) => ListUpdate::Restored(listings),
             (false, true) => ListUpdate::Complete(listings),
             (false, false) => ListUpdate::Changed(listings),
@@ -989,19 +1064,23 @@
     }
 }
 
-/// The request as it goes to an upstream, but for its body.
-fn outgoing(forward: &ForwardedRequest, dial: Option<SocketAddr>, until: Instant) -> Request<AttemptBody> {
+/// The head of the request that is sent to an upstream.
+fn upstream_request(
+    forward: &ForwardedRequest,
+    address: Option<SocketAddr>,
+    attempt_deadline: Instant,
+) -> Request<AttemptBody> {
     let mut request = Request::new(AttemptBody::empty());
     *request.method_mut() = forward.method.clone();
     *request.uri_mut() = forward.target.clone();
     let mut headers = forward.headers.clone();
-    // The application's own Host goes on with its other headers; HTTP/1.1 wants one in any case.
-    let host = dial.filter(|_| !headers.contains_key(header::HOST));
-    if let Some(host) = host.and_then(|dial| HeaderValue::from_str(&dial.to_string()).ok()) {
+    // The client's own Host header is forwarded with its other headers. HTTP/1.1 requires one in any case.
+    let address = address.filter(|_| !headers.contains_key(header::HOST));
+    if let Some(host) = address.and_then(|address| HeaderValue::from_str(&address.to_string()).ok()) {
         headers.insert(header::HOST, host);
     }
-    let left = until.saturating_duration_since(Instant::now()).as_millis().max(1) as u64;
-    headers.insert("x-timeout-ms", HeaderValue::from(left));
+    let timeout_ms = attempt_deadline.saturating_duration_since(Instant::now()).as_millis().max(1) as u64;
+    headers.insert("x-timeout-ms", HeaderValue::from(timeout_ms));
     match forward.body.length() {
         Some(0) if forward.method == Method::GET => {}
         Some(length) => drop(headers.insert(header::CONTENT_LENGTH, HeaderValue::from(length))),
@@ -1011,11 +1090,11 @@
     request
 }
 
-/// An upstream's headers as they go on to the client.
+/// The headers of an upstream's answer that are passed on to the client.
 fn client_headers(headers: &HeaderMap) -> HeaderMap {
-    let mut kept = end_to_end(headers);
-    kept.remove("x-server-load");
-    kept
+    let mut forwarded = end_to_end(headers);
+    forwarded.remove("x-server-load");
+    forwarded
 }
 
 #[cfg(test)]
--- a/crates/sidecar/src/driver/tests.rs
+++ b/crates/sidecar/src/driver/tests.rs
@@ -1,4 +1,4 @@
-//! Moments in which an attempt that nothing was written of crosses something else, played turn by turn.
+//! Races between an attempt of which nothing was written yet and other events, replayed one step at a time.
 
 use super::*;
 use crate::transfer::request_body::RequestBody;
@@ -8,41 +8,41 @@
     "allowed":{"max_attempts":3,"connect_timeout":100.0},"peers_total":3,"membership_mode":"automatic","telemetry":{},
     "invariants":{"cold_share":0.1,"warm_up":2e4,"fall_multiple":2.5,"fall":1500.0}}"#;
 
-fn list(seq: u64, dial: SocketAddr, health: &str, born: u64) -> HostList {
+fn list(seq: u64, address: SocketAddr, health: &str, born_ms: u64) -> HostList {
     let text = format!(
-        r#"{{"seq":{seq},"hosts":[{{"host":"h","dial":"{dial}","health":"{health}","born_ms":{born}}}]}}"#
+        r#"{{"seq":{seq},"hosts":[{{"host":"h","dial":"{address}","health":"{health}","born_ms":{born_ms}}}]}}"#
     );
-    serde_json::from_str(&text).expect("a list")
+    serde_json::from_str(&text).expect("a valid list")
 }
 
-/// A driver with one upstream and one request, whose attempt is on its way to a connection.
-struct Played {
+/// A driver with one upstream and one request, whose attempt is acquiring its connection.
+struct Scenario {
     driver: Driver,
-    dial: SocketAddr,
-    flight: AttemptInfo,
+    address: SocketAddr,
+    attempt: AttemptInfo,
     _answer: oneshot::Receiver<FinalAnswer>,
     _upstream: std::net::TcpListener,
-    _life: watch::Sender<lifecycle::Lifecycle>,
+    _lifecycle: watch::Sender<lifecycle::Lifecycle>,
 }
 
-fn play() -> Played {
-    let upstream = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-    let dial = upstream.local_addr().expect("it has an address");
-    let (life, lives) = watch::channel(lifecycle::Lifecycle::new(false, Instant::now()));
+fn start_scenario() -> Scenario {
+    let upstream = std::net::TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = upstream.local_addr().expect("a local address");
+    let (lifecycle_sender, lifecycle) = watch::channel(lifecycle::Lifecycle::new(false, Instant::now()));
     let (mut driver, _) = Driver::new(DriverConfig {
-        settings: serde_json::from_str(SETTINGS).expect("settings"),
+        settings: serde_json::from_str(SETTINGS).expect("valid settings"),
         seed: 1,
-        discovery: dial,
+        discovery: address,
         budgets: Budgets::of(8),
         cross_zone_budget: None,
         metrics: Arc::new(Metrics::new(std::iter::once("a"))),
         log: Log::process(),
         events: EventSink::discard(),
-        lifecycle: lives,
+        lifecycle,
     });
-    driver.listed(&list(1, dial, "ready", 5), false);
+    driver.apply_list(&list(1, address, "ready", 5), false);
     let (reply, answer) = oneshot::channel();
-    driver.arrived(RequestArrival {
+    driver.handle_arrival(RequestArrival {
         request: RequestId(2),
         class: ClassId(0),
         tenant: TenantId(0),
@@ -58,37 +58,43 @@
         },
         reply,
     });
-    let flight = driver.sent.values().next().expect("it is sent").flight;
-    Played { driver, dial, flight, _answer: answer, _upstream: upstream, _life: life }
+    let attempt = driver.in_flight.values().next().expect("an attempt in flight").info;
+    Scenario { driver, address, attempt, _answer: answer, _upstream: upstream, _lifecycle: lifecycle_sender }
 }
 
-/// Something that may cross.
-type Crossing = fn(&mut Played);
+/// An event that happens before the stale connection is reported.
+type RacingEvent = fn(&mut Scenario);
 
-/// Guards against an attempt that goes on over another connection after its idle one was stale, though its upstream
-/// drains by now, or is another process, or the client has left, or it has waited for as long as it may.
+/// Guards against an attempt that continues over another connection after a stale one, although meanwhile its
+/// upstream drains or has restarted, its client has disconnected, or its time to connect is over.
 #[tokio::test]
-async fn a_stale_attempt_goes_on_only_if_it_would_be_sent_now() {
-    let crossings: [(&str, bool, Crossing); 7] = [
-        ("nothing", true, |_| {}),
-        ("a drain", false, |played| played.driver.listed(&list(2, played.dial, "draining", 5), false)),
-        ("gone", false, |played| played.driver.listed(&list(2, played.dial, "gone", 5), false)),
-        ("another life", false, |played| played.driver.listed(&list(2, played.dial, "ready", 9), false)),
-        ("the client leaves", false, |played| {
-            played.driver.happened(DriverEvent::Client(ClientEvent::Disconnected(RequestId(2))));
+async fn attempt_continues_after_a_stale_connection_only_if_it_may_still_be_written() {
+    let racing_events: [(&str, bool, RacingEvent); 7] = [
+        ("none", true, |_| {}),
+        ("upstream drains", false, |scenario| {
+            scenario.driver.apply_list(&list(2, scenario.address, "draining", 5), false)
         }),
-        ("its wait is over", false, |played| {
-            let by = Instant::now().checked_sub(WRITE_IN * 2).expect("the clock has run for longer");
-            played.flight.connect_by = by;
+        ("upstream is gone", false, |scenario| {
+            scenario.driver.apply_list(&list(2, scenario.address, "gone", 5), false)
         }),
-        ("its time is up", false, |played| played.flight.until = Instant::now()),
+        ("upstream restarts", false, |scenario| {
+            scenario.driver.apply_list(&list(2, scenario.address, "ready", 9), false)
+        }),
+        ("client disconnects", false, |scenario| {
+            scenario.driver.handle_event(DriverEvent::Client(ClientEvent::Disconnected(RequestId(2))));
+        }),
+        ("connect deadline passes", false, |scenario| {
+            let passed = Instant::now().checked_sub(WRITE_GRACE * 2).expect("the clock has run for longer");
+            scenario.attempt.connect_by = passed;
+        }),
+        ("attempt deadline passes", false, |scenario| scenario.attempt.attempt_deadline = Instant::now()),
     ];
-    for (what, goes_on, cross) in crossings {
-        let mut played = play();
-        cross(&mut played);
-        let Played { driver, flight, .. } = &mut played;
-        driver.ended(*flight, AttemptEnd::Stale, Wire::default());
-        let first = (flight.request, flight.attempt);
-        assert_eq!(driver.sent.contains_key(&first), goes_on, "{what}");
+    for (name, continues, happen) in racing_events {
+        let mut scenario = start_scenario();
+        happen(&mut scenario);
+        let Scenario { driver, attempt, .. } = &mut scenario;
+        driver.handle_attempt_end(*attempt, AttemptEnd::StaleConnection, WireUsage::default());
+        let key = (attempt.request, attempt.number);
+        assert_eq!(driver.in_flight.contains_key(&key), continues, "{name}");
     }
 }
--- a/crates/sidecar/src/execution.rs
+++ b/crates/sidecar/src/execution.rs
@@ -1,130 +1,139 @@
-//! Whether an attempt may have run: one value, decided once for each attempt when its connection is closed or its answer is
-//! whole, and the outcome that the module is told follows from it. Nobody else decides it. Pure.
+//! Whether an attempt may have run. This is decided once for each attempt, when its connection is closed or
+//! its answer is complete, and the outcome reported to the decision module follows from it. No other code
+//! decides it. Pure.
 //!
-//! | how it ended | nothing was written | a part | the last byte, too |
+//! | termination | nothing was written | a part was written | the last byte was written |
 //! | --- | --- | --- | --- |
-//! | answered: turned away, and marked so | never ran | never ran | never ran |
-//! | answered otherwise, or with what is no answer | may have run | may have run | may have run |
-//! | the connection broke | not begun | never ran | may have run |
-//! | its time was up | not begun | never ran | may have run |
-//! | it was called off | not begun | never ran | may have run |
-//! | its client's body never came whole | not begun | never ran | may have run |
+//! | answered as not processed, with the mark | never ran | never ran | never ran |
+//! | any other answer, or a malformed one | may have run | may have run | may have run |
+//! | connection lost | not started | never ran | may have run |
+//! | timed out | not started | never ran | may have run |
+//! | cancelled | not started | never ran | may have run |
+//! | client's body incomplete | not started | never ran | may have run |
 //!
-//! "Written" is what the kernel took, read off the bytes themselves ([`Written`]): a request whose last byte was not handed
-//! over on a connection that is closed can never arrive.
+//! "Written" counts the bytes that the kernel accepted ([`Written`]). If the last byte of a request was not
+//! handed to the kernel before the connection was closed, the request can never arrive.
 
 use hyper::header::HeaderMap;
 use hyper::{StatusCode, header};
 use sagemast_decide::api::Outcome;
 
-/// The mark of an answer to a request that was turned away unseen.
+/// Header that marks an answer to a request that the upstream did not process.
 const NOT_PROCESSED: &str = "x-not-processed";
 
 /// How much of a request was handed to the kernel.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Written {
-    /// Not a byte.
+    /// No byte.
     Nothing,
-    /// Some of it, and not the last byte.
+    /// Some bytes, but not the last one.
     Partial,
-    /// The last byte, or nobody can tell.
+    /// The last byte, or it cannot be determined.
     Complete,
 }
 
-/// What a whole answer says.
+/// Meaning of a complete answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Says {
-    /// Here is what was asked for.
+pub enum AnswerKind {
+    /// The request was served.
     Served,
-    /// It was turned away unseen.
-    TurnedAway,
-    /// The request is at fault, and would be anywhere.
-    AtFault,
-    /// Something went wrong.
+    /// The upstream turned the request away without processing it.
+    NotProcessed,
+    /// The request is invalid; every upstream would reject it.
+    InvalidRequest,
+    /// The upstream failed to serve the request.
     Failed,
 }
 
-/// How an attempt ended, as far as its connection tells.
+/// How an attempt ended, as seen on its connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum How {
-    /// By an answer that came whole, or whose first bytes did.
-    Answered(Says),
-    /// By something that cannot be taken for an answer, or that stopped on its way.
-    Spoilt,
-    /// The connection broke or ended.
-    Broke,
-    /// Its time was up.
+pub enum Termination {
+    /// A complete answer, or at least its first bytes, arrived.
+    Answered(AnswerKind),
+    /// The answer was malformed or stopped before its end.
+    Malformed,
+    /// The connection broke or was closed.
+    ConnectionLost,
+    /// The attempt timed out.
     TimedOut,
-    /// It was called off.
-    CalledOff,
-    /// Its client's body never came whole.
-    BodyBroke,
+    /// The attempt was cancelled.
+    Cancelled,
+    /// The client's body was never received completely.
+    BodyIncomplete,
 }
 
 /// Whether an attempt may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Execution {
-    /// Nothing of it was written.
-    NotBegun,
-    /// It may have run, or may yet.
+    /// No byte of it was written.
+    NotStarted,
+    /// It may have run, or may still run.
     MayHaveRun,
-    /// It is proven that it has not and never will.
+    /// It is proven that it has not run and never will.
     NeverRan,
 }
 
-/// Whether an attempt that ended so may have run.
-pub fn execution(how: How, written: Written) -> Execution {
-    match (how, written) {
-        (How::Answered(Says::TurnedAway), _) => Execution::NeverRan,
-        // Whoever answers has seen something, whatever we know of what was written.
-        (How::Answered(_) | How::Spoilt, _) | (_, Written::Complete) => Execution::MayHaveRun,
+/// Whether an attempt may have run, given how it ended and how much of it was written.
+pub fn execution(termination: Termination, written: Written) -> Execution {
+    match (termination, written) {
+        (Termination::Answered(AnswerKind::NotProcessed), _) => Execution::NeverRan,
+        // An upstream that answers has seen some of the request, whatever is known of the bytes written.
+        (Termination::Answered(_) | Termination::Malformed, _) | (_, Written::Complete) => {
+            Execution::MayHaveRun
+        }
         (_, Written::Partial) => Execution::NeverRan,
-        (_, Written::Nothing) => Execution::NotBegun,
+        (_, Written::Nothing) => Execution::NotStarted,
     }
 }
 
-/// What the module is told of an attempt that ended so.
-pub fn outcome(how: How, execution: Execution) -> Outcome {
+/// The outcome that is reported to the decision module.
+pub fn outcome(termination: Termination, execution: Execution) -> Outcome {
     let may_have_run = execution == Execution::MayHaveRun;
-    match (how, may_have_run) {
-        (How::Answered(Says::Served), _) => Outcome::Ok,
-        (How::Answered(Says::TurnedAway), _) => Outcome::Full,
-        // It must not count against the upstream: what ends so tells the module nothing.
-        (How::Answered(Says::AtFault), _) | (How::CalledOff, true) => Outcome::Cancelled,
-        (How::Answered(Says::Failed) | How::Spoilt, _) => Outcome::Error,
-        (How::Broke | How::BodyBroke, true) => Outcome::Reset,
-        (How::TimedOut, true) => Outcome::TimedOut,
-        (How::Broke | How::TimedOut, false) => Outcome::Unreachable,
-        (How::CalledOff | How::BodyBroke, false) => Outcome::NotSent,
+    match (termination, may_have_run) {
+        (Termination::Answered(AnswerKind::Served), _) => Outcome::Ok,
+        (Termination::Answered(AnswerKind::NotProcessed), _) => Outcome::Full,
+        // An invalid request must not count against the upstream, and the module ignores cancelled attempts.
+        (Termination::Answered(AnswerKind::InvalidRequest), _) | (Termination::Cancelled, true) => {
+            Outcome::Cancelled
+        }
+        (Termination::Answered(AnswerKind::Failed) | Termination::Malformed, _) => Outcome::Error,
+        (Termination::ConnectionLost | Termination::BodyIncomplete, true) => Outcome::Reset,
+        (Termination::TimedOut, true) => Outcome::TimedOut,
+        (Termination::ConnectionLost | Termination::TimedOut, false) => Outcome::Unreachable,
+        (Termination::Cancelled | Termination::BodyIncomplete, false) => Outcome::NotSent,
     }
 }
 
-/// Whether an attempt goes on over another connection: the idle one that it was given had been closed.
-pub fn is_stale(how: How, execution: Execution, reused: bool) -> bool {
-    reused && how == How::Broke && execution == Execution::NotBegun
+/// Whether an attempt continues over another connection because the reused idle connection had already been
+/// closed.
+pub fn is_stale_connection(termination: Termination, execution: Execution, reused: bool) -> bool {
+    reused && termination == Termination::ConnectionLost && execution == Execution::NotStarted
 }
 
-/// What an answer says that came whole; `marked` as [`is_marked`] has it.
-pub fn says(status: StatusCode, marked: bool) -> Says {
+/// Classifies a complete answer; `marked_not_processed` as returned by [`is_marked_not_processed`].
+pub fn classify_answer(status: StatusCode, marked_not_processed: bool) -> AnswerKind {
     match status {
-        StatusCode::OK => Says::Served,
-        // Without the mark nothing says that it never ran.
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if marked => Says::TurnedAway,
-        // About this sidecar's pace or the upstream's patience, not about the request.
-        StatusCode::TOO_MANY_REQUESTS | StatusCode::REQUEST_TIMEOUT => Says::Failed,
-        status if status.is_client_error() => Says::AtFault,
-        _ => Says::Failed,
+        StatusCode::OK => AnswerKind::Served,
+        // Without the mark, these statuses do not prove that the request never ran.
+        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if marked_not_processed => {
+            AnswerKind::NotProcessed
+        }
+        // These concern this sidecar's request rate or the upstream's read timeout, not the request itself.
+        StatusCode::TOO_MANY_REQUESTS | StatusCode::REQUEST_TIMEOUT => AnswerKind::Failed,
+        status if status.is_client_error() => AnswerKind::InvalidRequest,
+        _ => AnswerKind::Failed,
     }
 }
 
-/// Whether an answer's head says that the request was turned away unseen: once, and in so many words. A mark that comes twice
-/// or with another value is none, nor is one beside two framings, which two readers would read differently.
-pub fn is_marked(headers: &HeaderMap) -> bool {
+/// Whether an answer's head marks the request as not processed: the header occurs exactly once, with the
+/// value `1`. The mark does not count in an answer that has both a length and chunked framing, since two
+/// readers may disagree on where it ends.
+pub fn is_marked_not_processed(headers: &HeaderMap) -> bool {
     let mut marks = headers.get_all(NOT_PROCESSED).iter();
-    let once = marks.next().is_some_and(|value| value == "1") && marks.next().is_none();
-    let doubled =
+    let marked_once = marks.next().is_some_and(|value| value == "1") && marks.next().is_none();
+    let ambiguous_framing =
         headers.contains_key(header::CONTENT_LENGTH) && headers.contains_key(header::TRANSFER_ENCODING);
-    once && !doubled
+    marked_once && !ambiguous_framing
 }
 
 #[cfg(test)]
--- a/crates/sidecar/src/hosts.rs
+++ b/crates/sidecar/src/hosts.rs
@@ -1,4 +1,5 @@
-//! The list of upstreams in discovery's form: what is told on the wire, kept in files and handed on.
+//! The list of upstreams in discovery's JSON form, which is also stored in files and handed over to
+//! successors.
 
 use std::net::SocketAddr;
 
@@ -6,67 +7,67 @@
 
 use crate::log::Log;
 
-/// A list, or what changed in it.
+/// A complete list, or the changes since an earlier version.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct HostList {
-    /// Its version.
+    /// Version.
     pub seq: u64,
-    /// Whether it is complete.
+    /// Whether the list is complete, rather than changes.
     #[serde(default)]
     pub whole: bool,
-    /// Its entries, each decoded by itself: one that is broken must not take the others with it.
+    /// The entries. Each is decoded on its own, so that an invalid entry does not invalidate the others.
     pub hosts: Vec<serde_json::Value>,
 }
 
-/// An upstream as discovery tells it.
+/// The entry of one upstream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Host {
-    /// Its name, the same at every sidecar.
+    /// Name, the same for all sidecars.
     pub host: String,
-    /// Where it listens.
+    /// Address that it listens on.
     pub dial: SocketAddr,
-    /// Its zone.
+    /// Zone.
     #[serde(default)]
     pub site: String,
-    /// Its kind of machine.
+    /// Kind of machine.
     #[serde(default)]
     pub class: String,
-    /// Its cell.
+    /// Cell.
     #[serde(default)]
     pub block: u64,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub health: Health,
-    /// Its size compared with others.
-    #[serde(default = "one")]
+    /// Weight: its size relative to other upstreams.
+    #[serde(default = "default_weight")]
     pub share: f64,
-    /// When it last started, in Unix milliseconds; 0 for long ago.
+    /// Start time of its current incarnation, in Unix milliseconds; 0 for long ago.
     #[serde(default)]
     pub born_ms: f64,
 }
 
-fn one() -> f64 {
+fn default_weight() -> f64 {
     1.0
 }
 
-/// Whether an upstream takes new work.
+/// Whether an upstream accepts new requests.
 #[derive(Serialize, Deserialize, Clone, Copy, PartialEq, Eq, Debug)]
 #[serde(rename_all = "snake_case")]
 pub enum Health {
-    /// It does.
+    /// It accepts new requests.
     Ready,
-    /// It finishes what it has.
+    /// It only finishes the requests that it has.
     Draining,
-    /// It is no more.
+    /// It has ended.
     Gone,
 }
 
 impl HostList {
-    /// The entries that can be read; the others are logged.
+    /// The valid entries. Invalid entries are logged.
     pub fn entries(&self, log: &Log) -> Vec<Host> {
-        let read = |entry: &serde_json::Value| match Host::deserialize(entry) {
+        let decode = |entry: &serde_json::Value| match Host::deserialize(entry) {
             Ok(host) if host.share.is_finite() && host.born_ms.is_finite() => Some(host),
             Ok(host) => {
-                log.line(format!("discovery: absurd figures for {}", host.host));
+                log.line(format!("discovery: the share or born_ms of {} is not finite", host.host));
                 None
             }
             Err(error) => {
@@ -74,13 +75,13 @@
                 None
             }
         };
-        self.hosts.iter().filter_map(read).collect()
+        self.hosts.iter().filter_map(decode).collect()
     }
 
-    /// The hosts whose entries cannot be read, as far as their names can.
+    /// The names of hosts whose entries cannot be decoded but contain a name.
     pub fn undecodable_names(&self) -> impl Iterator<Item = &str> {
-        let unread = |entry: &&serde_json::Value| Host::deserialize(*entry).is_err();
-        self.hosts.iter().filter(unread).filter_map(|entry| entry.get("host")?.as_str())
+        let is_undecodable = |entry: &&serde_json::Value| Host::deserialize(*entry).is_err();
+        self.hosts.iter().filter(is_undecodable).filter_map(|entry| entry.get("host")?.as_str())
     }
 }
 
@@ -89,7 +90,7 @@
     use super::*;
 
     #[test]
-    fn a_broken_entry_leaves_the_others() {
+    fn invalid_entries_do_not_invalidate_the_others() {
         let list: HostList = serde_json::from_str(
             r#"{"seq":4,"hosts":[{"host":"a","dial":"127.0.0.1:1","health":"ready"},
             {"host":"b","dial":"nowhere","health":"ready"},{"host":"c","dial":"127.0.0.1:1","health":"odd"}, 7]}"#,
--- a/crates/sidecar/src/io_counts.rs
+++ b/crates/sidecar/src/io_counts.rs
@@ -1,47 +1,54 @@
-//! How often the kernel is asked to read and to write, and how many bytes it copies: for the guard of the ordinary path
-//! (`benches/ordinary_path.rs`). Without the feature `calls` nothing is counted, and none of it is compiled in.
+//! Counts of read and write system calls and of the bytes that they copy, for the benchmark that guards the
+//! ordinary path (`benches/ordinary_path.rs`). Without the feature `calls` nothing is counted, and the
+//! counters are not compiled in.
 
 use std::io;
 use std::task::Poll;
 
-/// What was counted since the start of the process.
+/// Counts since the start of the process.
 #[cfg(feature = "calls")]
 pub mod counts {
     use std::sync::atomic::{AtomicU64, Ordering};
 
+    /// Index of reads in the counters.
+    pub(super) const READ: usize = 0;
+    /// Index of writes in the counters.
+    pub(super) const WRITE: usize = 1;
+
     static CALLS: [AtomicU64; 2] = [AtomicU64::new(0), AtomicU64::new(0)];
     static BYTES: [AtomicU64; 2] = [AtomicU64::new(0), AtomicU64::new(0)];
 
-    pub(super) fn add(side: usize, bytes: usize) {
-        CALLS[side].fetch_add(1, Ordering::Relaxed);
-        BYTES[side].fetch_add(bytes as u64, Ordering::Relaxed);
+    pub(super) fn add(direction: usize, bytes: usize) {
+        CALLS[direction].fetch_add(1, Ordering::Relaxed);
+        BYTES[direction].fetch_add(bytes as u64, Ordering::Relaxed);
     }
 
-    /// Calls that read and that wrote.
+    /// Number of read and of write calls.
     pub fn calls() -> [u64; 2] {
-        [CALLS[0].load(Ordering::Relaxed), CALLS[1].load(Ordering::Relaxed)]
+        [CALLS[READ].load(Ordering::Relaxed), CALLS[WRITE].load(Ordering::Relaxed)]
     }
 
-    /// Bytes that were read and written.
+    /// Number of bytes read and of bytes written.
     pub fn bytes() -> [u64; 2] {
-        [BYTES[0].load(Ordering::Relaxed), BYTES[1].load(Ordering::Relaxed)]
+        [BYTES[READ].load(Ordering::Relaxed), BYTES[WRITE].load(Ordering::Relaxed)]
     }
 }
 
-/// The kernel was asked to read. What is not ready yet is mostly known without asking, and does not count.
+/// Records a read. A pending result is not counted, since the runtime usually knows without a system call
+/// that a socket is not readable.
 #[inline]
 pub(crate) fn record_read<T>(_result: &Poll<io::Result<T>>, _bytes: usize) {
     #[cfg(feature = "calls")]
     if _result.is_ready() {
-        counts::add(0, _bytes);
+        counts::add(counts::READ, _bytes);
     }
 }
 
-/// The kernel was asked to write.
+/// Records a write. A pending result is not counted.
 #[inline]
 pub(crate) fn record_write(_result: &Poll<io::Result<usize>>) {
     #[cfg(feature = "calls")]
     if let Poll::Ready(result) = _result {
-        counts::add(1, result.as_ref().map_or(0, |bytes| *bytes));
+        counts::add(counts::WRITE, result.as_ref().map_or(0, |bytes| *bytes));
     }
 }
--- a/crates/sidecar/src/line_buffer.rs
+++ b/crates/sidecar/src/line_buffer.rs
@@ -1,30 +1,32 @@
-//! Lines out of a stream that comes in pieces: what the control socket of a daemon and the link of an upgrade speak.
+//! Splits a byte stream into lines, for the control socket of the daemon and the handover link between
+//! processes.
 
 use bytes::BytesMut;
 
-/// Cuts a stream into lines, however it is chunked.
+/// Splits a stream into lines, independent of how it is chunked.
 pub struct LineBuffer {
     buffer: BytesMut,
+    /// Length of the start of the buffer that is known to contain no line end.
     searched: usize,
-    most: usize,
+    max_bytes: usize,
 }
 
 impl LineBuffer {
-    /// None yet; what waits for the end of its line may have so many bytes.
-    pub fn new(most: usize) -> LineBuffer {
-        LineBuffer { buffer: BytesMut::new(), searched: 0, most }
+    /// An empty buffer that holds at most `max_bytes`.
+    pub fn new(max_bytes: usize) -> LineBuffer {
+        LineBuffer { buffer: BytesMut::new(), searched: 0, max_bytes }
     }
 
-    /// Takes in what came.
+    /// Appends a chunk. Fails if the buffer would exceed its limit.
     pub fn push(&mut self, chunk: &[u8]) -> Result<(), String> {
-        if self.buffer.len() + chunk.len() > self.most {
-            return Err(format!("a line is longer than {} bytes", self.most));
+        if self.buffer.len() + chunk.len() > self.max_bytes {
+            return Err(format!("a line is longer than {} bytes", self.max_bytes));
         }
         self.buffer.extend_from_slice(chunk);
         Ok(())
     }
 
-    /// The next whole line, without its end.
+    /// Removes and returns the next complete line, without its line end.
     pub fn next_line(&mut self) -> Option<BytesMut> {
         let Some(end) = self.buffer[self.searched..].iter().position(|byte| *byte == b'\n') else {
             self.searched = self.buffer.len();
@@ -42,7 +44,7 @@
     use super::*;
 
     #[test]
-    fn lines_are_found_however_they_are_chunked() {
+    fn lines_are_split_independently_of_chunk_size() {
         let text = b"{\"a\":1}\n\n{\"b\":2}\n{\"c\"";
         for size in 1..text.len() {
             let mut lines = LineBuffer::new(1_000);
@@ -58,7 +60,7 @@
     }
 
     #[test]
-    fn an_endless_line_is_an_error() {
+    fn push_fails_when_an_unfinished_line_exceeds_the_limit() {
         let mut lines = LineBuffer::new(1_000);
         let chunk = vec![b'x'; 501];
         lines.push(&chunk).unwrap();
--- a/crates/sidecar/src/messages.rs
+++ b/crates/sidecar/src/messages.rs
@@ -1,4 +1,5 @@
-//! What the parts of a sidecar tell each other, as plain values. This file knows none of the parts.
+//! Messages between the parts of a sidecar, as plain values. This module depends on none of the parts that
+//! exchange them.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,7 +14,7 @@
 use crate::transfer::answer::AnswerBody;
 use crate::transfer::request_body::RequestBody;
 
-/// Where a part tells what happened, without knowing who listens or what else they hear.
+/// Destination for events of one type. The sender does not see the receiver or its other event types.
 pub struct EventSink<T>(Arc<dyn Fn(T) -> bool + Send + Sync>);
 
 impl<T> Clone for EventSink<T> {
@@ -23,29 +24,31 @@
 }
 
 impl<T: 'static> EventSink<T> {
-    /// Into a channel that carries other messages as well. Who sends bounds what waits there: a part tells of a
-    /// connection, an attempt or a watch only once it has ended or changed, and the number of those is bounded.
+    /// Sends into a channel that also carries other messages. The channel needs no bound of its own: a sender
+    /// reports a connection, an attempt or a watch only once it has ended or changed, and the number of those
+    /// is bounded.
     pub fn new<M: From<T> + Send + 'static>(channel: mpsc::UnboundedSender<M>) -> EventSink<T> {
-        EventSink(Arc::new(move |message| channel.send(message.into()).is_ok()))
+        EventSink(Arc::new(move |event| channel.send(event.into()).is_ok()))
     }
 
-    /// To a function, which must not wait.
-    pub fn from_fn(listener: impl Fn(T) -> bool + Send + Sync + 'static) -> EventSink<T> {
-        EventSink(Arc::new(listener))
+    /// Passes each event to a function, which must not block. The function returns false once its receiver
+    /// has ended.
+    pub fn from_fn(receive: impl Fn(T) -> bool + Send + Sync + 'static) -> EventSink<T> {
+        EventSink(Arc::new(receive))
     }
 
-    /// Where nobody listens.
+    /// Drops every event.
     pub fn discard() -> EventSink<T> {
         EventSink(Arc::new(|_| true))
     }
 
-    /// Tells it. False when the listener has ended; the message is dropped then.
-    pub fn send(&self, message: T) -> bool {
-        (self.0)(message)
+    /// Sends an event. Returns false if the receiver has ended; the event is dropped then.
+    pub fn send(&self, event: T) -> bool {
+        (self.0)(event)
     }
 }
 
-/// A request as it goes on to upstreams.
+/// A request as it is forwarded to upstreams.
 pub struct ForwardedRequest {
     /// Method.
     pub method: Method,
@@ -55,13 +58,13 @@
     pub headers: HeaderMap,
     /// The body, unchanged.
     pub body: RequestBody,
-    /// Who asks, where that can be told.
+    /// The client's connection, if its disconnect can be detected.
     pub client: Option<ClientConnection>,
 }
 
-/// A request for the driver.
+/// A new request for the driver.
 pub struct RequestArrival {
-    /// The id the module knows it by.
+    /// Id of the request in the decision module.
     pub request: RequestId,
     /// Its class.
     pub class: ClassId,
@@ -69,80 +72,81 @@
     pub tenant: TenantId,
     /// The id that its client gave it.
     pub id: Box<str>,
-    /// When its last byte was read; of an upload, when it went on.
+    /// When its last byte was read; for an upload, when it was passed to the driver.
     pub received_at: Instant,
-    /// How long its client waits from then on.
+    /// How long its client waits from `received_at` on.
     pub time_left: Duration,
-    /// What goes on to upstreams.
+    /// The request to forward to upstreams.
     pub forward: ForwardedRequest,
-    /// Where its final answer goes.
+    /// Receives the final answer.
     pub reply: oneshot::Sender<FinalAnswer>,
 }
 
-/// A final answer.
+/// The final answer to a request.
 #[derive(Debug)]
 pub enum FinalAnswer {
     /// An upstream's answer.
     Served(HeaderMap, AnswerBody),
-    /// Trying again is harmless, best after this long.
+    /// The request was not executed and may be retried, preferably after this time.
     Refused(Millis),
-    /// No promise.
+    /// The request failed and may have been executed.
     Failed,
-    /// The client is at fault: it is told with this status.
+    /// The request is invalid; the client gets this status.
     Rejected(StatusCode),
 }
 
-/// What clients do.
+/// An event on the client side.
 pub enum ClientEvent {
-    /// A request came in.
+    /// A request arrived.
     Arrived(Box<RequestArrival>),
-    /// The client of an open request went away.
+    /// The client of an open request disconnected.
     Disconnected(RequestId),
 }
 
-/// One attempt on its way.
+/// Identity and time limits of one attempt.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptInfo {
     /// The request.
     pub request: RequestId,
-    /// Which of its sends.
-    pub attempt: AttemptNo,
-    /// Where to.
+    /// Number of the attempt within its request.
+    pub number: AttemptNo,
+    /// The upstream that it goes to.
     pub upstream: UpstreamId,
-    /// Which of the upstream's lives: connections do not outlast one.
+    /// The upstream's incarnation that it was meant for. Connections do not outlast an incarnation.
     pub incarnation: u64,
-    /// When the attempt is given up.
-    pub until: Instant,
-    /// By when it must have its connection: counted once, however many it tries.
+    /// When the attempt times out.
+    pub attempt_deadline: Instant,
+    /// When it must have its connection, however many connections it tries.
     pub connect_by: Instant,
-    /// By when its client should have the answer.
+    /// When the client should have its answer.
     pub aim_at: Instant,
-    /// When its client stops waiting.
-    pub deadline: Instant,
+    /// When the client stops waiting.
+    pub client_deadline: Instant,
 }
 
 impl AttemptInfo {
-    /// Its times, as its bounds depend on them.
+    /// The time limits from which the bounds of its states are derived.
     pub fn times(&self) -> AttemptTimes {
-        AttemptTimes { connect_by: self.connect_by, until: self.until }
+        AttemptTimes { connect_by: self.connect_by, until: self.attempt_deadline }
     }
 }
 
 /// An upstream's answer.
 #[derive(Debug)]
 pub struct Answer {
-    /// Its status.
+    /// Status.
     pub status: StatusCode,
-    /// Its headers.
+    /// Headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// Body.
     pub body: AnswerBody,
 }
 
-/// What an attempt came to.
+/// Result of an attempt.
 pub enum AttemptEnd {
-    /// It ended so, with the answer if one came.
+    /// The attempt has ended, with an answer if one was received.
     Outcome(Outcome, Option<Answer>),
-    /// The idle connection had been closed and no byte was written to it: another may be used.
-    Stale,
+    /// The idle connection had been closed before any byte was written to it; the attempt may use another
+    /// connection.
+    StaleConnection,
 }
--- a/crates/sidecar/src/servers.rs
+++ b/crates/sidecar/src/servers.rs
@@ -1,4 +1,5 @@
-//! The upstreams that discovery names: their ids for the module, their connections, and when they are forgotten.
+//! The upstreams listed by discovery: their ids in the decision module, their idle connections, and their
+//! removal.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -11,35 +12,36 @@
 use crate::hosts::{Health, Host, HostList};
 use crate::log::Log;
 
-/// An upstream that discovery named.
+/// An upstream listed by discovery.
 pub struct Server {
-    /// As discovery told it last.
+    /// Its latest entry in discovery.
     pub host: Host,
-    /// What the module knows of it.
+    /// Its listing in the decision module.
     pub listing: Listing,
-    /// Which of its lives this is: connections do not outlast one.
-    pub life: u64,
+    /// Number of its incarnation. Connections do not outlast an incarnation.
+    pub incarnation: u64,
     /// Its idle connections.
     pub pool: Pool,
-    /// Whether it is no more: it is forgotten as soon as nothing is out on it.
+    /// Whether it is gone. A gone server is removed once no attempt is in flight to it.
     gone: bool,
 }
 
 impl Server {
-    /// Where it listens.
-    pub fn dial(&self) -> SocketAddr {
+    /// The address that it listens on.
+    pub fn address(&self) -> SocketAddr {
         self.host.dial
     }
 
-    /// Closes its idle connections, and with the next life those that come back.
-    fn ends(&mut self) {
+    /// Marks it as gone and closes its idle connections. Connections that are returned later are closed as
+    /// well, since it no longer serves.
+    fn mark_gone(&mut self) {
         self.listing.lifecycle = Lifecycle::Draining;
         self.gone = true;
-        self.pool.clear();
+        self.pool.close_all();
     }
 }
 
-/// All upstreams that are not forgotten.
+/// All upstreams that have not been removed.
 pub struct Servers {
     ids: HashMap<String, UpstreamId>,
     by_id: BTreeMap<UpstreamId, Server>,
@@ -49,69 +51,71 @@
 }
 
 impl Servers {
-    /// None yet. The module's clock starts at this Unix time.
+    /// Starts without servers. The decision module's clock starts at `epoch_unix_ms`.
     pub fn new(epoch_unix_ms: f64) -> Servers {
         Servers { ids: HashMap::new(), by_id: BTreeMap::new(), last_id: 1, epoch_unix_ms }
     }
 
-    /// One of them.
+    /// The server with this id.
     pub fn get(&self, id: UpstreamId) -> Option<&Server> {
         self.by_id.get(&id)
     }
 
-    /// The same, to change it.
+    /// The server with this id, mutable.
     pub fn get_mut(&mut self, id: UpstreamId) -> Option<&mut Server> {
         self.by_id.get_mut(&id)
     }
 
-    /// The number of a host in this life.
-    pub fn number(&self, host: &str, born_ms: f64) -> Option<UpstreamId> {
+    /// The id of a host, if its current incarnation started at `born_ms`.
+    pub fn id_of(&self, host: &str, born_ms: f64) -> Option<UpstreamId> {
         let id = *self.ids.get(host)?;
         self.by_id.get(&id).filter(|server| server.host.born_ms == born_ms).map(|_| id)
     }
 
-    /// The idle connections to each.
+    /// The pools of all servers.
     pub fn pools(&mut self) -> impl Iterator<Item = &mut Pool> {
         self.by_id.values_mut().map(|server| &mut server.pool)
     }
 
-    /// The idle connections of each.
+    /// The pools of all servers, with the servers' ids.
     pub fn pools_by_id(&mut self) -> impl Iterator<Item = (UpstreamId, &mut Pool)> {
         self.by_id.iter_mut().map(|(id, server)| (*id, &mut server.pool))
     }
 
-    /// Takes in a list, or the changes in it, and returns it in the module's terms.
-    pub fn take(
+    /// Applies a complete list, or changes, and returns the listings for the decision module.
+    pub fn apply(
         &mut self,
         list: &HostList,
-        whole: bool,
+        is_complete: bool,
         settings: &SettingsObject,
         now: Millis,
         log: &Log,
     ) -> Vec<Listing> {
         let hosts = list.entries(log);
-        let mut listings: Vec<Listing> = hosts.iter().map(|host| self.update(host, settings, now)).collect();
-        if whole {
-            // An entry that cannot be read is not missing: what was known of its host stands.
-            let unread = list.undecodable_names().filter_map(|name| self.ids.get(name));
-            listings.extend(unread.filter_map(|id| self.by_id.get(id)).map(|server| server.listing.clone()));
-            let named: HashSet<UpstreamId> = listings.iter().map(|listing| listing.upstream).collect();
-            let missing = self.by_id.iter_mut().filter(|(id, _)| !named.contains(id));
-            missing.for_each(|(_, server)| server.ends());
+        let mut listings: Vec<Listing> =
+            hosts.iter().map(|host| self.apply_host(host, settings, now)).collect();
+        if is_complete {
+            // A host whose entry cannot be decoded is not missing: its previous listing stays valid.
+            let undecodable = list.undecodable_names().filter_map(|name| self.ids.get(name));
+            let unchanged = undecodable.filter_map(|id| self.by_id.get(id));
+            listings.extend(unchanged.map(|server| server.listing.clone()));
+            let listed: HashSet<UpstreamId> = listings.iter().map(|listing| listing.upstream).collect();
+            let missing = self.by_id.iter_mut().filter(|(id, _)| !listed.contains(id));
+            missing.for_each(|(_, server)| server.mark_gone());
         }
         listings
     }
 
-    /// Takes in what discovery says of one host.
-    fn update(&mut self, host: &Host, settings: &SettingsObject, now: Millis) -> Listing {
+    /// Applies the entry of one host.
+    fn apply_host(&mut self, host: &Host, settings: &SettingsObject, now: Millis) -> Listing {
         let id = *self.ids.entry(host.host.clone()).or_insert_with(|| {
             self.last_id += 1;
             UpstreamId(self.last_id)
         });
         let lifecycle = if host.health == Health::Ready { Lifecycle::Serving } else { Lifecycle::Draining };
-        let known = self.by_id.get(&id).filter(|server| server.host.born_ms == host.born_ms);
-        // A start in the future, by another machine's clock, is one just now.
-        let started = match known {
+        let same_incarnation = self.by_id.get(&id).filter(|server| server.host.born_ms == host.born_ms);
+        // The start time comes from another machine's clock. If it lies in the future, it counts as now.
+        let started = match same_incarnation {
             Some(server) => server.listing.started,
             None => (host.born_ms > 0.0).then(|| (host.born_ms - self.epoch_unix_ms).min(now)),
         };
@@ -128,60 +132,60 @@
         let server = self.by_id.entry(id).or_insert_with(|| Server {
             host: host.clone(),
             listing: listing.clone(),
-            life: 0,
+            incarnation: 0,
             pool: Pool::default(),
             gone: false,
         });
-        // Connections to another address or another life lead nowhere, or to the wrong process.
+        // Connections to a former address or incarnation are dead, or lead to the wrong process.
         if server.host.dial != host.dial || server.host.born_ms != host.born_ms {
-            server.life += 1;
-            server.pool.clear();
+            server.incarnation += 1;
+            server.pool.close_all();
         }
         (server.host, server.listing) = (host.clone(), listing.clone());
         server.gone = false;
         if lifecycle == Lifecycle::Draining {
-            server.pool.clear();
+            server.pool.close_all();
         }
         if host.health == Health::Gone {
-            server.ends();
+            server.mark_gone();
         }
         listing
     }
 
-    /// Those that serve or drain, in discovery's form: what a successor starts from.
-    pub fn list(&self, seq: u64) -> HostList {
-        let kept = self.by_id.values().filter(|server| !server.gone);
-        let hosts = kept.filter_map(|server| serde_json::to_value(&server.host).ok()).collect();
+    /// The servers that serve or drain, as a list from which a successor starts.
+    pub fn to_host_list(&self, seq: u64) -> HostList {
+        let present = self.by_id.values().filter(|server| !server.gone);
+        let hosts = present.filter_map(|server| serde_json::to_value(&server.host).ok()).collect();
         HostList { seq, whole: true, hosts }
     }
 
-    /// How many serve or drain.
+    /// Number of servers that serve or drain.
     pub fn count(&self) -> usize {
         self.by_id.values().filter(|server| !server.gone).count()
     }
 
-    /// How many drain.
-    pub fn draining(&self) -> usize {
-        let drains = |server: &&Server| !server.gone && server.listing.lifecycle == Lifecycle::Draining;
-        self.by_id.values().filter(drains).count()
+    /// Number of servers that drain.
+    pub fn draining_count(&self) -> usize {
+        let is_draining = |server: &&Server| !server.gone && server.listing.lifecycle == Lifecycle::Draining;
+        self.by_id.values().filter(is_draining).count()
     }
 
-    /// Whether there is anything to sweep up: idle connections, or upstreams that are gone.
-    pub fn need_sweep(&self) -> bool {
+    /// Whether there are idle connections or gone servers.
+    pub fn needs_sweep(&self) -> bool {
         self.by_id.values().any(|server| server.gone || !server.pool.is_empty())
     }
 
-    /// Forgets those that are gone and on which nothing is out: others come in their place under new names all
-    /// the time. A name that comes back later is that of a server that nothing is known of.
-    pub fn forget(&mut self, busy: impl Iterator<Item = UpstreamId>) {
+    /// Removes gone servers without attempts in flight, since servers are replaced by others with new names
+    /// all the time. If a name comes back later, it is that of a new server.
+    pub fn remove_gone(&mut self, in_flight_to: impl Iterator<Item = UpstreamId>) {
         if self.by_id.values().any(|server| server.gone) {
-            let busy: HashSet<UpstreamId> = busy.collect();
+            let busy: HashSet<UpstreamId> = in_flight_to.collect();
             self.by_id.retain(|id, server| !server.gone || busy.contains(id));
             self.ids.retain(|_, id| self.by_id.contains_key(id));
         }
     }
 
-    /// How many there are.
+    /// Number of names and of servers.
     #[cfg(test)]
     fn len(&self) -> (usize, usize) {
         (self.ids.len(), self.by_id.len())
@@ -199,7 +203,7 @@
         serde_json::from_str(text).unwrap()
     }
 
-    fn change(host: usize, health: &str) -> HostList {
+    fn list_of_one(host: usize, health: &str) -> HostList {
         let text = format!(
             r#"{{"seq":1,"hosts":[{{"host":"h{host}","dial":"127.0.0.1:1","health":"{health}","born_ms":5}}]}}"#
         );
@@ -207,34 +211,34 @@
     }
 
     #[test]
-    fn the_gone_are_forgotten_once_nothing_is_out_on_them() {
+    fn gone_servers_are_removed_once_no_attempt_is_in_flight() {
         let (mut servers, settings) = (Servers::new(0.0), settings());
         let mut ids = HashSet::new();
         for host in 0..100 {
-            let [listing] = &servers.take(&change(host, "ready"), false, &settings, 9.0, &Log::process())[..]
-            else {
+            let ready = list_of_one(host, "ready");
+            let [listing] = &servers.apply(&ready, false, &settings, 9.0, &Log::process())[..] else {
                 panic!("one entry, one listing")
             };
-            assert!(ids.insert(listing.upstream), "ids are not used again");
-            assert_eq!(listing.started, Some(5.0), "one at the address of another starts cold");
-            servers.take(&change(host, "gone"), false, &settings, 9.0, &Log::process());
-            servers.forget(std::iter::once(listing.upstream));
-            assert_eq!(servers.len(), (1, 1), "an attempt is still out on it");
-            servers.forget(std::iter::empty());
+            assert!(ids.insert(listing.upstream), "ids are not reused");
+            assert_eq!(listing.started, Some(5.0), "a new server at a known address has its own start time");
+            servers.apply(&list_of_one(host, "gone"), false, &settings, 9.0, &Log::process());
+            servers.remove_gone(std::iter::once(listing.upstream));
+            assert_eq!(servers.len(), (1, 1), "an attempt is in flight to the server");
+            servers.remove_gone(std::iter::empty());
             assert_eq!(servers.len(), (0, 0));
         }
     }
 
     #[test]
-    fn one_that_drains_is_kept_and_one_that_is_missing_from_a_whole_list_is_not() {
+    fn draining_server_is_kept_and_server_missing_from_a_complete_list_is_removed() {
         let (mut servers, settings) = (Servers::new(0.0), settings());
-        servers.take(&change(1, "ready"), false, &settings, 9.0, &Log::process());
-        servers.take(&change(1, "draining"), false, &settings, 9.0, &Log::process());
-        servers.forget(std::iter::empty());
+        servers.apply(&list_of_one(1, "ready"), false, &settings, 9.0, &Log::process());
+        servers.apply(&list_of_one(1, "draining"), false, &settings, 9.0, &Log::process());
+        servers.remove_gone(std::iter::empty());
         assert_eq!(servers.len(), (1, 1));
-        servers.take(&change(2, "ready"), true, &settings, 9.0, &Log::process());
-        servers.forget(std::iter::empty());
-        assert_eq!(servers.len(), (1, 1), "of the two only the second");
+        servers.apply(&list_of_one(2, "ready"), true, &settings, 9.0, &Log::process());
+        servers.remove_gone(std::iter::empty());
+        assert_eq!(servers.len(), (1, 1), "only the second server is left");
         assert!(servers.by_id.values().all(|server| server.host.host == "h2"));
     }
 }
--- a/crates/sidecar/src/upstream.rs
+++ b/crates/sidecar/src/upstream.rs
@@ -1,4 +1,4 @@
-//! The one exchange at a time that a connection to an upstream carries: attempts and probes.
+//! Exchanges with upstreams: attempts and probes. A connection carries one exchange at a time.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 use crate::budget::{TransferLimit, TransferPermit, UpstreamPermit};
 use crate::client_disconnect::WriteConditions;
 use crate::connection::Connection;
-use crate::execution::{self, How, Written};
+use crate::execution::{self, Termination, Written};
 use crate::log::Log;
 use crate::messages::{Answer, AttemptEnd, AttemptInfo, EventSink};
 use crate::metered_stream::Meter;
@@ -32,178 +32,192 @@
 use crate::transfer::stall_timeout::StallTimeout;
 use crate::transfer::upload::{Upload, UploadState};
 
-/// Why there is no answer.
-enum Broken {
-    /// The connection broke or ended.
-    Cut,
-    /// An answer came that cannot be taken for one; the request may have run.
-    Unfit(&'static str),
+/// Why an exchange yielded no answer.
+enum ExchangeError {
+    /// The connection broke or was closed.
+    ConnectionLost,
+    /// The answer is malformed; the request may have run.
+    Malformed(&'static str),
 }
 
-/// Tells from its head that an answer cannot be read whole, or that two readers would differ on where it ends.
-fn unfit(head: &hyper::http::response::Parts) -> Option<&'static str> {
+/// Why an answer with this head cannot be read completely, or is framed ambiguously; `None` for a well-formed
+/// head.
+fn malformed_reason(head: &hyper::http::response::Parts) -> Option<&'static str> {
     let headers = &head.headers;
-    let length = headers.contains_key(header::CONTENT_LENGTH);
-    match (head.status, length && headers.contains_key(header::TRANSFER_ENCODING)) {
-        (StatusCode::SWITCHING_PROTOCOLS, _) => Some("an answer that leaves HTTP"),
-        (_, true) => Some("an answer with two framings"),
+    let has_length = headers.contains_key(header::CONTENT_LENGTH);
+    match (head.status, has_length && headers.contains_key(header::TRANSFER_ENCODING)) {
+        (StatusCode::SWITCHING_PROTOCOLS, _) => Some("the answer switches to another protocol"),
+        (_, true) => Some("the answer has both Content-Length and Transfer-Encoding"),
         _ => None,
     }
 }
 
-/// What has come of an answer.
-enum Got {
+/// The part of an answer that has been received.
+enum Received {
     /// All of it.
-    Whole(Answer),
-    /// Its head and first bytes; it goes on as it comes. It has room for that if it was held.
-    Begun { head: Parts, first: Bytes, rest: Incoming, length: Option<u64>, room: Option<TransferPermit> },
-    /// Its head; what follows is of no use to anyone.
-    Head(Answer),
+    Complete(Answer),
+    /// The head and the first bytes of an answer that is to be streamed. Has a permit if the answer was held
+    /// for longer than [`SHORT_HOLD`].
+    Streaming {
+        head: Parts,
+        first: Bytes,
+        rest: Incoming,
+        length: Option<u64>,
+        permit: Option<TransferPermit>,
+    },
+    /// The head. The body is not needed.
+    HeadOnly(Answer),
 }
 
-/// What the holding of an answer of unknown length goes by.
-struct Holder<'a> {
-    flight: &'a AttemptInfo,
-    common: &'a Common,
+/// The attempt whose answer may be held, with the context that the hold depends on.
+struct HoldContext<'a> {
+    attempt: &'a AttemptInfo,
+    shared: &'a AttemptContext,
 }
 
-/// The hold of one answer of unknown length.
-struct Hold<'a> {
-    holder: &'a Holder<'a>,
+/// The hold on one answer of unknown length: the answer is buffered in the hope that it completes soon.
+struct AnswerHold<'a> {
+    context: &'a HoldContext<'a>,
     head_at: Instant,
     until: Instant,
     pace: Pace,
-    /// The room that it takes once it has lasted for longer than [`SHORT_HOLD`]; it goes on in the same.
-    room: Option<TransferPermit>,
+    /// Taken when the hold lasts for longer than [`SHORT_HOLD`]. A streamed answer keeps the permit of its
+    /// hold.
+    permit: Option<TransferPermit>,
 }
 
-impl<'a> Hold<'a> {
-    fn new(holder: &'a Holder<'a>) -> Hold<'a> {
+impl<'a> AnswerHold<'a> {
+    fn new(context: &'a HoldContext<'a>) -> AnswerHold<'a> {
         let head_at = Instant::now();
-        Hold { holder, head_at, until: head_at + SHORT_HOLD, pace: Pace::new(head_at), room: None }
+        AnswerHold { context, head_at, until: head_at + SHORT_HOLD, pace: Pace::new(head_at), permit: None }
     }
 
-    /// Comes back when the answer is not to be held any longer. One that has stopped is held until its next piece: nobody gains
-    /// by its head, and another attempt can still replace it.
-    async fn is_over(&mut self) {
+    /// Returns when the answer should no longer be held. An answer that has stalled is held until its next
+    /// piece arrives: its client gains nothing from the head alone, and another attempt can still replace it.
+    async fn over(&mut self) {
         loop {
             sleep_until(self.until).await;
-            if self.lengthen() {
+            if self.extend() {
                 continue;
             }
             let now = Instant::now();
-            // Without room it goes on as it comes, whatever it may be.
-            if self.pace.is_coming(now) && (self.room.is_none() || self.pace.may_be_long(now)) {
+            // Without a permit the answer is streamed even if it may be short.
+            if self.pace.is_coming(now) && (self.permit.is_none() || self.pace.may_be_long(now)) {
                 return;
             }
             std::future::pending::<()>().await;
         }
     }
 
-    /// Once its first time is over: goes on for as long as the answer is worth holding, if there is room.
-    fn lengthen(&mut self) -> bool {
-        if self.room.is_some() {
+    /// Extends the hold after [`SHORT_HOLD`], if a permit is available. Returns whether it was extended.
+    fn extend(&mut self) -> bool {
+        if self.permit.is_some() {
             return false;
         }
-        let Holder { flight, common } = self.holder;
-        self.room = common.transfers.take();
-        if self.room.is_none() {
-            common.metrics.unheld_answers.fetch_add(1, Ordering::Relaxed);
+        let HoldContext { attempt, shared } = self.context;
+        self.permit = shared.transfers.take();
+        if self.permit.is_none() {
+            shared.metrics.unheld_answers.fetch_add(1, Ordering::Relaxed);
             return false;
         }
-        let times = HoldTimes { head_at: self.head_at, aim_at: flight.aim_at, attempt_until: flight.until };
-        self.until = hold_until(times, common.lengths.long_expected());
+        let (aim_at, attempt_until) = (attempt.aim_at, attempt.attempt_deadline);
+        let times = HoldTimes { head_at: self.head_at, aim_at, attempt_until };
+        self.until = hold_until(times, shared.answer_lengths.long_expected());
         true
     }
 }
 
-/// Sends a request once and reads its answer: whole, or until it may go on as it comes. What nobody waits for is not held.
+/// Sends a request once and reads its answer until it is complete or may be streamed. Without `hold_context`,
+/// and unless the request was served, the answer is not held.
 async fn exchange(
     sender: &mut SendRequest<AttemptBody>,
     mut request: Request<AttemptBody>,
     meter: &Arc<Meter>,
-    holder: Option<&Holder<'_>>,
-) -> Result<Got, Broken> {
-    let notices = meter.clone();
-    hyper::ext::on_informational(&mut request, move |_| notices.answer_is_to_come());
-    let response = sender.send_request(request).await.map_err(|_| Broken::Cut)?;
+    hold_context: Option<&HoldContext<'_>>,
+) -> Result<Received, ExchangeError> {
+    let informational_meter = meter.clone();
+    hyper::ext::on_informational(&mut request, move |_| informational_meter.answer_is_to_come());
+    let response = sender.send_request(request).await.map_err(|_| ExchangeError::ConnectionLost)?;
     meter.answer_has_begun();
     let (head, mut body): (_, Incoming) = Response::into_parts(response);
-    if let Some(reason) = unfit(&head) {
-        return Err(Broken::Unfit(reason));
+    if let Some(reason) = malformed_reason(&head) {
+        return Err(ExchangeError::Malformed(reason));
     }
     let length = body.size_hint().exact();
     let served = head.status == StatusCode::OK;
-    let plan = match limits::plan(length) {
-        BodyHandling::TooLong if served => return Err(Broken::Unfit("an answer that is too long")),
-        // What it says beside its status goes to nobody.
-        BodyHandling::TooLong | BodyHandling::Stream if !served => return Ok(Got::Head(head_only(head))),
-        plan => plan,
+    let handling = match limits::plan(length) {
+        BodyHandling::TooLong if served => return Err(ExchangeError::Malformed("the answer is too long")),
+        // Of an answer that did not serve the request, only the status is passed on.
+        BodyHandling::TooLong | BodyHandling::Stream if !served => {
+            return Ok(Received::HeadOnly(without_body(head)));
+        }
+        handling => handling,
     };
-    let mut hold = holder.filter(|_| plan == BodyHandling::Wait && served).map(Hold::new);
-    let mut gathered = BodyBuffer::default();
+    let mut hold = hold_context.filter(|_| handling == BodyHandling::Wait && served).map(AnswerHold::new);
+    let mut buffer = BodyBuffer::default();
     loop {
         let frame = tokio::select! {
             biased;
             frame = body.frame() => frame,
-            () = over(&mut hold) => break,
+            () = hold_over(&mut hold) => break,
         };
         match frame {
             None => {
                 meter.answered();
-                // Those that were whole at once say nothing of those that are not.
-                if let Some(Hold { holder, room: Some(_), .. }) = &hold {
-                    holder.common.lengths.learn(false);
+                // Answers that complete within the short hold say nothing about the length of those that do
+                // not.
+                if let Some(AnswerHold { context, permit: Some(_), .. }) = &hold {
+                    context.shared.answer_lengths.learn(false);
                 }
-                let (Parts { status, headers, .. }, body) = (head, AnswerBody::Whole(gathered.take()));
-                return Ok(Got::Whole(Answer { status, headers, body }));
+                let (Parts { status, headers, .. }, body) = (head, AnswerBody::Whole(buffer.take()));
+                return Ok(Received::Complete(Answer { status, headers, body }));
             }
             Some(Ok(frame)) => {
-                // Trailers end with the connection that they came on.
+                // Trailers apply to one hop only and are dropped.
                 if let Ok(data) = frame.into_data() {
                     if let Some(hold) = &mut hold {
                         hold.pace.piece(Instant::now(), data.len());
                     }
-                    gathered.add(data, length);
+                    buffer.add(data, length);
                 }
             }
-            Some(Err(_)) => return Err(Broken::Cut),
+            Some(Err(_)) => return Err(ExchangeError::ConnectionLost),
         }
-        let is_long = gathered.length() > WHOLE_BYTES;
-        match plan {
-            BodyHandling::Wait if is_long && !served => return Ok(Got::Head(head_only(head))),
+        let is_long = buffer.length() > WHOLE_BYTES;
+        match handling {
+            BodyHandling::Wait if is_long && !served => return Ok(Received::HeadOnly(without_body(head))),
             BodyHandling::Wait if is_long => break,
             BodyHandling::Stream => break,
             _ => {}
         }
     }
-    let room = hold.and_then(|hold| hold.room);
-    Ok(Got::Begun { head, first: gathered.take(), rest: body, length, room })
+    let permit = hold.and_then(|hold| hold.permit);
+    Ok(Received::Streaming { head, first: buffer.take(), rest: body, length, permit })
 }
 
-/// An answer of which nothing but its status is of use.
-fn head_only(head: Parts) -> Answer {
+/// An answer with this head and an empty body.
+fn without_body(head: Parts) -> Answer {
     let Parts { status, headers, .. } = head;
     Answer { status, headers, body: AnswerBody::Whole(Bytes::new()) }
 }
 
-/// Comes back when a hold is over; never where there is none.
-async fn over(hold: &mut Option<Hold<'_>>) {
+/// Returns when the hold is over; never if there is none.
+async fn hold_over(hold: &mut Option<AnswerHold<'_>>) {
     match hold {
-        Some(hold) => hold.is_over().await,
+        Some(hold) => hold.over().await,
         None => std::future::pending().await,
     }
 }
 
-/// Comes back when an answer that has begun comes no further for longer than is worth waiting. While it waits for room nobody
-/// reads it, and that is no fault of the upstream's.
-async fn stalled(meter: &Meter, patience: &StallTimeout, waits_for_room: &AtomicBool) {
+/// Returns when an answer that has begun brings nothing for longer than the stall timeout. While
+/// `waiting_for_permit` is set nothing is read, so that the upstream is not to blame for the pause.
+async fn answer_stalled(meter: &Meter, stall_timeout: &StallTimeout, waiting_for_permit: &AtomicBool) {
     loop {
         meter.answer_began().await;
-        let limit = patience.limit();
+        let limit = stall_timeout.limit();
         while meter.is_answering() {
             let until = meter.read_at() + limit;
-            if waits_for_room.load(Ordering::Relaxed) {
+            if waiting_for_permit.load(Ordering::Relaxed) {
                 return std::future::pending().await;
             }
             if until <= Instant::now() {
@@ -211,293 +225,334 @@
             }
             sleep_until(until).await;
         }
-        // A notice ahead of the answer has ended meanwhile.
+        // An informational response has ended; the answer itself is still to come.
     }
 }
 
-/// Where an attempt was written, and how many bytes of it were.
+/// The connection over which an attempt was written, and how much of it was.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Wire {
-    /// Our port; 0 where there was no connection.
-    pub port: u16,
-    /// Bytes.
-    pub bytes: u64,
+pub struct WireUsage {
+    /// Local port; 0 if there was no connection.
+    pub local_port: u16,
+    /// Bytes of the request that the kernel accepted.
+    pub bytes_written: u64,
 }
 
-/// What becomes of connections and of what they carry.
+/// An event on a connection to an upstream.
 pub enum UpstreamEvent {
-    /// A connection for an attempt came up or did not.
-    Connected(AttemptInfo, Result<Box<Connection>, String>),
+    /// Connecting for an attempt succeeded or failed.
+    Connected {
+        /// The attempt.
+        attempt: AttemptInfo,
+        /// The connection, or why there is none.
+        result: Result<Box<Connection>, String>,
+    },
     /// An attempt ended.
     Ended {
-        /// Which.
-        flight: AttemptInfo,
-        /// How.
+        /// The attempt.
+        attempt: AttemptInfo,
+        /// Its result.
         end: AttemptEnd,
-        /// What crossed its connection, for the trace.
-        wire: Wire,
+        /// Its use of the connection, for the trace.
+        wire: WireUsage,
     },
-    /// The body of an attempt is still coming, or has come.
-    Uploads(AttemptInfo, UploadState),
-    /// An answer that went on as it came has ended.
-    Streamed {
-        /// Whose.
+    /// State of the upload that an attempt forwards: still in progress, or received completely.
+    UploadStateChanged(AttemptInfo, UploadState),
+    /// A streamed answer ended.
+    StreamEnded {
+        /// Its request.
         request: RequestId,
-        /// How.
-        came: RequestOutcome,
+        /// How it ended.
+        outcome: RequestOutcome,
     },
-    /// A connection is free.
+    /// A connection has become idle.
     Idle {
-        /// To whom.
+        /// The upstream that it leads to.
         upstream: UpstreamId,
-        /// In which of its lives.
-        life: u64,
+        /// The incarnation of the upstream that it was opened to.
+        incarnation: u64,
         /// The connection.
         connection: Box<Connection>,
     },
     /// A probe ended.
-    Probed {
-        /// Who was asked.
+    ProbeEnded {
+        /// The upstream that was probed.
         upstream: UpstreamId,
-        /// What came back.
+        /// Its answer, if there was one in time.
         answer: Option<Answer>,
     },
 }
 
-/// Connects for an attempt, until `given_up` is dropped or used.
-pub async fn connect(
-    dial: SocketAddr,
+/// Connects for an attempt, until `cancelled` resolves.
+pub async fn connect_for_attempt(
+    address: SocketAddr,
     permit: UpstreamPermit,
-    flight: AttemptInfo,
-    given_up: oneshot::Receiver<()>,
-    told: EventSink<UpstreamEvent>,
+    attempt: AttemptInfo,
+    cancelled: oneshot::Receiver<()>,
+    events: EventSink<UpstreamEvent>,
 ) {
+    let connect_by = bound(RequestState::Connecting(attempt.times())).at;
     let result = tokio::select! {
-        result = Connection::open(dial, bound(RequestState::Connecting(flight.times())).at, permit) => result,
-        _ = given_up => Err("given up".to_owned()),
+        result = Connection::open(address, connect_by, permit) => result,
+        _ = cancelled => Err("cancelled while connecting".to_owned()),
     };
-    told.send(UpstreamEvent::Connected(flight, result.map(Box::new)));
+    events.send(UpstreamEvent::Connected { attempt, result: result.map(Box::new) });
 }
 
-/// What all attempts of an instance share.
+/// State that all attempts of an instance share.
 #[derive(Clone)]
-pub struct Common {
-    /// Where they log.
+pub struct AttemptContext {
+    /// Log.
     pub log: Log,
-    /// Where those that were written whole are counted.
+    /// Metrics to update.
     pub metrics: Arc<Metrics>,
-    /// How long answers that stop are waited for.
-    pub patience: Arc<StallTimeout>,
-    /// How long those turn out that state no length.
-    pub lengths: Arc<AnswerLengths>,
-    /// Room for answers that go on as they come.
+    /// Timeout for answers that stall.
+    pub stall_timeout: Arc<StallTimeout>,
+    /// Statistics on the length of answers that state none.
+    pub answer_lengths: Arc<AnswerLengths>,
+    /// Limit on streamed answers.
     pub transfers: TransferLimit,
 }
 
-/// What an attempt writes.
-pub struct Writing {
-    /// The request, but for its body.
-    pub request: Request<AttemptBody>,
+/// The request that an attempt writes.
+pub struct AttemptRequest {
+    /// The request without its body.
+    pub head: Request<AttemptBody>,
     /// Its body.
     pub body: RequestBody,
-    /// On what terms its first byte is written.
-    pub terms: Option<WriteConditions>,
+    /// Conditions for writing its first byte, if any.
+    pub write_conditions: Option<WriteConditions>,
 }
 
-/// Carries one attempt over a connection until it ends, its time is up or `give_up` is dropped or used.
-pub async fn attempt(
+/// Runs one attempt over a connection until it ends, times out or is cancelled, that is, until `cancelled`
+/// resolves.
+pub async fn run_attempt(
     mut connection: Connection,
-    writing: Writing,
-    flight: AttemptInfo,
-    mut give_up: oneshot::Receiver<()>,
-    common: Common,
-    told: EventSink<UpstreamEvent>,
+    attempt_request: AttemptRequest,
+    attempt: AttemptInfo,
+    mut cancelled: oneshot::Receiver<()>,
+    context: AttemptContext,
+    events: EventSink<UpstreamEvent>,
 ) {
-    let Writing { mut request, body, terms } = writing;
-    // It may have been given up, or the driver may have ended, before this task had its first turn.
-    if !matches!(give_up.try_recv(), Err(oneshot::error::TryRecvError::Empty)) {
-        told.send(UpstreamEvent::Ended {
-            flight,
+    let AttemptRequest { head: mut request, body, write_conditions } = attempt_request;
+    // The attempt may have been cancelled, or the driver may have ended, before this task was first polled.
+    if !matches!(cancelled.try_recv(), Err(oneshot::error::TryRecvError::Empty)) {
+        events.send(UpstreamEvent::Ended {
+            attempt,
             end: AttemptEnd::Outcome(Outcome::NotSent, None),
-            wire: Wire::default(),
+            wire: WireUsage::default(),
         });
-        return give_back(Some(connection), flight.upstream, flight.incarnation, &told);
+        return return_connection(Some(connection), attempt.upstream, attempt.incarnation, &events);
     }
-    let (meter, port) = (connection.meter.clone(), connection.port);
-    let client_waits = flight.deadline.saturating_duration_since(Instant::now());
-    meter.begin(Some((common.metrics.clone(), common.patience.clone())), terms);
+    let (meter, local_port) = (connection.meter.clone(), connection.local_port);
+    let client_waits = attempt.client_deadline.saturating_duration_since(Instant::now());
+    meter.begin(Some((context.metrics.clone(), context.stall_timeout.clone())), write_conditions);
     let upload = body.upload().cloned();
     *request.body_mut() = match body {
         RequestBody::Whole(bytes) => AttemptBody::Whole(Full::new(bytes)),
         RequestBody::Upload(upload) => match Upload::body(&upload) {
             Some(body) => AttemptBody::Passing(body),
             None => {
-                told.send(UpstreamEvent::Ended {
-                    flight,
+                events.send(UpstreamEvent::Ended {
+                    attempt,
                     end: AttemptEnd::Outcome(Outcome::NotSent, None),
-                    wire: Wire::default(),
+                    wire: WireUsage::default(),
                 });
-                return give_back(Some(connection), flight.upstream, flight.incarnation, &told);
+                return return_connection(Some(connection), attempt.upstream, attempt.incarnation, &events);
             }
         },
     };
-    let (how, answer) = {
-        let waits_for_room = AtomicBool::new(false);
-        let holder = Holder { flight: &flight, common: &common };
+    let (termination, answer) = {
+        let waiting_for_permit = AtomicBool::new(false);
+        let hold_context = HoldContext { attempt: &attempt, shared: &context };
         let exchange = async {
-            let mut got = exchange(&mut connection.sender, request, &meter, Some(&holder)).await?;
-            // Until there is room for what goes on as it comes, it waits with its upstream.
-            if let Got::Begun { room: room @ None, .. } = &mut got {
-                waits_for_room.store(true, Ordering::Relaxed);
-                *room = common.transfers.wait().await;
+            let mut received = exchange(&mut connection.sender, request, &meter, Some(&hold_context)).await?;
+            // Until a permit is available, an answer to be streamed waits unread at its upstream.
+            if let Received::Streaming { permit: permit @ None, .. } = &mut received {
+                waiting_for_permit.store(true, Ordering::Relaxed);
+                *permit = context.transfers.wait().await;
             }
-            Ok(got)
+            Ok(received)
         };
         tokio::select! {
             biased;
             result = exchange => match result {
-                Ok(Got::Whole(answer)) => {
-                    common.patience.whole();
-                    let says = execution::says(answer.status, execution::is_marked(&answer.headers));
-                    // What answers before it has all of a request goes on reading it: that must not arrive any more.
+                Ok(Received::Complete(answer)) => {
+                    context.stall_timeout.whole();
+                    let marked = execution::is_marked_not_processed(&answer.headers);
+                    let kind = execution::classify_answer(answer.status, marked);
+                    let termination = Termination::Answered(kind);
+                    // An upstream that answers early keeps reading the request. Unless all of the request was
+                    // written, the connection is closed below, so that the rest cannot arrive any more.
                     if meter.request() == Written::Complete {
-                        let end = ended(How::Answered(says), Written::Complete, Some(answer));
-                        told.send(UpstreamEvent::Ended { flight, end, wire: Wire { port, bytes: meter.taken() } });
-                        return give_back(connection.settle().await, flight.upstream, flight.incarnation, &told);
+                        let end = attempt_end(termination, Written::Complete, Some(answer));
+                        let wire = WireUsage { local_port, bytes_written: meter.taken() };
+                        events.send(UpstreamEvent::Ended { attempt, end, wire });
+                        let connection = connection.into_idle().await;
+                        return return_connection(connection, attempt.upstream, attempt.incarnation, &events);
                     }
-                    (How::Answered(says), Some(answer))
+                    (termination, Some(answer))
                 }
-                // Nobody has seen that it is sound to its end, so that a mark on it proves nothing.
-                Ok(Got::Head(answer)) => {
-                    (How::Answered(execution::says(answer.status, false)), Some(answer))
+                // The answer was not read to its end, so it may be malformed and a mark in it proves nothing.
+                Ok(Received::HeadOnly(answer)) => {
+                    (Termination::Answered(execution::classify_answer(answer.status, false)), Some(answer))
                 }
-                Ok(Got::Begun { head, first, rest, length, room: Some(room) }) => {
-                    let streamed = told.clone();
-                    let end = Box::new(move |came, connection: Option<Connection>| {
-                        streamed.send(UpstreamEvent::Streamed { request: flight.request, came });
-                        // Outside a runtime nobody could use it again.
+                Ok(Received::Streaming { head, first, rest, length, permit: Some(permit) }) => {
+                    let stream_events = events.clone();
+                    let on_end = Box::new(move |outcome, connection: Option<Connection>| {
+                        stream_events.send(UpstreamEvent::StreamEnded { request: attempt.request, outcome });
+                        // Without a runtime the connection could not be used again, so it is closed.
                         if let (Some(connection), Ok(runtime)) = (connection, Handle::try_current()) {
                             runtime.spawn(async move {
-                                let connection = connection.settle().await;
-                                give_back(connection, flight.upstream, flight.incarnation, &streamed);
+                                let connection = connection.into_idle().await;
+                                let (upstream, incarnation) = (attempt.upstream, attempt.incarnation);
+                                return_connection(connection, upstream, incarnation, &stream_events);
                             });
                         }
                     });
                     let deadline = match upload.as_deref().map(Upload::fate) {
-                        Some(UploadState::Whole(at)) => at + client_waits,
-                        _ => flight.deadline,
+                        Some(UploadState::Whole(received_at)) => received_at + client_waits,
+                        _ => attempt.client_deadline,
+                    };
+                    let estimates = answer::StreamEstimates {
+                        patience: context.stall_timeout.clone(),
+                        lengths: context.answer_lengths.clone(),
                     };
-                    let learnt = answer::StreamEstimates {
-                        patience: common.patience.clone(),
-                        lengths: common.lengths.clone(),
+                    let parts = answer::StreamParts {
+                        first,
+                        rest,
+                        length,
+                        connection,
+                        end: on_end,
+                        room: permit,
+                        deadline,
+                        learnt: estimates,
                     };
-                    let parts = answer::StreamParts { first, rest, length, connection, end, room, deadline, learnt };
                     let body = AnswerBody::Stream(Box::new(AnswerStream::new(parts)));
                     let answer = Answer { status: head.status, headers: head.headers, body };
                     let end = AttemptEnd::Outcome(Outcome::Ok, Some(answer));
-                    told.send(UpstreamEvent::Ended { flight, end, wire: Wire { port, bytes: meter.taken() } });
+                    let wire = WireUsage { local_port, bytes_written: meter.taken() };
+                    events.send(UpstreamEvent::Ended { attempt, end, wire });
                     return;
                 }
-                Ok(Got::Begun { room: None, .. }) => (How::Spoilt, None),
-                Err(Broken::Cut) if upload.as_ref().is_some_and(|upload| upload.is_broken()) => {
-                    (How::BodyBroke, None)
+                Ok(Received::Streaming { permit: None, .. }) => (Termination::Malformed, None),
+                Err(ExchangeError::ConnectionLost)
+                    if upload.as_ref().is_some_and(|upload| upload.is_broken()) =>
+                {
+                    (Termination::BodyIncomplete, None)
                 }
-                Err(Broken::Cut) => (How::Broke, None),
-                Err(Broken::Unfit(reason)) => {
-                    common.log.line(format!("upstream {}: {reason}", flight.upstream.0));
-                    (How::Spoilt, None)
+                Err(ExchangeError::ConnectionLost) => (Termination::ConnectionLost, None),
+                Err(ExchangeError::Malformed(reason)) => {
+                    context.log.line(format!("upstream {}: {reason}", attempt.upstream.0));
+                    (Termination::Malformed, None)
                 }
             },
-            () = stalled(&meter, &common.patience, &waits_for_room) => {
-                common.log.line(format!("upstream {}: an answer that does not end", flight.upstream.0));
-                (How::Spoilt, None)
+            () = answer_stalled(&meter, &context.stall_timeout, &waiting_for_permit) => {
+                let upstream = attempt.upstream.0;
+                context.log.line(format!("upstream {upstream}: the answer stalled before its end"));
+                (Termination::Malformed, None)
             }
-            _ = give_up => (How::CalledOff, None),
-            () = due(&flight, upload.as_deref(), &told) => (How::TimedOut, None),
+            _ = cancelled => (Termination::Cancelled, None),
+            () = attempt_timeout(&attempt, upload.as_deref(), &events) => (Termination::TimedOut, None),
         }
     };
-    // Closed before anyone asks how much was written, and before the driver hears of it: the next attempt must not go out
-    // while this one may still run.
-    let used = connection.used;
+    // The connection is closed before the written bytes are counted and before the driver is notified: the
+    // next attempt must not be sent while this one may still run.
+    let was_reused = connection.was_used;
     connection.close().await;
-    // Who is not there any more is no fault of the upstream's.
-    let how = if meter.is_unwanted() { How::CalledOff } else { how };
+    // A client that has disconnected must not count against the upstream.
+    let termination = if meter.is_unwanted() { Termination::Cancelled } else { termination };
     let written = meter.request();
-    let end = match execution::is_stale(how, execution::execution(how, written), used) {
-        true => AttemptEnd::Stale,
-        false => ended(how, written, answer),
+    let execution = execution::execution(termination, written);
+    let end = match execution::is_stale_connection(termination, execution, was_reused) {
+        true => AttemptEnd::StaleConnection,
+        false => attempt_end(termination, written, answer),
     };
-    told.send(UpstreamEvent::Ended { flight, end, wire: Wire { port, bytes: meter.taken() } });
+    events.send(UpstreamEvent::Ended {
+        attempt,
+        end,
+        wire: WireUsage { local_port, bytes_written: meter.taken() },
+    });
 }
 
-/// What the driver is told of an attempt that has ended.
-fn ended(how: How, written: Written, answer: Option<Answer>) -> AttemptEnd {
-    AttemptEnd::Outcome(execution::outcome(how, execution::execution(how, written)), answer)
+fn attempt_end(termination: Termination, written: Written, answer: Option<Answer>) -> AttemptEnd {
+    let execution = execution::execution(termination, written);
+    AttemptEnd::Outcome(execution::outcome(termination, execution), answer)
 }
 
-/// Comes back when an attempt's time is up. That of an upload counts from its last byte.
-async fn due(flight: &AttemptInfo, upload: Option<&Upload>, told: &EventSink<UpstreamEvent>) {
-    let until = bound(RequestState::Sent(flight.times())).at;
+/// Returns when an attempt has timed out. For an upload the timeout counts from its last byte; its progress
+/// is reported.
+async fn attempt_timeout(attempt: &AttemptInfo, upload: Option<&Upload>, events: &EventSink<UpstreamEvent>) {
+    let until = bound(RequestState::Sent(attempt.times())).at;
     let Some(upload) = upload else { return sleep_until(until).await };
-    let allowed = until.saturating_duration_since(Instant::now());
+    let timeout = until.saturating_duration_since(Instant::now());
     if upload.fate() == UploadState::Coming {
-        told.send(UpstreamEvent::Uploads(*flight, UploadState::Coming));
+        events.send(UpstreamEvent::UploadStateChanged(*attempt, UploadState::Coming));
     }
     match upload.settled().await {
-        UploadState::Whole(at) => {
-            told.send(UpstreamEvent::Uploads(*flight, UploadState::Whole(at)));
-            sleep_until(at + allowed).await;
+        UploadState::Whole(received_at) => {
+            events.send(UpstreamEvent::UploadStateChanged(*attempt, UploadState::Whole(received_at)));
+            sleep_until(received_at + timeout).await;
         }
-        // The exchange ends by itself.
+        // The incomplete body ends the exchange.
         UploadState::Coming | UploadState::Broken(_) => std::future::pending().await,
     }
 }
 
-/// Probes an upstream over an idle connection, or a new one.
-pub async fn probe(
-    source: Source,
+/// Probes an upstream and reports its answer, if it is complete by `probe_by`.
+pub async fn run_probe(
+    connection: ProbeConnection,
     request: Request<AttemptBody>,
     upstream: UpstreamId,
-    life: u64,
-    until: Instant,
-    told: EventSink<UpstreamEvent>,
+    incarnation: u64,
+    probe_by: Instant,
+    events: EventSink<UpstreamEvent>,
 ) {
-    let opened = match source {
-        Source::Idle(connection) => Ok(*connection),
-        Source::Dial(dial, by, permit) => Connection::open(dial, by.min(until), permit).await,
+    let opened = match connection {
+        ProbeConnection::Idle(connection) => Ok(*connection),
+        ProbeConnection::New { address, connect_by, permit } => {
+            Connection::open(address, connect_by.min(probe_by), permit).await
+        }
     };
     let mut answer = None;
     if let Ok(mut connection) = opened {
         let meter = connection.meter.clone();
         meter.begin(None, None);
-        let result = timeout_at(until, exchange(&mut connection.sender, request, &meter, None)).await;
-        if let Ok(Ok(Got::Whole(got))) = result {
-            answer = Some(got);
-            told.send(UpstreamEvent::Probed { upstream, answer });
-            return give_back(connection.settle().await, upstream, life, &told);
+        let result = timeout_at(probe_by, exchange(&mut connection.sender, request, &meter, None)).await;
+        if let Ok(Ok(Received::Complete(received))) = result {
+            answer = Some(received);
+            events.send(UpstreamEvent::ProbeEnded { upstream, answer });
+            return return_connection(connection.into_idle().await, upstream, incarnation, &events);
         }
         connection.close().await;
     }
-    told.send(UpstreamEvent::Probed { upstream, answer });
+    events.send(UpstreamEvent::ProbeEnded { upstream, answer });
 }
 
-fn give_back(
+fn return_connection(
     connection: Option<Connection>,
     upstream: UpstreamId,
-    life: u64,
-    told: &EventSink<UpstreamEvent>,
+    incarnation: u64,
+    events: &EventSink<UpstreamEvent>,
 ) {
     if let Some(connection) = connection {
-        told.send(UpstreamEvent::Idle { upstream, life, connection: Box::new(connection) });
+        events.send(UpstreamEvent::Idle { upstream, incarnation, connection: Box::new(connection) });
     }
 }
 
-/// Where a probe gets its connection.
-pub enum Source {
-    /// One that is open.
+/// The connection for a probe.
+pub enum ProbeConnection {
+    /// An open connection.
     Idle(Box<Connection>),
-    /// A new one to this address, by this time.
-    Dial(SocketAddr, Instant, UpstreamPermit),
+    /// A connection that is still to be opened.
+    New {
+        /// Address of the upstream.
+        address: SocketAddr,
+        /// Time by which it must be open.
+        connect_by: Instant,
+        /// Permit for it.
+        permit: UpstreamPermit,
+    },
 }
 
 #[cfg(test)]
--- a/crates/sidecar/src/write_check.rs
+++ b/crates/sidecar/src/write_check.rs
@@ -1,46 +1,49 @@
-//! Whether an attempt may be written, now that a connection for it is at hand or is to be got: one answer for an idle
-//! connection, for one that has just come up and for the next one after a stale one. Pure.
+//! Whether an attempt may be written, checked before a connection is acquired and again before the first
+//! write. The same check applies to an idle connection, a new one and the replacement for a stale one. Pure.
 //!
-//! | what is known | it may be written | it ends as |
+//! | state | may be written | outcome |
 //! | --- | --- | --- |
-//! | its request is over, or it was given up | no | not sent |
-//! | its time is up, or it has waited longer for a connection than it may | no | could not connect |
-//! | its upstream is gone, drains, or has started anew since | no | could not connect |
-//! | else | yes | |
+//! | the request is over, or the attempt was cancelled | no | not sent |
+//! | the attempt has timed out, or has waited too long for its connection | no | unreachable |
+//! | the upstream is gone, drains, or has restarted since | no | unreachable |
+//! | otherwise | yes | |
 
 use sagemast_decide::api::Outcome;
 
-/// What is known of its upstream.
+/// State of an attempt's upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct UpstreamState {
-    /// Whether it is still the process that the attempt was meant for: another may be cold, and knows no keys.
-    pub same_life: bool,
-    /// Whether it takes new work.
-    pub serves: bool,
+    /// Whether it is still the process that the attempt was meant for. A new process may be warming up, and
+    /// does not know the idempotency keys that the old one has seen.
+    pub same_incarnation: bool,
+    /// Whether it accepts new requests.
+    pub is_serving: bool,
 }
 
-/// What is known of an attempt.
+/// State of an attempt.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptState {
-    /// Whether its request is still open: its client waits and no other answer has ended it.
-    pub open: bool,
-    /// Whether it was given up.
-    pub given_up: bool,
-    /// Whether its own time is up.
-    pub time_is_up: bool,
-    /// Whether it has waited for a connection for longer than was counted on: a key's window might end before it arrives.
-    pub too_late: bool,
-    /// Its upstream, unless that is forgotten.
+    /// Whether its request is still open: the client waits and no other answer has ended it.
+    pub request_open: bool,
+    /// Whether the attempt was cancelled.
+    pub cancelled: bool,
+    /// Whether the attempt has timed out.
+    pub timed_out: bool,
+    /// Whether it has waited for a connection for longer than the module allows for. The window of its key
+    /// might end before it arrives.
+    pub connect_timed_out: bool,
+    /// Its upstream, unless that has been removed.
     pub upstream: Option<UpstreamState>,
 }
 
-/// Whether it may be written, and else how it ends. Either way it has not run.
+/// Checks whether an attempt may be written.
 ///
 /// # Errors
-/// What the attempt ends as.
-pub fn verdict(known: &AttemptState) -> Result<(), Outcome> {
-    let wanted = known.upstream.is_some_and(|upstream| upstream.same_life && upstream.serves);
-    match (known.open && !known.given_up, known.time_is_up || known.too_late, wanted) {
+/// The outcome of an attempt that may not be written. Such an attempt has not run.
+pub fn check(attempt: &AttemptState) -> Result<(), Outcome> {
+    let available = attempt.upstream.is_some_and(|upstream| upstream.same_incarnation && upstream.is_serving);
+    let wanted = attempt.request_open && !attempt.cancelled;
+    match (wanted, attempt.timed_out || attempt.connect_timed_out, available) {
         (false, ..) => Err(Outcome::NotSent),
         (true, false, true) => Ok(()),
         (true, ..) => Err(Outcome::Unreachable),
@@ -52,29 +55,38 @@
     use super::*;
 
     #[test]
-    fn only_what_is_wanted_in_time_by_a_server_that_serves_is_written() {
-        let mut written = 0;
+    fn attempt_may_be_written_only_if_wanted_in_time_and_its_upstream_serves() {
+        let mut writable_states = 0;
         for bits in 0u32..128 {
-            let bit = |place: u32| bits >> place & 1 == 1;
-            let upstream = bit(4).then(|| UpstreamState { same_life: bit(5), serves: bit(6) });
-            let known = AttemptState {
-                open: bit(0),
-                given_up: bit(1),
-                time_is_up: bit(2),
-                too_late: bit(3),
+            let bit = |index: u32| bits >> index & 1 == 1;
+            let upstream = bit(4).then(|| UpstreamState { same_incarnation: bit(5), is_serving: bit(6) });
+            let attempt = AttemptState {
+                request_open: bit(0),
+                cancelled: bit(1),
+                timed_out: bit(2),
+                connect_timed_out: bit(3),
                 upstream,
             };
-            match verdict(&known) {
+            match check(&attempt) {
                 Ok(()) => {
-                    written += 1;
-                    assert!(known.open && !known.given_up && !known.time_is_up && !known.too_late);
-                    assert!(upstream.is_some_and(|upstream| upstream.same_life && upstream.serves));
+                    writable_states += 1;
+                    assert!(
+                        attempt.request_open
+                            && !attempt.cancelled
+                            && !attempt.timed_out
+                            && !attempt.connect_timed_out
+                    );
+                    assert!(
+                        upstream.is_some_and(|upstream| upstream.same_incarnation && upstream.is_serving)
+                    );
+                }
+                // The end of an unwanted attempt must not count against its upstream.
+                Err(outcome) if !attempt.request_open || attempt.cancelled => {
+                    assert_eq!(outcome, Outcome::NotSent)
                 }
-                // A request that is over tells nothing of its upstream.
-                Err(outcome) if !known.open || known.given_up => assert_eq!(outcome, Outcome::NotSent),
                 Err(outcome) => assert_eq!(outcome, Outcome::Unreachable),
             }
         }
-        assert_eq!(written, 1, "of 128 states one");
+        assert_eq!(writable_states, 1, "of 128 states");
     }
 }
