--- a/crates/sidecar/tests/staleness.rs
+++ b/crates/sidecar/tests/staleness.rs
@@ -1,5 +1,5 @@
-//! The staleness bound on sockets, with time that passes only while nothing happens: a driver with its watch, beside a
-//! discovery that fails in each way, takes in what discovery has soon after it can be reached.
+//! The staleness bound over real sockets, in paused time: a driver and its watch face a discovery that fails
+//! in every way, and must apply a change soon after discovery is reachable again.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,57 +20,61 @@
 use tokio::task::JoinSet;
 use tokio::time::{Instant, sleep, timeout};
 
-/// A change counts as told this long after discovery had it and could be reached, and after a watch fell silent.
-const BOUND: Duration = Duration::from_secs(6);
-/// What is left of it in the worst case.
+/// A change counts as received this long after discovery had it and was reachable, and after a watch became
+/// unresponsive.
+const STALENESS_BOUND: Duration = Duration::from_secs(6);
+/// Time left of [`STALENESS_BOUND`] in the worst case.
 const MARGIN: Duration = Duration::from_millis(50);
-/// Discovery turns a call away that has waited for so long.
-const LONGEST_QUEUE: Duration = Duration::from_millis(2_000);
-/// One that is answered is answered by then, with what the way to discovery and back takes.
-const LONGEST_ANSWER: Duration = Duration::from_millis(2_150);
-/// While nothing changes an empty line comes this often.
-const ALIVE: Duration = Duration::from_secs(2);
-/// Calls in the time after a silence in which they fail at once: 3.5 s, 150 ms apart at least. Later it is one a second at most.
-const MAX_CALLS_AFTER_SILENCE: usize = 26;
-/// How often the driver is looked at.
-const LOOK: Duration = Duration::from_millis(10);
+/// Discovery rejects calls that have waited for this long.
+const MAX_QUEUE_TIME: Duration = Duration::from_millis(2_000);
+/// Longest time until a call is answered, network round trip included.
+const MAX_ANSWER_TIME: Duration = Duration::from_millis(2_150);
+/// Interval of empty lines while nothing changes.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(2);
+/// Maximum number of calls in the 3.5 s within which an unresponsive watch is reopened, if they fail at once.
+/// They are at least 150 ms apart; later there is at most one a second.
+const MAX_CALLS_WHILE_REOPENING: usize = 26;
+/// Interval at which the state of the driver is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 const SETTINGS: &str = r#"{"classes":[
     {"name":"a","aim":250.0,"hard_limit":900.0,"importance":2.0,"effect":"repeatable"}],
     "allowed":{"max_attempts":3,"connect_timeout":100.0},"peers_total":300,"membership_mode":"subscribe","telemetry":{},
     "invariants":{"cold_share":0.1,"warm_up":2e4,"fall_multiple":2.5,"fall":1500.0,"must_ask_in":36e6}}"#;
 
-/// What discovery does with a call.
+/// How discovery handles a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Does {
-    /// Answers after as long as an answered call may wait.
-    Answers,
-    /// Says nothing.
-    Hangs,
+enum CallHandling {
+    /// Answers after [`MAX_ANSWER_TIME`].
+    Answer,
+    /// Does not answer.
+    Hang,
     /// Resets the connection.
-    Resets,
-    /// Lets it wait and answers 503.
-    TurnsAway,
-    /// Opens a watch that never says a word.
-    OpensInSilence,
+    Reset,
+    /// Answers 503 after [`MAX_QUEUE_TIME`].
+    Reject,
+    /// Opens a watch that is unresponsive from the start.
+    OpenUnresponsive,
 }
 
-/// What becomes of an open watch when discovery goes down.
+/// How open watches fail in an outage.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum WatchEnds {
+enum WatchFailure {
     Reset,
-    Silent,
+    Unresponsive,
 }
 
-/// Discovery as it stands: the version of its list, what it does with calls, and with open watches.
+/// State of discovery.
 #[derive(Debug, Clone, Copy)]
 struct State {
+    /// Version of its list.
     seq: u64,
-    does: Does,
-    watches: Option<WatchEnds>,
+    call_handling: CallHandling,
+    /// How open watches fail, if they do.
+    watch_failure: Option<WatchFailure>,
 }
 
-/// A discovery that works through calls in turn.
+/// A discovery service that delays calls like one that handles them in turn.
 struct Discovery {
     address: SocketAddr,
     state: Arc<watch::Sender<State>>,
@@ -82,15 +86,16 @@
     async fn start() -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let state = Arc::new(watch::Sender::new(State { seq: 1, does: Does::Answers, watches: None }));
+        let initial = State { seq: 1, call_handling: CallHandling::Answer, watch_failure: None };
+        let state = Arc::new(watch::Sender::new(initial));
         let calls = Arc::new(AtomicUsize::new(0));
-        let (seen, counted) = (state.clone(), calls.clone());
+        let (served_state, call_count) = (state.clone(), calls.clone());
         let mut serving = JoinSet::new();
         serving.spawn(async move {
             let mut connections = JoinSet::new();
             while let Ok((stream, _)) = listener.accept().await {
-                counted.fetch_add(1, Ordering::Relaxed);
-                connections.spawn(serve(stream, seen.subscribe()));
+                call_count.fetch_add(1, Ordering::Relaxed);
+                connections.spawn(serve(stream, served_state.subscribe()));
             }
         });
         Discovery { address, state, calls, _serving: serving }
@@ -103,47 +108,52 @@
 
 async fn serve(mut stream: TcpStream, mut state: watch::Receiver<State>) {
     let mut head = [0; 1024];
-    // A call that begins while discovery cannot be reached fails, also where it ends later.
-    let does = state.borrow_and_update().does;
+    // A call that begins while discovery is unreachable fails, even if discovery is reachable again before
+    // the call ends.
+    let call_handling = state.borrow_and_update().call_handling;
     let reset = |stream: &TcpStream| SockRef::from(stream).set_linger(Some(Duration::ZERO));
-    if does == Does::Resets {
+    if call_handling == CallHandling::Reset {
         return drop(reset(&stream));
     }
     if !matches!(stream.read(&mut head).await, Ok(read) if read > 0) {
         return;
     }
-    match does {
-        Does::Hangs => return drop(stream.read(&mut head).await),
-        Does::Answers => sleep(LONGEST_ANSWER).await,
-        Does::TurnsAway => sleep(LONGEST_QUEUE).await,
-        Does::Resets | Does::OpensInSilence => {}
+    match call_handling {
+        CallHandling::Hang => return drop(stream.read(&mut head).await),
+        CallHandling::Answer => sleep(MAX_ANSWER_TIME).await,
+        CallHandling::Reject => sleep(MAX_QUEUE_TIME).await,
+        CallHandling::Reset | CallHandling::OpenUnresponsive => {}
     }
-    let opens: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-    let answer = if does == Does::TurnsAway { b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n" } else { opens };
-    if stream.write_all(answer).await.is_err() || does == Does::TurnsAway {
+    let watch_opened: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+    let answer = if call_handling == CallHandling::Reject {
+        b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n"
+    } else {
+        watch_opened
+    };
+    if stream.write_all(answer).await.is_err() || call_handling == CallHandling::Reject {
         return;
     }
-    if does == Does::OpensInSilence {
+    if call_handling == CallHandling::OpenUnresponsive {
         return drop(stream.read(&mut head).await);
     }
-    let mut told = 0;
+    let mut sent_seq = 0;
     loop {
-        let now = *state.borrow_and_update();
-        match now.watches {
-            Some(WatchEnds::Reset) => return drop(reset(&stream)),
-            Some(WatchEnds::Silent) => return drop(stream.read(&mut head).await),
+        let current = *state.borrow_and_update();
+        match current.watch_failure {
+            Some(WatchFailure::Reset) => return drop(reset(&stream)),
+            Some(WatchFailure::Unresponsive) => return drop(stream.read(&mut head).await),
             None => {}
         }
-        let line = match now.seq == told {
+        let line = match current.seq == sent_seq {
             true => "\n".to_owned(),
-            false => format!("{}\n", list(now.seq)),
+            false => format!("{}\n", list(current.seq)),
         };
-        told = now.seq;
+        sent_seq = current.seq;
         if stream.write_all(format!("{:x}\r\n{line}\r\n", line.len()).as_bytes()).await.is_err() {
             return;
         }
-        // Silence or news.
-        let _ = timeout(ALIVE, state.changed()).await;
+        // Waits for the next change or the next empty line.
+        let _ = timeout(KEEP_ALIVE_INTERVAL, state.changed()).await;
     }
 }
 
@@ -153,18 +163,18 @@
     )
 }
 
-/// A driver that runs, and what it has taken in.
+/// A running driver, and the metrics that show what it has applied.
 struct Sidecar {
     metrics: Arc<Metrics>,
     _running: JoinSet<()>,
-    _life: watch::Sender<Lifecycle>,
+    _lifecycle: watch::Sender<Lifecycle>,
 }
 
 impl Sidecar {
     fn start(discovery: SocketAddr, seed: u64, log: Log) -> Sidecar {
-        let (life, lives) = watch::channel(Lifecycle::new(false, Instant::now()));
+        let (lifecycle_sender, lifecycle) = watch::channel(Lifecycle::new(false, Instant::now()));
         let metrics = Arc::new(Metrics::new(std::iter::once("a")));
-        let (driver, happenings) = Driver::new(DriverConfig {
+        let (driver, driver_events) = Driver::new(DriverConfig {
             settings: serde_json::from_str(SETTINGS).expect("settings"),
             seed,
             discovery,
@@ -173,64 +183,66 @@
             metrics: metrics.clone(),
             log,
             events: EventSink::discard(),
-            lifecycle: lives,
+            lifecycle,
         });
-        let known: HostList = serde_json::from_str(&list(1)).expect("a list");
+        let initial_list: HostList = serde_json::from_str(&list(1)).expect("a list");
         let mut running = JoinSet::new();
         running.spawn(async move {
-            driver.run(Some(known), None).await;
-            drop(happenings);
+            driver.run(Some(initial_list), None).await;
+            drop(driver_events);
         });
-        Sidecar { metrics, _running: running, _life: life }
+        Sidecar { metrics, _running: running, _lifecycle: lifecycle_sender }
     }
 
-    /// Waits until it has taken this version in.
-    async fn takes_in(&self, seq: u64) {
+    /// Waits until it has applied this version.
+    async fn wait_until_applied(&self, seq: u64) {
         while self.metrics.seq.load(Ordering::Relaxed) != seq {
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 }
 
-/// An outage: how watches end with its beginning, what is done with calls, and for how long.
+/// An outage of discovery.
 #[derive(Debug, Clone, Copy)]
 struct Outage {
-    watches: WatchEnds,
-    calls: Does,
-    lasts: Duration,
-    /// Whether it ends only right after the next call has begun, which fails all the same.
-    ends_with_call: bool,
+    /// How open watches fail when it begins.
+    watch_failure: WatchFailure,
+    call_handling: CallHandling,
+    duration: Duration,
+    /// Whether it lasts until another call has begun. That call still fails.
+    ends_after_next_call: bool,
 }
 
-/// Plays an outage, after which discovery has a change. How long after it could be had it was taken in, and how many calls
-/// were made.
-async fn play(outage: Outage, seed: u64, log: Log) -> (Duration, usize) {
+/// Runs an outage, after which discovery has a change. Returns the time from the end of the outage until the
+/// change was applied, and the number of calls.
+async fn run_outage(outage: Outage, seed: u64, log: Log) -> (Duration, usize) {
     let discovery = Discovery::start().await;
     let sidecar = Sidecar::start(discovery.address, seed, log);
-    // Its first watch.
+    // The first watch is opened.
     while discovery.calls.load(Ordering::Relaxed) == 0 {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
     }
     discovery.set(|state| state.seq = 2);
-    sidecar.takes_in(2).await;
+    sidecar.wait_until_applied(2).await;
     sleep(Duration::from_millis(500 + seed * 131 % 1_900)).await;
     discovery.set(|state| {
-        (state.does, state.watches) = (outage.calls, Some(outage.watches));
+        (state.call_handling, state.watch_failure) = (outage.call_handling, Some(outage.watch_failure));
     });
-    // Watches that are open learn of it before they could hear of the next change.
-    sleep(LOOK).await;
-    sleep(outage.lasts).await;
-    let before = discovery.calls.load(Ordering::Relaxed);
-    while outage.ends_with_call && discovery.calls.load(Ordering::Relaxed) == before {
-        sleep(LOOK).await;
+    // Open watches must fail before the next change could reach them.
+    sleep(POLL_INTERVAL).await;
+    sleep(outage.duration).await;
+    let calls_before = discovery.calls.load(Ordering::Relaxed);
+    while outage.ends_after_next_call && discovery.calls.load(Ordering::Relaxed) == calls_before {
+        sleep(POLL_INTERVAL).await;
     }
-    discovery.set(|state| *state = State { seq: 3, does: Does::Answers, watches: None });
-    let reachable = Instant::now();
-    timeout(Duration::from_secs(60), sidecar.takes_in(3)).await.expect("it is taken in at all");
-    (reachable.elapsed(), discovery.calls.load(Ordering::Relaxed))
+    discovery
+        .set(|state| *state = State { seq: 3, call_handling: CallHandling::Answer, watch_failure: None });
+    let reachable_at = Instant::now();
+    timeout(Duration::from_secs(60), sidecar.wait_until_applied(3)).await.expect("the change is applied");
+    (reachable_at.elapsed(), discovery.calls.load(Ordering::Relaxed))
 }
 
-const OUTAGES: [Duration; 6] = [
+const OUTAGE_DURATIONS: [Duration; 6] = [
     Duration::from_millis(0),
     Duration::from_millis(700),
     Duration::from_millis(2_600),
@@ -239,27 +251,33 @@
     Duration::from_millis(21_000),
 ];
 
-/// Guards against waits that are each within the bound, while their sum is not: watch, calls and the waits of watch and module
-/// between them.
+/// Guards against waits that are each within the bound while their sum is not: the silence timeout, the call
+/// timeouts, and the waits of the watch and of the decision module between calls.
 #[test]
-fn a_change_is_taken_in_within_the_bound_whatever_became_of_watch_and_calls() {
-    let (mut played, log) = (Vec::new(), Log::process());
-    for watches in [WatchEnds::Reset, WatchEnds::Silent] {
-        for calls in [Does::Hangs, Does::Resets, Does::TurnsAway, Does::OpensInSilence] {
-            for lasts in OUTAGES {
+fn change_is_applied_within_the_staleness_bound_however_watches_and_calls_fail() {
+    let (mut results, log) = (Vec::new(), Log::process());
+    for watch_failure in [WatchFailure::Reset, WatchFailure::Unresponsive] {
+        for call_handling in
+            [CallHandling::Hang, CallHandling::Reset, CallHandling::Reject, CallHandling::OpenUnresponsive]
+        {
+            for duration in OUTAGE_DURATIONS {
                 for seed in 0..24 {
-                    let outage = Outage { watches, calls, lasts, ends_with_call: seed % 2 == 0 };
+                    let ends_after_next_call = seed % 2 == 0;
+                    let outage = Outage { watch_failure, call_handling, duration, ends_after_next_call };
                     let runtime =
                         tokio::runtime::Builder::new_current_thread().enable_all().start_paused(true).build();
-                    let (took, calls) = runtime.expect("a runtime").block_on(play(outage, seed, log.clone()));
-                    let most = MAX_CALLS_AFTER_SILENCE + (lasts + took + BOUND).as_secs() as usize;
-                    assert!(calls <= most, "{outage:?}: {calls} calls");
-                    played.push((took, outage));
+                    let (applied_after, calls) =
+                        runtime.expect("a runtime").block_on(run_outage(outage, seed, log.clone()));
+                    let max_calls = MAX_CALLS_WHILE_REOPENING
+                        + (duration + applied_after + STALENESS_BOUND).as_secs() as usize;
+                    assert!(calls <= max_calls, "{outage:?}: {calls} calls");
+                    results.push((applied_after, outage));
                 }
             }
         }
     }
-    played.sort_by_key(|(took, _)| std::cmp::Reverse(*took));
-    let too_late = played.iter().filter(|(took, _)| *took > BOUND - MARGIN).count();
-    assert_eq!(too_late, 0, "of {}, the worst: {:#?}", played.len(), &played[..5]);
+    results.sort_by_key(|(applied_after, _)| std::cmp::Reverse(*applied_after));
+    let too_late =
+        results.iter().filter(|(applied_after, _)| *applied_after > STALENESS_BOUND - MARGIN).count();
+    assert_eq!(too_late, 0, "of {} runs, the slowest: {:#?}", results.len(), &results[..5]);
 }
