--- a/crates/sidecar/src/driver.rs
+++ b/crates/sidecar/src/driver.rs
@@ -452,7 +452,7 @@
             self.execute(action);
         }
         self.actions = actions;
-        let skipped = self.module.avoided() + self.draining_count;
+        let skipped = self.module.ejected_count() + self.draining_count;
         self.metrics.skipped.store(skipped as u64, Ordering::Relaxed);
     }
 
@@ -955,10 +955,10 @@
             report_from_text(&self.report_columns, text.to_str().ok()?)
         });
         let now = self.module_time(Instant::now());
-        if let Some(budgets) = self.module.cross_zone() {
+        if let Some(budgets) = self.module.cross_zone_budget_mut() {
             let received_bytes = answer.as_ref().and_then(|answer| answer.body.length()).unwrap_or(0);
             let body_bytes = [in_flight.body_bytes, received_bytes];
-            budgets.ended(now, attempt.request, attempt.number, outcome, body_bytes);
+            budgets.attempt_ended(now, attempt.request, attempt.number, outcome, body_bytes);
         }
         // The first answer ends the request without a decision of the module. So does an answer that finds
         // the request invalid, since every upstream would.
