--- a/crates/sidecar/src/driver.rs
+++ b/crates/sidecar/src/driver.rs
@@ -50,9 +50,9 @@
 /// Interval between sweeps of idle connections.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 /// Idle limit for connections to upstreams outside the subset, and for all but the most recently used
-/// connection to any upstream. Upstreams accept a limited number of connections: one that a sidecar keeps
-/// idle is one that another sidecar is refused. Longer than a burst of requests lasts, and longer than a
-/// reading of an upstream's load is used.
+/// connection to any upstream. Upstreams accept a limited number of connections, so a needless idle
+/// connection of one sidecar can make an upstream refuse another sidecar. The limit is longer than a burst of
+/// requests lasts and longer than a reading of an upstream's load remains in use.
 const SPARE_IDLE_LIMIT: Duration = Duration::from_secs(2);
 /// Idle limit as a fraction of the upstreams' keep-alive time. A request written just as the upstream closes
 /// the connection ends as a reset.
@@ -168,7 +168,7 @@
     ListenerReleased,
 }
 
-/// What a driver is created from.
+/// Configuration of a driver.
 pub struct DriverConfig {
     /// Settings.
     pub settings: SettingsObject,
@@ -192,6 +192,7 @@
 
 /// The driver.
 pub struct Driver {
+    /// The decision module.
     module: Balancer,
     settings: SettingsObject,
     report_columns: Vec<Column>,
@@ -213,16 +214,18 @@
     watch_timeouts: WatchTimeouts,
     /// This sidecar's position, from 0 to 1, among those that reopen an unresponsive watch.
     spread_position: f64,
-    /// Whether discovery has sent a list or has had its time to.
+    /// Whether discovery has sent a list or has had its time to. Always true with a subscription.
     discovery_settled: bool,
     has_list: bool,
     /// Version of the host list.
     seq: u64,
+    /// The task of the current watch.
     watch: Option<AbortOnDrop>,
     /// Id of the current watch.
     watch_id: u64,
     /// Receives each list from discovery, for the other processes of this sidecar.
     list_forwarder: Option<mpsc::Sender<HostList>>,
+    /// Start of the decision module's clock.
     epoch: Instant,
     open_requests: HashMap<RequestId, OpenRequest>,
     /// The ids that clients gave the open requests.
@@ -243,6 +246,7 @@
     probe_timeout: Duration,
     /// How long an attempt may take to get its connection, over all connections that it tries.
     connect_timeout: Duration,
+    /// Buffer for the decision module's actions, reused for each event.
     actions: Vec<Action>,
 }
 
@@ -307,7 +311,8 @@
                 true => WatchTimeouts::shared_service(),
                 false => WatchTimeouts::local_agent(Duration::from_secs_f64(settings.drain_grace_ms() / 1e3)),
             },
-            // Integers below 2 to the power of 53 are exact as floats.
+            // A fraction of the seed's upper 53 bits: an integer below 2 to the power of 53 is exact as a
+            // float.
             spread_position: (seed >> 11) as f64 / (1u64 << 53) as f64,
             discovery_settled: subscribed,
             has_list: false,
@@ -408,7 +413,7 @@
             match entry.remove() {
                 Timer::Module(token) => self.send_to_module(Event::TimerFired(token)),
                 Timer::AnswerBackstop(request) => {
-                    // The module decides in time unless it has a fault or the process was suspended.
+                    // The module decides in time unless it has a fault or the process was stalled.
                     self.finish_request(request, FinalAnswer::Failed);
                     self.abandon_request(request);
                 }
@@ -632,7 +637,8 @@
         }
     }
 
-    /// Moves deadlines that lie beyond the end of the process forward, once that end is known.
+    /// Shortens the deadlines of received requests that lie beyond the end of the process, once that end is
+    /// known. Other requests get their deadlines when they are received.
     fn shorten_deadlines_to_process_end(&mut self) {
         let Some(process_ends) = self.lifecycle.borrow_and_update().answer_by() else { return };
         let too_late = self
@@ -643,11 +649,12 @@
         for request in to_shorten {
             let Some(open) = self.open_requests.get_mut(&request) else { continue };
             open.deadline = open.deadline.ending_by(process_ends);
-            let (old_backstop, bound) = (open.backstop.take(), bound(RequestState::Queued(open.deadline)));
+            let (old_backstop, new_bound) =
+                (open.backstop.take(), bound(RequestState::Queued(open.deadline)));
             if let Some(timer) = old_backstop {
                 self.timers.remove(&timer);
             }
-            let backstop = self.set_timer(bound.at, Timer::AnswerBackstop(request));
+            let backstop = self.set_timer(new_bound.at, Timer::AnswerBackstop(request));
             if let Some(open) = self.open_requests.get_mut(&request) {
                 open.backstop = Some(backstop);
             }
@@ -1041,7 +1048,8 @@
 
     // --- The host list -----------------------------------------------------------------------
 
-    /// Applies a list from discovery, or with `restored` one that was stored or handed over.
+    /// Applies a list from discovery. With `restored` the list was stored or handed over, and counts as
+    /// complete.
     fn apply_list(&mut self, list: &HostList, restored: bool) {
         self.seq = list.seq;
         let is_complete = list.whole || restored;
--- a/crates/sidecar/src/upstream.rs
+++ b/crates/sidecar/src/upstream.rs
@@ -94,7 +94,7 @@
 
     /// Returns when the answer should no longer be held. An answer that has stalled is held until its next
     /// piece arrives: its client gains nothing from the head alone, and another attempt can still replace it.
-    async fn over(&mut self) {
+    async fn wait_until_over(&mut self) {
         loop {
             sleep_until(self.until).await;
             if self.extend() {
@@ -159,7 +159,7 @@
         let frame = tokio::select! {
             biased;
             frame = body.frame() => frame,
-            () = hold_over(&mut hold) => break,
+            () = wait_until_hold_over(&mut hold) => break,
         };
         match frame {
             None => {
@@ -202,9 +202,9 @@
 }
 
 /// Returns when the hold is over; never if there is none.
-async fn hold_over(hold: &mut Option<AnswerHold<'_>>) {
+async fn wait_until_hold_over(hold: &mut Option<AnswerHold<'_>>) {
     match hold {
-        Some(hold) => hold.over().await,
+        Some(hold) => hold.wait_until_over().await,
         None => std::future::pending().await,
     }
 }
