--- a/crates/decide/src/state.rs
+++ b/crates/decide/src/state.rs
@@ -285,7 +285,7 @@
     /// The outstanding sends that a report requested now may lack, which are those sent at the same time: the
     /// number of the first, or `next_send` if there is none, and their count.
     pub fn unreported(&self, next_send: u64, now: Millis) -> (u64, usize) {
-        let latest = self.outstanding.latest().take_while(|(_, sent)| sent.sent >= now);
+        let latest = self.outstanding.iter_newest_first().take_while(|(_, sent)| sent.sent >= now);
         latest.fold((next_send, 0), |(_, count), (number, _)| (number, count + 1))
     }
 
