--- a/crates/decide/src/balancer.rs
+++ b/crates/decide/src/balancer.rs
@@ -26,14 +26,14 @@
 use crate::zone_outage::ZoneOutages;
 
 /// The times below hold for mean service times up to this and grow with longer ones, by [`MAX_TIME_SCALE`] at
-/// most. They don't shrink with shorter ones: probes cost, and over which time servers average is unknown.
+/// most. They don't shrink with shorter ones: probes cost, and the averaging time of servers is unknown.
 const BASE_SERVICE_TIME: Millis = 40.0;
 const MAX_TIME_SCALE: f64 = 25.0;
 /// A sampled server is probed if its report is older than this, which is about one service time.
 const PROBE_AFTER: Millis = 40.0;
 /// A request waits for the probes of its pair if a report is older than this many service times.
 const PROBE_WAIT_SERVICE_TIMES: f64 = 4.0;
-/// Limits on such a wait as a share of the aim and in mean probe times, and on the number of waits.
+/// Limits on a wait for probes as a share of the aim and in mean probe times, and on the waits of a request.
 const PROBE_WAIT_AIM_SHARE: f64 = 0.15;
 const PROBE_WAIT_PROBE_TIMES: f64 = 3.0;
 const MAX_PROBE_WAITS: u32 = 2;
@@ -42,7 +42,7 @@
 /// Factor on the longest acceptable answer time after a wait for probes: only the pair was probed, but a
 /// queue that long at the better of two servers is long everywhere.
 const WAIT_FACTOR_AFTER_PROBES: f64 = 0.6;
-/// Older reports are no longer valid; the mean of the servers with valid reports stands in.
+/// Reports older than this are not valid; the mean of the servers with valid reports stands in.
 const REPORT_VALIDITY: Millis = 1_000.0;
 /// Weight of a new sample in the averages of one server, and in those that all servers or arrivals feed.
 const SMOOTHING: f64 = 0.15;
@@ -53,23 +53,23 @@
 const UNANSWERED_WEIGHT: f64 = 0.5;
 /// The longest acceptable answer time, as a share of the time left to the aim.
 const MAX_WAIT_AIM_SHARE: f64 = 0.6;
-/// How strongly that share depends on a request's worth per service time; 0 is not at all.
+/// Effect of a request's worth per service time on its longest acceptable answer time; 0 is none.
 const WORTH_EXPONENT: f64 = 0.4;
-/// How strongly it makes up for a class that is refused more often than the average.
+/// Effect of a class's refusals on its longest acceptable answer time, if they are above the average.
 const CLASS_REFUSAL_WEIGHT: f64 = 0.5;
 /// A server is idle if its utilisation with one more request is at most this.
 const IDLE_UTILISATION: f64 = 0.5;
-/// While few requests are refused, a server with at most one in flight is idle, too: the weight of refusals.
+/// A server with one request in flight is idle, too, while few requests are refused. Weight of their share.
 const IDLE_REFUSAL_WEIGHT: f64 = 2.0;
 /// Retry budget: tokens earned per request, and the most that are saved up. A further attempt takes one.
 const RETRY_RATIO: f64 = 0.1;
 const MAX_RETRY_TOKENS: f64 = 10.0;
 /// A refused client is asked to wait for up to this share of its aim.
 const RETRY_AFTER_AIM_SHARE: f64 = 0.3;
-/// An unanswered attempt is a failure of its server if that was unresponsive with at least this probability.
+/// An unanswered attempt is a failure of its server if the server was unresponsive with this probability.
 const UNRESPONSIVE_PROBABILITY: f64 = 0.5;
 /// The share of a warming-up server's allowance that is used, since speeds and costs are estimates.
-const WARM_UP_ALLOWANCE_SHARE: f64 = 0.5;
+const ALLOWANCE_SHARE: f64 = 0.5;
 /// When more kinds of machine than this are known, those without servers are dropped.
 const MAX_KINDS: usize = 64;
 /// The most servers examined in one sample. Of up to that many, all pairs with capacity are equally likely.
@@ -169,9 +169,8 @@
             Event::ListReceived(update) => self.list_received(update, out),
             Event::SidecarCountChanged(count) => {
                 self.settings.sidecars = count;
-                self.cross_zone_budget
-                    .iter_mut()
-                    .for_each(|budget| budget.set_sidecar_count(self.now, count));
+                let budget = self.cross_zone_budget.iter_mut();
+                budget.for_each(|budget| budget.set_sidecar_count(self.now, count));
             }
             Event::TimerFired(0) if self.discovery_calls.begin_call(self.now) => out.push(Action::Subscribe),
             Event::TimerFired(check_schedule::TIMER_TOKEN) => {
@@ -240,11 +239,10 @@
     }
 
     /// Whether a server may get this request. Two bounds apply while it warms up. One is a share of requests,
-    /// by chance, since one sidecar's part of the server's budget may be less than one request: of `n`
-    /// requests, it is sampled for two at most, and chance leaves those that the budget allows for all
-    /// sidecars together. The other is an amount of work (`src/slow_start.rs`), an equal part of the
-    /// allowance per sidecar, since a share bounds nothing in a rush, as when many sidecars start beside a
-    /// server that has just started.
+    /// by chance, as one sidecar's part of its budget may be less than one request: of `n` requests it is
+    /// sampled for two at most, and chance leaves what the budget allows for all sidecars together. The other
+    /// is an amount of work (`src/slow_start.rs`), an equal part of the allowance per sidecar, as a share
+    /// bounds nothing in a rush, when many sidecars start beside a server that has just started.
     fn admits(&mut self, to: &Candidate, pending: &PendingRequest, was_probed: bool) -> bool {
         if to.warm_up_fraction >= 1.0 {
             return true;
@@ -252,8 +250,7 @@
         let draw_share = if was_probed { pending.draw_share } else { self.draw_share(pending) };
         // While requests are refused, more arrive than servers can carry, and more of them for this server.
         let multiple = self.settings.slow_start.overload_multiple * to.warm_up_fraction;
-        let probability =
-            WARM_UP_ALLOWANCE_SHARE * multiple / 2.0 * draw_share * (1.0 - self.estimates.refused);
+        let probability = ALLOWANCE_SHARE * multiple / 2.0 * draw_share * (1.0 - self.estimates.refused);
         self.affords(to, pending.class, probability)
     }
 
@@ -636,9 +633,8 @@
         };
         let same_zone = if context.same_zone_limit != 0.0 {
             // Where no budget pays for crossing, pairs are from the zone while a server there has capacity.
-            let confined = self.is_confined_to_zone(pending.class);
-            let suits =
-                |c: &Candidate| context.suits_same_zone(c) || confined && c.same_zone && has_capacity(c);
+            let stays = self.is_confined_to_zone(pending.class);
+            let suits = |c: &Candidate| context.suits_same_zone(c) || stays && c.same_zone && has_capacity(c);
             self.estimate_count(zone, pending, &context, suits)
         } else {
             0.0
--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -311,8 +311,8 @@
         self.allowed.connect_timeout
     }
 
-    /// After the sidecar is notified that an upstream drains or is gone, new requests may still go there for
-    /// this time.
+    /// The longest time for which new requests may go to an upstream after the sidecar was notified that it
+    /// drains or is gone.
     pub fn drain_grace_ms(&self) -> Millis {
         self.invariants.drain_grace
     }
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -135,7 +135,7 @@
         self.answer_probe(id, in_flight, utilisation);
     }
 
-    /// The same, with the resulting actions.
+    /// Reports a load in answer to a probe and returns the resulting actions.
     pub fn answer_probe(&mut self, id: u64, in_flight: f64, utilisation: f64) -> Vec<Action> {
         let report =
             Report { in_flight: Some(in_flight), utilisation: Some(utilisation), ..Report::default() };
