--- a/crates/sidecar/src/discovery.rs
+++ b/crates/sidecar/src/discovery.rs
@@ -172,7 +172,7 @@
         match serde_json::from_slice::<HostList>(text) {
             // Changes build on earlier ones, so changes of an older version would undo newer ones. From
             // version 0 on any change is new.
-            Ok(list) if !list.whole && list.seq < self.seq => {
+            Ok(list) if !list.complete && list.seq < self.seq => {
                 Ok(Some(format!("version {} comes after {}", list.seq, self.seq)))
             }
             Ok(list) => {
--- a/crates/sidecar/src/driver.rs
+++ b/crates/sidecar/src/driver.rs
@@ -348,7 +348,7 @@
         match handover.filter(|handover| !handover.list.hosts.is_empty()) {
             Some(handover) => self.restore_handover_state(&handover),
             None => {
-                let list = list.unwrap_or(HostList { seq: 0, whole: true, hosts: Vec::new() });
+                let list = list.unwrap_or(HostList { seq: 0, complete: true, hosts: Vec::new() });
                 self.apply_list(&list, true);
             }
         }
@@ -564,7 +564,7 @@
         let Snapshot { servers, all } = self.module.memory(self.module_time(Instant::now()));
         let server_states = servers.into_iter().filter_map(|(id, memory)| {
             let host = &self.servers.get(UpstreamId(id))?.host;
-            Some(ServerState { host: host.host.clone(), born_ms: host.born_ms, memory })
+            Some(ServerState { host: host.name.clone(), born_ms: host.started_ms, memory })
         });
         let list = self.servers.to_host_list(self.seq);
         HandoverState { names: SettingNames::of(&self.settings), list, all, servers: server_states.collect() }
@@ -573,7 +573,7 @@
     /// Continues from a predecessor's state.
     fn restore_handover_state(&mut self, state: &HandoverState) {
         self.apply_list(&state.list, true);
-        let snapshot = state.memory(|host, born_ms| self.servers.id_of(host, born_ms).map(|id| id.0));
+        let snapshot = state.memory(|host, started_ms| self.servers.id_of(host, started_ms).map(|id| id.0));
         let now = self.module_time(Instant::now());
         let estimates_restored = match state.names == SettingNames::of(&self.settings) {
             true => self.module.remember(now, &snapshot).map_err(|fault| fault.to_string()),
@@ -877,7 +877,7 @@
                 self.handle_attempt_end(attempt, end, WireUsage::default())
             }
             (Err(reason), _) => {
-                let host = self.servers.get(attempt.upstream).map_or("?", |server| &server.host.host);
+                let host = self.servers.get(attempt.upstream).map_or("?", |server| &server.host.name);
                 self.log.line(format!("upstream {host}: {reason}"));
                 let end = AttemptEnd::Outcome(Outcome::Unreachable, None);
                 self.handle_attempt_end(attempt, end, WireUsage::default());
@@ -934,7 +934,7 @@
         self.log.trace(|| {
             let open = self.open_requests.get(&attempt.request);
             let (id, class) = open.map_or(("gone", "-"), |open| (&*open.id, self.class_name(open.class)));
-            let host = self.servers.get(attempt.upstream).map_or("?", |server| &server.host.host);
+            let host = self.servers.get(attempt.upstream).map_or("?", |server| &server.host.name);
             format!(
                 "attempt request={id} class={class} number={} upstream={host} port={} bytes={} sent_ms={:.1} took_ms={:.1} \
                  outcome={outcome:?} may_have_run={}",
@@ -1052,7 +1052,7 @@
     /// complete.
     fn apply_list(&mut self, list: &HostList, restored: bool) {
         self.seq = list.seq;
-        let is_complete = list.whole || restored;
+        let is_complete = list.complete || restored;
         let now = self.module_time(Instant::now());
         let listings = self.servers.apply(list, is_complete, &self.settings, now, &self.log);
         self.metrics.seq.store(self.seq, Ordering::Relaxed);
--- a/crates/sidecar/src/handover/message.rs
+++ b/crates/sidecar/src/handover/message.rs
@@ -143,7 +143,7 @@
             Message::Hello { v: VERSION },
             Message::Estate(Box::new(estate())),
             Message::Stands(standing),
-            Message::News { list: HostList { seq: 7, whole: false, hosts: Vec::new() } },
+            Message::News { list: HostList { seq: 7, complete: false, hosts: Vec::new() } },
         ]
     }
 
--- a/crates/sidecar/src/hosts.rs
+++ b/crates/sidecar/src/hosts.rs
@@ -13,8 +13,8 @@
     /// Version.
     pub seq: u64,
     /// Whether the list is complete, rather than changes.
-    #[serde(default)]
-    pub whole: bool,
+    #[serde(rename = "whole", default)]
+    pub complete: bool,
     /// The entries. Each is decoded on its own, so that an invalid entry does not invalidate the others.
     pub hosts: Vec<serde_json::Value>,
 }
@@ -23,26 +23,28 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Host {
     /// Name, the same for all sidecars.
-    pub host: String,
+    #[serde(rename = "host")]
+    pub name: String,
     /// Address that it listens on.
-    pub dial: SocketAddr,
+    #[serde(rename = "dial")]
+    pub address: SocketAddr,
     /// Zone.
-    #[serde(default)]
-    pub site: String,
+    #[serde(rename = "site", default)]
+    pub zone: String,
     /// Kind of machine.
-    #[serde(default)]
-    pub class: String,
+    #[serde(rename = "class", default)]
+    pub kind: String,
     /// Cell.
-    #[serde(default)]
-    pub block: u64,
+    #[serde(rename = "block", default)]
+    pub cell: u64,
     /// Whether it accepts new requests.
     pub health: Health,
     /// Weight: its size relative to other upstreams.
-    #[serde(default = "default_weight")]
-    pub share: f64,
+    #[serde(rename = "share", default = "default_weight")]
+    pub weight: f64,
     /// Start time of its current incarnation, in Unix milliseconds; 0 for long ago.
-    #[serde(default)]
-    pub born_ms: f64,
+    #[serde(rename = "born_ms", default)]
+    pub started_ms: f64,
 }
 
 fn default_weight() -> f64 {
@@ -65,9 +67,9 @@
     /// The valid entries. Invalid entries are logged.
     pub fn entries(&self, log: &Log) -> Vec<Host> {
         let decode = |entry: &serde_json::Value| match Host::deserialize(entry) {
-            Ok(host) if host.share.is_finite() && host.born_ms.is_finite() => Some(host),
+            Ok(host) if host.weight.is_finite() && host.started_ms.is_finite() => Some(host),
             Ok(host) => {
-                log.line(format!("discovery: the share or born_ms of {} is not finite", host.host));
+                log.line(format!("discovery: the share or born_ms of {} is not finite", host.name));
                 None
             }
             Err(error) => {
@@ -96,7 +98,7 @@
             {"host":"b","dial":"nowhere","health":"ready"},{"host":"c","dial":"127.0.0.1:1","health":"odd"}, 7]}"#,
         )
         .unwrap();
-        let names: Vec<String> = list.entries(&Log::process()).into_iter().map(|host| host.host).collect();
+        let names: Vec<String> = list.entries(&Log::process()).into_iter().map(|host| host.name).collect();
         assert_eq!(names, ["a"]);
     }
 }
--- a/crates/sidecar/src/servers.rs
+++ b/crates/sidecar/src/servers.rs
@@ -29,7 +29,7 @@
 impl Server {
     /// The address that it listens on.
     pub fn address(&self) -> SocketAddr {
-        self.host.dial
+        self.host.address
     }
 
     /// Marks it as gone and closes its idle connections. Connections that are returned later are closed as
@@ -66,10 +66,10 @@
         self.by_id.get_mut(&id)
     }
 
-    /// The id of a host, if its current incarnation started at `born_ms`.
-    pub fn id_of(&self, host: &str, born_ms: f64) -> Option<UpstreamId> {
+    /// The id of a host, if its current incarnation started at `started_ms`.
+    pub fn id_of(&self, host: &str, started_ms: f64) -> Option<UpstreamId> {
         let id = *self.ids.get(host)?;
-        self.by_id.get(&id).filter(|server| server.host.born_ms == born_ms).map(|_| id)
+        self.by_id.get(&id).filter(|server| server.host.started_ms == started_ms).map(|_| id)
     }
 
     /// The pools of all servers.
@@ -108,26 +108,26 @@
 
     /// Applies the entry of one host.
     fn apply_host(&mut self, host: &Host, settings: &SettingsObject, now: Millis) -> Listing {
-        let id = *self.ids.entry(host.host.clone()).or_insert_with(|| {
+        let id = *self.ids.entry(host.name.clone()).or_insert_with(|| {
             self.last_id += 1;
             UpstreamId(self.last_id)
         });
         let lifecycle = if host.health == Health::Ready { Lifecycle::Serving } else { Lifecycle::Draining };
-        let same_incarnation = self.by_id.get(&id).filter(|server| server.host.born_ms == host.born_ms);
+        let same_incarnation = self.by_id.get(&id).filter(|server| server.host.started_ms == host.started_ms);
         // The start time comes from another machine's clock. If it lies in the future, it counts as now.
         let started = match same_incarnation {
             Some(server) => server.listing.started,
-            None => (host.born_ms > 0.0).then(|| (host.born_ms - self.epoch_unix_ms).min(now)),
+            None => (host.started_ms > 0.0).then(|| (host.started_ms - self.epoch_unix_ms).min(now)),
         };
         let listing = Listing {
             upstream: id,
-            zone: ZoneId(settings.zone_id(&host.site)),
-            cell: CellId(host.block),
-            kind: KindId(settings.kind_id(&host.class)),
+            zone: ZoneId(settings.zone_id(&host.zone)),
+            cell: CellId(host.cell),
+            kind: KindId(settings.kind_id(&host.kind)),
             lifecycle,
-            weight: host.share,
+            weight: host.weight,
             started,
-            key: subset::key(&host.host),
+            key: subset::key(&host.name),
         };
         let server = self.by_id.entry(id).or_insert_with(|| Server {
             host: host.clone(),
@@ -137,7 +137,7 @@
             gone: false,
         });
         // Connections to a former address or incarnation are dead, or lead to the wrong process.
-        if server.host.dial != host.dial || server.host.born_ms != host.born_ms {
+        if server.host.address != host.address || server.host.started_ms != host.started_ms {
             server.incarnation += 1;
             server.pool.close_all();
         }
@@ -156,7 +156,7 @@
     pub fn to_host_list(&self, seq: u64) -> HostList {
         let present = self.by_id.values().filter(|server| !server.gone);
         let hosts = present.filter_map(|server| serde_json::to_value(&server.host).ok()).collect();
-        HostList { seq, whole: true, hosts }
+        HostList { seq, complete: true, hosts }
     }
 
     /// Number of servers that serve or drain.
@@ -239,6 +239,6 @@
         servers.apply(&list_of_one(2, "ready"), true, &settings, 9.0, &Log::process());
         servers.remove_gone(std::iter::empty());
         assert_eq!(servers.len(), (1, 1), "only the second server is left");
-        assert!(servers.by_id.values().all(|server| server.host.host == "h2"));
+        assert!(servers.by_id.values().all(|server| server.host.name == "h2"));
     }
 }
--- a/crates/stage/src/discovery.rs
+++ b/crates/stage/src/discovery.rs
@@ -53,7 +53,7 @@
             .values()
             .filter(|(seq, host)| if whole { host.health != Health::Gone } else { *seq > from });
         let hosts = changed.filter_map(|(_, host)| serde_json::to_value(host).ok()).collect();
-        let told = HostList { seq: list.seq, whole, hosts };
+        let told = HostList { seq: list.seq, complete: whole, hosts };
         (list.seq, serde_json::to_string(&told).unwrap_or_default() + "\n")
     }
 }
@@ -107,7 +107,16 @@
         let mut list = self.state.list();
         list.seq += 1;
         let (site, class) = (site.to_owned(), "std".to_owned());
-        let host = Host { host: name.to_owned(), dial, site, class, block, health, share, born_ms };
+        let host = Host {
+            name: name.to_owned(),
+            address: dial,
+            zone: site,
+            kind: class,
+            cell: block,
+            health,
+            weight: share,
+            started_ms: born_ms,
+        };
         let seq = list.seq;
         list.hosts.insert(name.to_owned(), (seq, host));
         drop(list);
--- a/crates/udp/src/servers.rs
+++ b/crates/udp/src/servers.rs
@@ -32,8 +32,8 @@
     let hosts = list.entries(log);
     let (gone, here): (Vec<&Host>, Vec<&Host>) = hosts.iter().partition(|host| host.health == Health::Gone);
     let entries: Vec<Entry> = here.iter().map(|host| entry(host, listener, epoch)).collect();
-    let mut gone: Vec<String> = gone.iter().map(|host| host.host.clone()).collect();
-    if list.whole {
+    let mut gone: Vec<String> = gone.iter().map(|host| host.name.clone()).collect();
+    if list.complete {
         let unread: HashSet<&str> = list.undecodable_names().collect();
         let named: HashSet<&str> = entries.iter().map(|entry| entry.name.as_str()).collect();
         let missing =
@@ -46,14 +46,14 @@
 }
 
 fn entry(host: &Host, listener: &Listener, epoch: f64) -> Entry {
-    let place = listener.zones.iter().position(|zone| *zone == host.site);
+    let place = listener.zones.iter().position(|zone| *zone == host.zone);
     Entry {
-        name: host.host.clone(),
-        dial: SocketAddr::new(host.dial.ip(), listener.port.unwrap_or(host.dial.port())),
+        name: host.name.clone(),
+        dial: SocketAddr::new(host.address.ip(), listener.port.unwrap_or(host.address.port())),
         // A zone that is not named is far from all.
         zone: place.map_or(u64::MAX, |place| place as u64),
-        weight: if host.share > 0.0 { host.share } else { 1.0 },
-        started: (host.born_ms > 0.0).then_some(host.born_ms - epoch),
+        weight: if host.weight > 0.0 { host.weight } else { 1.0 },
+        started: (host.started_ms > 0.0).then_some(host.started_ms - epoch),
         serving: host.health == Health::Ready,
     }
 }
