--- a/crates/decide/tests/upload.rs
+++ b/crates/decide/tests/upload.rs
@@ -8,19 +8,19 @@
 use sagemast_decide::api::*;
 
 /// A decision module without probes, and the requests sent to it.
-struct UploadStage {
+struct UploadHarness {
     balancer: Balancer,
     next_request: u64,
 }
 
-impl UploadStage {
-    fn new(servers: u64) -> UploadStage {
+impl UploadHarness {
+    fn new(servers: u64) -> UploadHarness {
         let mut settings = settings();
         settings.limits.probes = false;
-        let mut stage = UploadStage { balancer: Balancer::new(settings, 7), next_request: 1 };
+        let mut harness = UploadHarness { balancer: Balancer::new(settings, 7), next_request: 1 };
         let list = (1..=servers).map(listing).collect();
-        stage.event(0.0, Event::ListReceived(ListUpdate::Complete(list)));
-        stage
+        harness.event(0.0, Event::ListReceived(ListUpdate::Complete(list)));
+        harness
     }
 
     fn event(&mut self, now: Millis, event: Event) -> Vec<Action> {
@@ -72,36 +72,36 @@
 
 #[test]
 fn slow_uploads_do_not_fill_servers_until_their_last_byte() {
-    let mut stage = UploadStage::new(2);
+    let mut harness = UploadHarness::new(2);
     let uploads: Vec<RequestId> = (0..40)
         .map(|number| {
-            let (request, sent) = stage.arrive(f64::from(number), NON_IDEMPOTENT);
+            let (request, sent) = harness.arrive(f64::from(number), NON_IDEMPOTENT);
             assert!(sent.is_some(), "request {number} is refused");
-            stage.upload(f64::from(number), request, true);
+            harness.upload(f64::from(number), request, true);
             request
         })
         .collect();
     // 20 s later the uploads still count as no load, and no server as unresponsive.
     for number in 0..20 {
         let now = 20_000.0 + 30.0 * f64::from(number);
-        let (request, sent) = stage.arrive(now, IDEMPOTENT);
+        let (request, sent) = harness.arrive(now, IDEMPOTENT);
         let (upstream, _) = sent.expect("the servers have capacity");
-        stage.finish(now + 20.0, request, upstream, Outcome::Ok);
+        harness.finish(now + 20.0, request, upstream, Outcome::Ok);
     }
     // All uploads end at once and become load.
-    uploads.into_iter().for_each(|request| stage.upload(21_000.0, request, false));
-    let refused = (0..10).filter(|_| stage.arrive(21_001.0, IDEMPOTENT).1.is_none()).count();
+    uploads.into_iter().for_each(|request| harness.upload(21_000.0, request, false));
+    let refused = (0..10).filter(|_| harness.arrive(21_001.0, IDEMPOTENT).1.is_none()).count();
     assert_eq!(refused, 10, "forty requests are in flight");
 }
 
 #[test]
 fn time_of_a_request_counts_from_the_last_byte_of_its_upload() {
-    let mut stage = UploadStage::new(3);
-    let (request, sent) = stage.arrive(0.0, IDEMPOTENT);
-    stage.upload(0.0, request, true);
-    stage.upload(5_000.0, request, false);
+    let mut harness = UploadHarness::new(3);
+    let (request, sent) = harness.arrive(0.0, IDEMPOTENT);
+    harness.upload(0.0, request, true);
+    harness.upload(5_000.0, request, false);
     // The server turns the attempt away: there is time for another one, on any server.
-    let actions = stage.finish(5_010.0, request, sent.expect("the request is sent").0, Outcome::Full);
+    let actions = harness.finish(5_010.0, request, sent.expect("the request is sent").0, Outcome::Full);
     let retry_timeout = actions.iter().find_map(|action| match action {
         Action::Send { timeout, .. } => Some(*timeout),
         _ => None,
@@ -111,33 +111,33 @@
 
 #[test]
 fn attempt_that_ends_during_its_upload_leaves_no_load_behind() {
-    let mut stage = UploadStage::new(1);
+    let mut harness = UploadHarness::new(1);
     for number in 0..200 {
         let now = 50.0 * f64::from(number);
-        let (request, sent) = stage.arrive(now, NON_IDEMPOTENT);
+        let (request, sent) = harness.arrive(now, NON_IDEMPOTENT);
         let (upstream, _) = sent.expect("the server has capacity");
-        stage.upload(now, request, true);
-        stage.upload(now + 1.0, request, true);
-        let actions = stage.finish(now + 30.0, request, upstream, Outcome::NotSent);
+        harness.upload(now, request, true);
+        harness.upload(now + 1.0, request, true);
+        let actions = harness.finish(now + 30.0, request, upstream, Outcome::NotSent);
         assert!(matches!(actions[..], [Action::Refuse { .. }]), "the request was not executed: {actions:?}");
     }
 }
 
 #[test]
 fn server_that_leaves_during_an_upload_is_not_selected_again() {
-    let mut stage = UploadStage::new(2);
-    let (request, sent) = stage.arrive(0.0, NON_IDEMPOTENT);
+    let mut harness = UploadHarness::new(2);
+    let (request, sent) = harness.arrive(0.0, NON_IDEMPOTENT);
     let (upstream, _) = sent.expect("the request is sent");
-    stage.upload(0.0, request, true);
+    harness.upload(0.0, request, true);
     let draining = Listing { lifecycle: Lifecycle::Draining, ..listing(upstream.0) };
-    stage.event(10.0, Event::ListReceived(ListUpdate::Changed(vec![draining])));
-    stage.upload(20.0, request, false);
-    let actions = stage.finish(30.0, request, upstream, Outcome::Reset);
+    harness.event(10.0, Event::ListReceived(ListUpdate::Changed(vec![draining])));
+    harness.upload(20.0, request, false);
+    let actions = harness.finish(30.0, request, upstream, Outcome::Reset);
     assert!(matches!(actions[..], [Action::Fail(_)]), "the request may have run: {actions:?}");
     for _ in 0..20 {
-        if let (request, Some((to, _))) = stage.arrive(40.0, IDEMPOTENT) {
+        if let (request, Some((to, _))) = harness.arrive(40.0, IDEMPOTENT) {
             assert_ne!(to, upstream);
-            stage.finish(50.0, request, to, Outcome::Ok);
+            harness.finish(50.0, request, to, Outcome::Ok);
         }
     }
 }
