--- a/crates/cli/src/sidecar.rs
+++ b/crates/cli/src/sidecar.rs
@@ -53,7 +53,7 @@
         Some(text) => {
             let socket = inherited_listener::adopt(&text.to_string_lossy(), config.listen)
                 .context("bad ROUTER_SOCKET_FD")?;
-            front::listen_on(socket)?
+            front::listener_from(socket)?
         }
         None => front::listen(config.listen)?,
     };
@@ -75,7 +75,7 @@
     };
     let sidecars = config.settings.settings().sidecars;
     let ResourceLimits { connections, transfers } = config.resource_limits()?;
-    let held = Budgets::with(connections, transfers);
+    let held = Budgets::with_limits(connections, transfers);
     log.line(format!("listening on {address}"));
     let (instance, control) = Instance::new(InstanceConfig {
         settings: config.identified(),
@@ -125,8 +125,8 @@
     let at_most = control.longest_deadline() + LAST_MARGIN;
     // Without a successor nobody else accepts those who wait.
     control.drain(match succession.as_ref().is_some_and(SuccessionHandle::is_succeeded) {
-        true => Drain::HandOver { linger: LAST_CALL, at_most },
-        false => Drain::Close { linger: STILL_COMING, at_most },
+        true => Drain::HandOver { linger: LAST_CALL, max_duration: at_most },
+        false => Drain::Close { linger: STILL_COMING, max_duration: at_most },
     });
     match running.await.context("the instance has failed")? {
         ExitReason::Drained => Ok(()),
--- a/crates/daemon/src/grants.rs
+++ b/crates/daemon/src/grants.rs
@@ -29,7 +29,8 @@
     /// What an instance may hold, over all its generations.
     pub fn of(&mut self, name: &Name, spec: &InstanceSpec) -> Budgets {
         let shared = Holder { shares: self.shares.clone(), name: name.clone() };
-        let grant = || Budgets { shared: Some(Arc::new(shared)), ..Budgets::of(spec.connections()) };
+        let grant =
+            || Budgets { shared: Some(Arc::new(shared)), ..Budgets::with_connections(spec.connections()) };
         let budgets = self.by_name.entry(name.clone()).or_insert_with(grant).clone();
         self.resize(name, spec);
         budgets
@@ -53,13 +54,15 @@
     /// Forgets those that are configured no more and hold nothing.
     pub fn forget(&mut self, is_configured: impl Fn(&Name) -> bool) {
         self.by_name.retain(|name, budgets| {
-            is_configured(name) || budgets.clients.held() + budgets.upstreams.held() > 0
+            is_configured(name) || budgets.clients.in_use() + budgets.upstreams.in_use() > 0
         });
     }
 
     /// Connections that an instance holds: of clients, and to upstreams.
     pub fn held(&self, name: &Name) -> [usize; 2] {
-        self.by_name.get(name).map_or([0, 0], |budgets| [budgets.clients.held(), budgets.upstreams.held()])
+        self.by_name
+            .get(name)
+            .map_or([0, 0], |budgets| [budgets.clients.in_use(), budgets.upstreams.in_use()])
     }
 
     /// Connections to the upstream that has most.
@@ -86,7 +89,7 @@
 }
 
 impl SharedConnections for Holder {
-    fn take(&self, dial: SocketAddr) -> Option<Box<dyn Send + Sync>> {
+    fn try_acquire(&self, dial: SocketAddr) -> Option<Box<dyn Send + Sync>> {
         let mut shares = lock(&self.shares);
         let taken = || Taken { shares: self.shares.clone(), name: self.name.clone(), dial };
         shares.take(dial, &self.name).then(|| Box::new(taken()) as Box<dyn Send + Sync>)
--- a/crates/daemon/src/supervisor.rs
+++ b/crates/daemon/src/supervisor.rs
@@ -569,10 +569,10 @@
         let Some(life) = self.lives.get(&generation) else { return };
         let at_most = self.fleet.process.drain_at_most.max(life.control.longest_deadline() + LAST_MARGIN);
         let how = if leave == Leave::HandOver || self.succession.is_left(&life.place) {
-            Drain::HandOver { linger: Duration::ZERO, at_most }
+            Drain::HandOver { linger: Duration::ZERO, max_duration: at_most }
         } else {
             let linger = if self.listeners.shut(&life.place) { HALF_IN } else { STILL_COMING };
-            Drain::Close { linger, at_most }
+            Drain::Close { linger, max_duration: at_most }
         };
         life.control.drain(how);
     }
--- a/crates/sidecar/benches/ordinary_path.rs
+++ b/crates/sidecar/benches/ordinary_path.rs
@@ -139,7 +139,7 @@
                 estate: None,
                 known: None::<HostList>,
                 listener: Arc::new(tokio::net::TcpListener::from_std(listener).expect("a listener")),
-                budgets: Budgets::of(64),
+                budgets: Budgets::with_connections(64),
                 crossing: None,
                 log: Log::process(),
                 listening: EventSink::nowhere(),
--- a/crates/sidecar/src/budget.rs
+++ b/crates/sidecar/src/budget.rs
@@ -29,12 +29,12 @@
     }
 
     /// Takes one, if there is one.
-    pub fn take(&self) -> Option<QuotaPermit> {
-        self.take_beyond(0)
+    pub fn try_acquire(&self) -> Option<QuotaPermit> {
+        self.try_acquire_beyond(0)
     }
 
     /// Takes one of those, or of so many more: for what is about to take the place of another.
-    pub fn take_beyond(&self, extra: usize) -> Option<QuotaPermit> {
+    pub fn try_acquire_beyond(&self, extra: usize) -> Option<QuotaPermit> {
         let limit = self.limit().saturating_add(extra);
         let more = |held: usize| (held < limit).then_some(held + 1);
         self.0.held.fetch_update(Ordering::AcqRel, Ordering::Relaxed, more).ok()?;
@@ -52,7 +52,7 @@
     }
 
     /// How many are held.
-    pub fn held(&self) -> usize {
+    pub fn in_use(&self) -> usize {
         self.0.held.load(Ordering::Acquire)
     }
 }
@@ -76,7 +76,7 @@
 
 impl ResourceCounts {
     /// The same of each.
-    pub fn with(self, other: ResourceCounts, how: impl Fn(usize, usize) -> usize) -> ResourceCounts {
+    pub fn zip_with(self, other: ResourceCounts, how: impl Fn(usize, usize) -> usize) -> ResourceCounts {
         ResourceCounts {
             clients: how(self.clients, other.clients),
             upstreams: how(self.upstreams, other.upstreams),
@@ -106,13 +106,13 @@
     }
 
     /// Takes one, if there is one.
-    pub fn take(&self) -> Option<TransferPermit> {
+    pub fn try_acquire(&self) -> Option<TransferPermit> {
         let permit = self.0.semaphore.clone().try_acquire_owned().ok()?;
         Some(TransferPermit { permit: Some(permit), room: self.0.clone() })
     }
 
     /// Waits for one.
-    pub async fn wait(&self) -> Option<TransferPermit> {
+    pub async fn acquire(&self) -> Option<TransferPermit> {
         // Nobody closes it.
         let permit = self.0.semaphore.clone().acquire_owned().await.ok()?;
         Some(TransferPermit { permit: Some(permit), room: self.0.clone() })
@@ -124,7 +124,7 @@
     }
 
     /// How many are held.
-    pub fn held(&self) -> usize {
+    pub fn in_use(&self) -> usize {
         let owed = *self.0.owed.lock().unwrap_or_else(PoisonError::into_inner);
         (self.limit() + owed).saturating_sub(self.0.semaphore.available_permits())
     }
@@ -165,7 +165,7 @@
 pub trait SharedConnections: Send + Sync {
     /// The right to one more connection to this address, returned when dropped. `None` when there is none left
     /// for this instance.
-    fn take(&self, dial: SocketAddr) -> Option<Box<dyn Send + Sync>>;
+    fn try_acquire(&self, dial: SocketAddr) -> Option<Box<dyn Send + Sync>>;
 }
 
 /// The right to one connection to an upstream.
@@ -190,12 +190,12 @@
 
 impl Budgets {
     /// So many connections on each side, and a transfer for each, shared with nobody.
-    pub fn of(connections: usize) -> Budgets {
-        Budgets::with(connections, connections)
+    pub fn with_connections(connections: usize) -> Budgets {
+        Budgets::with_limits(connections, connections)
     }
 
     /// So many connections on each side and so many transfers, shared with nobody.
-    pub fn with(connections: usize, transfers: usize) -> Budgets {
+    pub fn with_limits(connections: usize, transfers: usize) -> Budgets {
         Budgets {
             clients: Quota::new(connections),
             upstreams: Quota::new(connections),
@@ -214,26 +214,26 @@
     }
 
     /// What is held.
-    pub fn held(&self) -> ResourceCounts {
+    pub fn in_use(&self) -> ResourceCounts {
         ResourceCounts {
-            clients: self.clients.held(),
-            upstreams: self.upstreams.held(),
-            transfers: self.transfers.held(),
+            clients: self.clients.in_use(),
+            upstreams: self.upstreams.in_use(),
+            transfers: self.transfers.in_use(),
         }
     }
 
     /// Changes what may be held.
-    pub fn limit(&self, to: ResourceCounts) {
+    pub fn set_limits(&self, to: ResourceCounts) {
         self.clients.set_limit(to.clients);
         self.upstreams.set_limit(to.upstreams);
         self.transfers.set_limit(to.transfers);
     }
 
     /// The right to one more connection to this address.
-    pub fn permit(&self, dial: SocketAddr) -> Option<UpstreamPermit> {
-        let own = self.upstreams.take()?;
+    pub fn upstream_permit(&self, dial: SocketAddr) -> Option<UpstreamPermit> {
+        let own = self.upstreams.try_acquire()?;
         let shared = match &self.shared {
-            Some(shared) => Some(shared.take(dial)?),
+            Some(shared) => Some(shared.try_acquire(dial)?),
             None => None,
         };
         Some(UpstreamPermit { _own: own, _shared: shared })
@@ -247,29 +247,29 @@
     #[test]
     fn no_more_is_given_than_there_is_and_all_comes_back() {
         let quota = Quota::new(2);
-        let (first, second) = (quota.take(), quota.take());
-        assert!(first.is_some() && second.is_some() && quota.take().is_none());
+        let (first, second) = (quota.try_acquire(), quota.try_acquire());
+        assert!(first.is_some() && second.is_some() && quota.try_acquire().is_none());
         quota.set_limit(1);
         drop(first);
-        assert!(quota.take().is_none(), "one is held, and one is all there may be");
+        assert!(quota.try_acquire().is_none(), "one is held, and one is all there may be");
         drop(second);
-        assert_eq!(quota.held(), 0);
-        assert!(quota.take().is_some());
+        assert_eq!(quota.in_use(), 0);
+        assert!(quota.try_acquire().is_some());
     }
 
     #[test]
     fn room_shrinks_and_grows_while_it_is_held() {
         let room = TransferLimit::new(4);
-        let mut held: Vec<_> = (0..3).filter_map(|_| room.take()).collect();
+        let mut held: Vec<_> = (0..3).filter_map(|_| room.try_acquire()).collect();
         room.set_limit(1);
-        assert_eq!((room.held(), room.limit()), (3, 1));
+        assert_eq!((room.in_use(), room.limit()), (3, 1));
         held.pop();
-        assert!(room.take().is_none(), "two are held, and one is all there may be");
+        assert!(room.try_acquire().is_none(), "two are held, and one is all there may be");
         room.set_limit(3);
-        assert!(room.take().is_some());
+        assert!(room.try_acquire().is_some());
         held.clear();
-        assert_eq!(room.held(), 0);
-        let all: Vec<_> = std::iter::from_fn(|| room.take()).collect();
+        assert_eq!(room.in_use(), 0);
+        let all: Vec<_> = std::iter::from_fn(|| room.try_acquire()).collect();
         assert_eq!(all.len(), 3);
         let mut rng = oorandom::Rand64::new(6);
         let (room, mut held) = (TransferLimit::new(20), Vec::new());
@@ -279,27 +279,27 @@
                 1 | 2 => drop(held.pop()),
                 _ => {
                     let before = held.len();
-                    held.extend(room.take());
+                    held.extend(room.try_acquire());
                     assert!(held.len() == before || held.len() <= room.limit());
                 }
             }
-            assert_eq!(room.held(), held.len());
+            assert_eq!(room.in_use(), held.len());
         }
         held.clear();
         room.set_limit(7);
-        assert_eq!(std::iter::from_fn(|| room.take()).map(std::mem::forget).count(), 7);
+        assert_eq!(std::iter::from_fn(|| room.try_acquire()).map(std::mem::forget).count(), 7);
     }
 
     #[test]
     fn what_the_shared_limit_refuses_costs_nothing_of_its_own() {
         struct None_;
         impl SharedConnections for None_ {
-            fn take(&self, _: SocketAddr) -> Option<Box<dyn Send + Sync>> {
+            fn try_acquire(&self, _: SocketAddr) -> Option<Box<dyn Send + Sync>> {
                 None
             }
         }
-        let budgets = Budgets { shared: Some(Arc::new(None_)), ..Budgets::of(4) };
-        assert!(budgets.permit(([127, 0, 0, 1], 1).into()).is_none());
-        assert_eq!(budgets.upstreams.held(), 0);
+        let budgets = Budgets { shared: Some(Arc::new(None_)), ..Budgets::with_connections(4) };
+        assert!(budgets.upstream_permit(([127, 0, 0, 1], 1).into()).is_none());
+        assert_eq!(budgets.upstreams.in_use(), 0);
     }
 }
--- a/crates/sidecar/src/client.rs
+++ b/crates/sidecar/src/client.rs
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, Sleep, sleep};
 
-use crate::client_disconnect::{ClientConnection, Shared};
+use crate::client_disconnect::{ClientConnection, SharedStream};
 use crate::connection_activity::ConnectionActivity;
 use crate::io_counts;
 use crate::transfer::framing::Framing;
@@ -39,7 +39,7 @@
 /// A client's stream.
 pub struct Client {
     /// Others may look whether the client is there; nobody else reads or writes.
-    stream: Shared,
+    stream: SharedStream,
     /// What others may know of it, and what its bytes tell.
     slot: Arc<ConnectionActivity>,
     framing: Framing,
@@ -63,7 +63,7 @@
         // Without it a pace cannot be told; that is no reason not to serve.
         let _ = SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER_BYTES);
         let stream = Arc::new(Mutex::new(stream));
-        slot.belongs_to(ClientConnection::of(&stream));
+        slot.belongs_to(ClientConnection::from_stream(&stream));
         Client {
             stream,
             slot,
@@ -80,7 +80,7 @@
 
     /// Whether a request has come whole that has no answer yet.
     fn is_asked(&self) -> bool {
-        self.framing.whole() > self.slot.answered()
+        self.framing.complete_requests() > self.slot.answered()
     }
 
     /// Asks the socket itself for what has come, and gives that to be read; false where nothing has.
@@ -117,10 +117,10 @@
     /// Tells whether another request waits behind the open one: it was taken as well, and its connection must not be closed
     /// before it is answered. One that is longer than what is kept may be whole in the kernel.
     fn look_ahead(&mut self) {
-        if self.next.whole() == 0 {
+        if self.next.complete_requests() == 0 {
             self.next_bytes += self.next.feed(&self.ahead[self.next_bytes..]);
         }
-        let waits = self.next.whole() > 0 || self.ahead.len() >= AHEAD_BYTES;
+        let waits = self.next.complete_requests() > 0 || self.ahead.len() >= AHEAD_BYTES;
         // Before the present one is whole, what is kept is still a part of it.
         self.slot.set_next_request((waits && self.is_asked()).then_some(self.ahead_at));
     }
@@ -174,14 +174,14 @@
 }
 
 /// Nothing that is held under it can panic, and nobody holds it for longer than one call.
-fn lock(stream: &Shared) -> MutexGuard<'_, TcpStream> {
+fn lock(stream: &SharedStream) -> MutexGuard<'_, TcpStream> {
     stream.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 /// Takes in what came, up to the end of a request; how much that is.
 fn came(framing: &mut Framing, slot: &ConnectionActivity, bytes: &[u8]) -> usize {
     let fed = framing.feed(bytes);
-    slot.came(framing.in_head(), framing.doubled());
+    slot.came(framing.in_head(), framing.first_ambiguous_request());
     fed
 }
 
--- a/crates/sidecar/src/client_disconnect.rs
+++ b/crates/sidecar/src/client_disconnect.rs
@@ -17,7 +17,7 @@
 const ENDS: PollFlags = PollFlags::RDHUP.union(PollFlags::HUP).union(PollFlags::ERR).union(PollFlags::NVAL);
 
 /// A client's socket as its connection owns it.
-pub type Shared = Arc<Mutex<TcpStream>>;
+pub type SharedStream = Arc<Mutex<TcpStream>>;
 
 /// A client, as those who work for it know it. It keeps no socket open.
 #[derive(Debug, Clone)]
@@ -25,7 +25,7 @@
 
 impl ClientConnection {
     /// That of the client whose socket this is.
-    pub fn of(stream: &Shared) -> ClientConnection {
+    pub fn from_stream(stream: &SharedStream) -> ClientConnection {
         ClientConnection(Arc::downgrade(stream))
     }
 }
@@ -36,31 +36,34 @@
     /// Who asks.
     pub client: ClientConnection,
     /// Until when an answer is of use.
-    pub until: Instant,
+    pub expires_at: Instant,
 }
 
 /// What was found right before the first byte.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionCheck {
     /// Nothing speaks against it.
-    Clear,
+    Proceed,
     /// The upstream has closed, or has sent what nobody asked for.
-    Unusable,
+    UpstreamUnusable,
     /// Its time is up, or its client has left: closed, reset, or done with sending, whatever lies unread before that.
-    Unwanted,
+    RequestObsolete,
 }
 
 /// Looks at the upstream's socket and the client's in one call.
 ///
 /// # Errors
 /// The system cannot tell.
-pub fn look(upstream: &TcpStream, terms: Option<&WriteConditions>) -> io::Result<ConnectionCheck> {
+pub fn check_before_write(
+    upstream: &TcpStream,
+    terms: Option<&WriteConditions>,
+) -> io::Result<ConnectionCheck> {
     let client = match terms {
         None => None,
-        Some(terms) if Instant::now() >= terms.until => return Ok(ConnectionCheck::Unwanted),
+        Some(terms) if Instant::now() >= terms.expires_at => return Ok(ConnectionCheck::RequestObsolete),
         Some(terms) => match terms.client.0.upgrade() {
             Some(client) => Some(client),
-            None => return Ok(ConnectionCheck::Unwanted),
+            None => return Ok(ConnectionCheck::RequestObsolete),
         },
     };
     let client = client.as_ref().map(|client| client.lock().unwrap_or_else(PoisonError::into_inner));
@@ -78,9 +81,9 @@
         }
     };
     Ok(match (theirs.intersects(ENDS), ours.intersects(ENDS | PollFlags::IN)) {
-        (true, _) => ConnectionCheck::Unwanted,
-        (false, true) => ConnectionCheck::Unusable,
-        (false, false) => ConnectionCheck::Clear,
+        (true, _) => ConnectionCheck::RequestObsolete,
+        (false, true) => ConnectionCheck::UpstreamUnusable,
+        (false, false) => ConnectionCheck::Proceed,
     })
 }
 
--- a/crates/sidecar/src/client_disconnect/tests.rs
+++ b/crates/sidecar/src/client_disconnect/tests.rs
@@ -18,8 +18,8 @@
     (TcpStream::from_std(accepted).unwrap(), peer)
 }
 
-fn terms(client: &Shared, left: Duration) -> WriteConditions {
-    WriteConditions { client: ClientConnection::of(client), until: Instant::now() + left }
+fn terms(client: &SharedStream, left: Duration) -> WriteConditions {
+    WriteConditions { client: ClientConnection::from_stream(client), expires_at: Instant::now() + left }
 }
 
 const LONG: Duration = Duration::from_secs(60);
@@ -36,8 +36,8 @@
             // What does not go in stays out.
             let _ = client.write(&vec![b'x'; unread]);
             assert_eq!(
-                look(&upstream, Some(&terms)).unwrap(),
-                ConnectionCheck::Clear,
+                check_before_write(&upstream, Some(&terms)).unwrap(),
+                ConnectionCheck::Proceed,
                 "{unread} bytes are no end"
             );
             let held = match leave {
@@ -56,8 +56,8 @@
                 }
             };
             assert_eq!(
-                look(&upstream, Some(&terms)).unwrap(),
-                ConnectionCheck::Unwanted,
+                check_before_write(&upstream, Some(&terms)).unwrap(),
+                ConnectionCheck::RequestObsolete,
                 "{unread} bytes, way {leave}"
             );
             drop(held);
@@ -71,7 +71,7 @@
     let stream = Arc::new(Mutex::new(stream));
     let terms = terms(&stream, LONG);
     drop(stream);
-    assert_eq!(look(&upstream, Some(&terms)).unwrap(), ConnectionCheck::Unwanted);
+    assert_eq!(check_before_write(&upstream, Some(&terms)).unwrap(), ConnectionCheck::RequestObsolete);
     assert_eq!(std::io::Read::read(&mut client, &mut [0; 1]).unwrap(), 0);
 }
 
@@ -82,14 +82,18 @@
     let terms = [LONG, Duration::ZERO].map(|left| terms(&stream, left));
     let (upstream, mut peer) = pair();
     for asked in [None, Some(&terms[0])] {
-        assert_eq!(look(&upstream, asked).unwrap(), ConnectionCheck::Clear);
+        assert_eq!(check_before_write(&upstream, asked).unwrap(), ConnectionCheck::Proceed);
     }
-    assert_eq!(look(&upstream, Some(&terms[1])).unwrap(), ConnectionCheck::Unwanted, "its time is up");
+    assert_eq!(
+        check_before_write(&upstream, Some(&terms[1])).unwrap(),
+        ConnectionCheck::RequestObsolete,
+        "its time is up"
+    );
     peer.write_all(b"x").unwrap();
     for asked in [None, Some(&terms[0])] {
-        assert_eq!(look(&upstream, asked).unwrap(), ConnectionCheck::Unusable);
+        assert_eq!(check_before_write(&upstream, asked).unwrap(), ConnectionCheck::UpstreamUnusable);
     }
     let (upstream, peer) = pair();
     drop(peer);
-    assert_eq!(look(&upstream, None).unwrap(), ConnectionCheck::Unusable);
+    assert_eq!(check_before_write(&upstream, None).unwrap(), ConnectionCheck::UpstreamUnusable);
 }
--- a/crates/sidecar/src/connection.rs
+++ b/crates/sidecar/src/connection.rs
@@ -69,7 +69,7 @@
 
     /// Gives it up; when this returns, the socket is closed, and what the kernel had not sent yet never will be.
     pub async fn close(mut self) {
-        self.meter.abort();
+        self.meter.reset_on_close();
         self.task.abort();
         let _ = (&mut self.task).await;
     }
@@ -154,10 +154,10 @@
     async fn what_a_burst_leaves_behind_closes_before_the_one_that_is_used() {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let dial = listener.local_addr().expect("it has an address");
-        let budgets = Budgets::of(8);
+        let budgets = Budgets::with_connections(8);
         let (mut pool, mut accepted) = (Pool::default(), Vec::new());
         for _ in 0..3 {
-            let permit = budgets.permit(dial).expect("there is room");
+            let permit = budgets.upstream_permit(dial).expect("there is room");
             let by = Instant::now() + Duration::from_secs(10);
             let connection = Connection::open(dial, by, permit).await.expect("it connects");
             accepted.push(listener.accept().await.expect("it comes"));
--- a/crates/sidecar/src/connection_close.rs
+++ b/crates/sidecar/src/connection_close.rs
@@ -20,13 +20,13 @@
     /// A head that has begun does not end.
     HeadOverdue,
     /// It is one of many that have been answered and are quiet.
-    LetGo,
+    ExcessQuiet,
     /// Somebody who has just connected needs its place.
-    MakeRoom,
+    Eviction,
     /// The instance ends, or is emptied.
-    Ends,
+    Draining,
     /// The instance ends in a moment: what is taken from now on could not be answered.
-    EndIsNear,
+    ShutdownImminent,
 }
 
 /// What a connection holds.
@@ -41,7 +41,7 @@
     /// A request that was taken and has no answer, or one whose answer is not yet written to its last byte.
     Request,
     /// The same, with others pipelined behind it that were taken as well.
-    Requests,
+    PipelinedRequests,
 }
 
 /// What becomes of it.
@@ -50,26 +50,31 @@
     /// It stays as it is.
     Keep,
     /// We end our writing, and read on for a moment.
-    Shut,
+    Shutdown,
     /// It is closed as it is: nobody could tell what it would have asked for.
-    Drop,
+    CloseNow,
     /// What it carries now is the last.
-    AfterAnswer,
+    CloseAfterAnswer,
 }
 
 /// What becomes of a connection that is to be closed for this reason and holds that.
-pub fn deed(reason: CloseReason, holds: ConnectionContents) -> CloseAction {
+pub fn close_action(reason: CloseReason, holds: ConnectionContents) -> CloseAction {
     match (reason, holds) {
-        (CloseReason::Idle | CloseReason::LetGo | CloseReason::Ends, ConnectionContents::Nothing) => {
-            CloseAction::Shut
-        }
-        (CloseReason::HeadOverdue, ConnectionContents::Head) => CloseAction::Drop,
         (
-            CloseReason::MakeRoom | CloseReason::EndIsNear,
+            CloseReason::Idle | CloseReason::ExcessQuiet | CloseReason::Draining,
+            ConnectionContents::Nothing,
+        ) => CloseAction::Shutdown,
+        (CloseReason::HeadOverdue, ConnectionContents::Head) => CloseAction::CloseNow,
+        (
+            CloseReason::Eviction | CloseReason::ShutdownImminent,
             ConnectionContents::Nothing | ConnectionContents::Head | ConnectionContents::Body,
-        ) => CloseAction::Drop,
-        (CloseReason::MakeRoom | CloseReason::Ends, ConnectionContents::Request) => CloseAction::AfterAnswer,
-        (CloseReason::Idle | CloseReason::Ends, ConnectionContents::Body) => CloseAction::AfterAnswer,
+        ) => CloseAction::CloseNow,
+        (CloseReason::Eviction | CloseReason::Draining, ConnectionContents::Request) => {
+            CloseAction::CloseAfterAnswer
+        }
+        (CloseReason::Idle | CloseReason::Draining, ConnectionContents::Body) => {
+            CloseAction::CloseAfterAnswer
+        }
         _ => CloseAction::Keep,
     }
 }
@@ -81,26 +86,29 @@
     const REASONS: [CloseReason; 6] = [
         CloseReason::Idle,
         CloseReason::HeadOverdue,
-        CloseReason::LetGo,
-        CloseReason::MakeRoom,
-        CloseReason::Ends,
-        CloseReason::EndIsNear,
+        CloseReason::ExcessQuiet,
+        CloseReason::Eviction,
+        CloseReason::Draining,
+        CloseReason::ShutdownImminent,
     ];
     const HOLDS: [ConnectionContents; 5] = [
         ConnectionContents::Nothing,
         ConnectionContents::Head,
         ConnectionContents::Body,
         ConnectionContents::Request,
-        ConnectionContents::Requests,
+        ConnectionContents::PipelinedRequests,
     ];
 
     #[test]
     fn what_was_taken_is_answered_whatever_wants_its_connection() {
         for reason in REASONS {
-            let deed = deed(reason, ConnectionContents::Request);
-            assert!(matches!(deed, CloseAction::Keep | CloseAction::AfterAnswer), "{reason:?}: {deed:?}");
+            let deed = close_action(reason, ConnectionContents::Request);
+            assert!(
+                matches!(deed, CloseAction::Keep | CloseAction::CloseAfterAnswer),
+                "{reason:?}: {deed:?}"
+            );
             assert_eq!(
-                super::deed(reason, ConnectionContents::Requests),
+                super::close_action(reason, ConnectionContents::PipelinedRequests),
                 CloseAction::Keep,
                 "{reason:?}: the others would be lost"
             );
@@ -110,12 +118,12 @@
     #[test]
     fn only_a_newcomer_a_dead_head_or_the_very_end_ends_what_has_begun() {
         for (reason, holds) in REASONS.into_iter().flat_map(|reason| HOLDS.map(|holds| (reason, holds))) {
-            let ends = matches!(deed(reason, holds), CloseAction::Shut | CloseAction::Drop);
+            let ends = matches!(close_action(reason, holds), CloseAction::Shutdown | CloseAction::CloseNow);
             let begun = holds != ConnectionContents::Nothing;
             if ends && begun {
                 let allowed = matches!(
                     reason,
-                    CloseReason::MakeRoom | CloseReason::HeadOverdue | CloseReason::EndIsNear
+                    CloseReason::Eviction | CloseReason::HeadOverdue | CloseReason::ShutdownImminent
                 );
                 assert!(allowed, "{reason:?}, {holds:?}");
             }
--- a/crates/sidecar/src/driver.rs
+++ b/crates/sidecar/src/driver.rs
@@ -21,7 +21,7 @@
 use crate::cross_zone_budget::CrossZoneBudget;
 use crate::discovery::{AbortOnDrop, DiscoveryEvent, Watch};
 use crate::handover::message::{HandoverState, ServerState, SettingNames};
-use crate::headers::end_to_end;
+use crate::headers::end_to_end_headers;
 use crate::hosts::HostList;
 use crate::lifecycle;
 use crate::log::Log;
@@ -487,7 +487,7 @@
             UpstreamEvent::Probed { upstream, answer } => {
                 let answered = answer.as_ref().is_some_and(|answer| answer.status == 200);
                 let text = answer.filter(|_| answered);
-                let text = text.as_ref().and_then(|answer| std::str::from_utf8(answer.body.whole()?).ok());
+                let text = text.as_ref().and_then(|answer| std::str::from_utf8(answer.body.buffered()?).ok());
                 let report = text.and_then(|text| report_from_text(&self.columns, text));
                 self.event(Event::ProbeFinished { upstream, answered, report });
             }
@@ -568,7 +568,8 @@
         if !uploads {
             self.taken(request, at);
         }
-        let time_left = deadline.attempts_by().saturating_duration_since(Instant::now()).as_secs_f64() * 1e3;
+        let time_left =
+            deadline.attempts_due_by().saturating_duration_since(Instant::now()).as_secs_f64() * 1e3;
         self.event(Event::RequestArrived { request, class, tenant, time_left });
     }
 
@@ -576,7 +577,7 @@
     fn taken(&mut self, request: RequestId, at: Instant) {
         let Some(open) = self.open.get(&request).filter(|open| open.timer.is_none()) else { return };
         // A process that ends has no more time than that: who comes late is answered while it lasts.
-        let process_ends = self.life.borrow().answer_by();
+        let process_ends = self.life.borrow().answers_due_by();
         let deadline = Deadline::new(at, open.time_left, process_ends);
         self.metrics.taken(open.class);
         let timer = self.set_timer(bound(RequestState::Queued(deadline)).at, Timer::Backstop(request));
@@ -588,13 +589,13 @@
 
     /// Once the process is to end: whose client would wait for longer is answered while it lasts.
     fn answer_before_the_end(&mut self) {
-        let Some(process_ends) = self.life.borrow_and_update().answer_by() else { return };
+        let Some(process_ends) = self.life.borrow_and_update().answers_due_by() else { return };
         let taken =
             self.open.iter().filter(|(_, open)| open.timer.is_some() && open.deadline.at() > process_ends);
         let shortened: Vec<RequestId> = taken.map(|(request, _)| *request).collect();
         for request in shortened {
             let Some(open) = self.open.get_mut(&request) else { continue };
-            open.deadline = open.deadline.ending_by(process_ends);
+            open.deadline = open.deadline.capped_at(process_ends);
             let (before, bound) = (open.timer.take(), bound(RequestState::Queued(open.deadline)));
             if let Some(timer) = before {
                 self.timers.remove(&timer);
@@ -609,11 +610,15 @@
     /// The body of an attempt is still coming, or has come.
     fn uploads(&mut self, flight: AttemptInfo, fate: UploadState) {
         let AttemptInfo { request, attempt, .. } = flight;
-        if let UploadState::Whole(at) = fate {
+        if let UploadState::Complete(at) = fate {
             self.taken(request, at);
         }
         if self.sent.contains_key(&(request, attempt)) {
-            self.event(Event::UploadProgress { request, attempt, in_progress: fate == UploadState::Coming });
+            self.event(Event::UploadProgress {
+                request,
+                attempt,
+                in_progress: fate == UploadState::Receiving,
+            });
         }
     }
 
@@ -719,11 +724,11 @@
         let attempt = AttemptNo(open.sends);
         open.sends += 1;
         let body = open.forward.body.length().unwrap_or(0);
-        let gone = open.forward.body.upload().is_some_and(|upload| !upload.can_be_sent());
+        let gone = open.forward.body.upload().is_some_and(|upload| !upload.is_sendable());
         let timeout = Duration::try_from_secs_f64(timeout / 1e3).unwrap_or_default();
         let until = match now.checked_add(timeout) {
-            Some(until) if !timeout.is_zero() => until.min(open.deadline.attempts_by()),
-            _ => open.deadline.attempts_by(),
+            Some(until) if !timeout.is_zero() => until.min(open.deadline.attempts_due_by()),
+            _ => open.deadline.attempts_due_by(),
         };
         let (aim_at, deadline) = (open.aim_at, open.deadline.at());
         let incarnation = self.servers.get(upstream).map_or(0, |server| server.life);
@@ -777,12 +782,12 @@
 
     /// The right to one more connection; an idle one is closed for it if need be.
     fn permit(&mut self, dial: SocketAddr) -> Option<UpstreamPermit> {
-        if let Some(permit) = self.budgets.permit(dial) {
+        if let Some(permit) = self.budgets.upstream_permit(dial) {
             return Some(permit);
         }
         let pools = self.servers.pools();
         pools.filter(|pool| pool.oldest().is_some()).min_by_key(|pool| pool.oldest())?.drop_oldest();
-        self.budgets.permit(dial)
+        self.budgets.upstream_permit(dial)
     }
 
     fn connected(&mut self, flight: AttemptInfo, connection: Result<Box<Connection>, String>) {
@@ -815,7 +820,8 @@
         };
         let dial = self.servers.get(flight.upstream).map(|server| server.dial());
         let (request, body) = (outgoing(&open.forward, dial, flight.until), open.forward.body.clone());
-        let terms = open.forward.client.clone().map(|client| WriteConditions { client, until: flight.until });
+        let terms =
+            open.forward.client.clone().map(|client| WriteConditions { client, expires_at: flight.until });
         let (give_up, given_up) = oneshot::channel();
         if let Some(sent) = self.sent.get_mut(&key) {
             sent.give_up = Some(give_up);
@@ -862,12 +868,12 @@
                 outcome.may_have_run(),
             )
         });
-        let fate = self.open.get(&flight.request).and_then(|open| Some(open.forward.body.upload()?.fate()));
+        let fate = self.open.get(&flight.request).and_then(|open| Some(open.forward.body.upload()?.state()));
         // A server begins with the last byte.
         let began = match fate {
             None => Some(sent.at),
-            Some(UploadState::Whole(at)) => Some(at.max(sent.at)),
-            Some(UploadState::Coming | UploadState::Broken(_)) => None,
+            Some(UploadState::Complete(at)) => Some(at.max(sent.at)),
+            Some(UploadState::Receiving | UploadState::Failed(_)) => None,
         };
         let latency = began.map_or(0.0, |began| began.elapsed().as_secs_f64() * 1e3);
         let report = answer.as_ref().and_then(|answer| {
@@ -882,7 +888,7 @@
         // The first answer goes to the client by itself and ends the request; so does one that finds fault
         // with the request itself, which other upstreams would find as well.
         let mut client_answered = !self.open.contains_key(&flight.request);
-        if let Some(UploadState::Broken(status)) = fate {
+        if let Some(UploadState::Failed(status)) = fate {
             client_answered = true;
             self.finish(flight.request, FinalAnswer::Rejected(status));
         }
@@ -1002,7 +1008,7 @@
 
 /// An upstream's headers as they go on to the client.
 fn client_headers(headers: &HeaderMap) -> HeaderMap {
-    let mut kept = end_to_end(headers);
+    let mut kept = end_to_end_headers(headers);
     kept.remove("x-server-load");
     kept
 }
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -29,7 +29,7 @@
 use crate::client::Client;
 use crate::connection_activity::ConnectionActivity;
 use crate::connection_close::{self, CloseAction, CloseReason, ConnectionContents};
-use crate::headers::end_to_end;
+use crate::headers::end_to_end_headers;
 use crate::lifecycle::{Lifecycle, Stage};
 use crate::log::Log;
 use crate::messages::{ClientEvent, EventSink, FinalAnswer, ForwardedRequest, RequestArrival};
@@ -37,7 +37,7 @@
 use crate::request_bound::{RequestState, bound};
 use crate::transfer::answer::AnswerBody;
 use crate::transfer::body_buffer::BodyBuffer;
-use crate::transfer::limits::{HEAD, MOST_BYTES, WHOLE_BYTES};
+use crate::transfer::limits::{HEAD_TIMEOUT, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES};
 use crate::transfer::request_body::RequestBody;
 use crate::transfer::upload::Upload;
 
@@ -123,7 +123,7 @@
 }
 
 /// Serves from a socket that listens already.
-pub fn listen_on(socket: std::net::TcpListener) -> Result<TcpListener> {
+pub fn listener_from(socket: std::net::TcpListener) -> Result<TcpListener> {
     TcpListener::from_std(socket).context("the listening socket is of no use")
 }
 
@@ -185,12 +185,12 @@
     let mut trim_at: Option<Instant> = None;
     loop {
         let now = *life.borrow_and_update();
-        let (closing, handed_over) = (now.closes(), now.stage() == Stage::HandedOver);
-        let accepting = held.is_some() && now.accepts();
+        let (closing, handed_over) = (now.is_closing(), now.stage() == Stage::HandedOver);
+        let accepting = held.is_some() && now.is_accepting();
         if handed_over {
             release(&mut held);
         }
-        let room = front.connections.held() < front.connections.limit() + CLOSING;
+        let room = front.connections.in_use() < front.connections.limit() + CLOSING;
         tokio::select! {
             biased;
             Some(ended) = connections.join_next_with_id() => forget(&mut slots, ended),
@@ -228,7 +228,7 @@
     connections: &mut JoinSet<()>,
 ) -> Option<Instant> {
     // Another generation may have taken the last place since: then this one is a little over.
-    let place = front.connections.take_beyond(CLOSING);
+    let place = front.connections.try_acquire_beyond(CLOSING);
     let slot = Arc::new(ConnectionActivity::new(slots.epoch));
     let (served, kept) = (front.clone(), slot.clone());
     let task = connections.spawn(async move {
@@ -236,7 +236,7 @@
         drop(place);
     });
     slots.by_task.insert(task.id(), kept);
-    if front.connections.held() > front.connections.limit() {
+    if front.connections.in_use() > front.connections.limit() {
         slots.make_room();
     }
     slots.trim(front.connections.limit() / QUIET_PART)
@@ -291,7 +291,7 @@
                 handle(request, &front, slot).await
             };
             if response.body().is_stream() {
-                response.body_mut().occupies(slot, version);
+                response.body_mut().attach_connection(slot, version);
             } else {
                 slot.free();
             }
@@ -308,16 +308,16 @@
         .max_buf_size(BUFFER_BYTES)
         .serve_connection(TokioIo::new(Client::new(stream, slot.clone())), service);
     let mut connection = std::pin::pin!(connection);
-    let mut ends_at = now.idle_until(accepted, false);
+    let mut ends_at = now.idle_close_at(accepted, false);
     let (mut ending, mut end_is_near) = (false, false);
     loop {
         // By when something must have come. Looked at anew when it is due: what comes meanwhile only puts it off.
         let due = match (slot.quiet_since(), slot.head_since()) {
             (None, _) => Instant::now() + IDLE,
-            (Some(_), Some(began)) => began + HEAD,
+            (Some(_), Some(began)) => began + HEAD_TIMEOUT,
             (Some(quiet), None) => quiet + IDLE,
         };
-        let answer_by = life.borrow().answer_by();
+        let answer_by = life.borrow().answers_due_by();
         let reason = tokio::select! {
             // First read what has come, then look at the time: a request that waits in the socket when its
             // idle connection is closed would have to be sent again.
@@ -326,7 +326,7 @@
             _ = connection.as_mut() => return,
             changed = life.changed() => {
                 ends_at = match changed {
-                    Ok(()) => life.borrow_and_update().idle_until(accepted, heard.load(Ordering::Relaxed) > 0),
+                    Ok(()) => life.borrow_and_update().idle_close_at(accepted, heard.load(Ordering::Relaxed) > 0),
                     Err(_) => Some(accepted),
                 };
                 if changed.is_err() {
@@ -338,16 +338,16 @@
             }
             () = sleep_until(answer_by.unwrap_or(accepted)), if answer_by.is_some() && !end_is_near => {
                 end_is_near = true;
-                CloseReason::EndIsNear
+                CloseReason::ShutdownImminent
             }
-            () = sleep_until(ends_at.unwrap_or(accepted)), if ends_at.is_some() => CloseReason::Ends,
+            () = sleep_until(ends_at.unwrap_or(accepted)), if ends_at.is_some() => CloseReason::Draining,
             () = sleep_until(due), if !ending => match (slot.quiet_since(), slot.head_since()) {
-                (Some(_), Some(began)) if began + HEAD <= Instant::now() => CloseReason::HeadOverdue,
+                (Some(_), Some(began)) if began + HEAD_TIMEOUT <= Instant::now() => CloseReason::HeadOverdue,
                 (Some(quiet), None) if quiet + IDLE <= Instant::now() => CloseReason::Idle,
                 _ => continue,
             },
-            () = slot.let_go.notified(), if !ending => CloseReason::LetGo,
-            () = slot.make_room.notified() => CloseReason::MakeRoom,
+            () = slot.let_go.notified(), if !ending => CloseReason::ExcessQuiet,
+            () = slot.make_room.notified() => CloseReason::Eviction,
         };
         // Whatever is in the socket by now came first. A request that does is answered, and one that has begun is waited for.
         let before = slot.reads();
@@ -358,14 +358,14 @@
         let came = slot.reads() != before;
         let holds = match (slot.holds(), slot.next_request_at()) {
             (ConnectionContents::Request, Some(next)) if !life.borrow().closes_after_answer(Some(next)) => {
-                ConnectionContents::Requests
+                ConnectionContents::PipelinedRequests
             }
             (holds, _) => holds,
         };
-        let deed = match connection_close::deed(reason, holds) {
+        let deed = match connection_close::close_action(reason, holds) {
             // Who has just spoken is neither idle nor quiet; the place of another is asked for next.
-            CloseAction::Shut | CloseAction::Drop
-                if came && !matches!(reason, CloseReason::Ends | CloseReason::EndIsNear) =>
+            CloseAction::Shutdown | CloseAction::CloseNow
+                if came && !matches!(reason, CloseReason::Draining | CloseReason::ShutdownImminent) =>
             {
                 CloseAction::Keep
             }
@@ -375,18 +375,18 @@
         match deed {
             CloseAction::Keep => {
                 // Who is in the middle of a head has the time that heads have; who has asked more than once is answered.
-                let over = holds != ConnectionContents::Requests
-                    && slot.head_since().is_none_or(|began| began + HEAD <= now);
+                let over = holds != ConnectionContents::PipelinedRequests
+                    && slot.head_since().is_none_or(|began| began + HEAD_TIMEOUT <= now);
                 match (reason, over) {
-                    (CloseReason::Ends, true) => return,
-                    (CloseReason::Ends, false) => ends_at = Some(now + HALF_WAY),
-                    (CloseReason::MakeRoom, _) => slot.making_room.store(false, Ordering::Relaxed),
+                    (CloseReason::Draining, true) => return,
+                    (CloseReason::Draining, false) => ends_at = Some(now + HALF_WAY),
+                    (CloseReason::Eviction, _) => slot.making_room.store(false, Ordering::Relaxed),
                     _ => {}
                 }
             }
-            CloseAction::Drop => return,
-            CloseAction::Shut | CloseAction::AfterAnswer => {
-                if reason == CloseReason::Ends {
+            CloseAction::CloseNow => return,
+            CloseAction::Shutdown | CloseAction::CloseAfterAnswer => {
+                if reason == CloseReason::Draining {
                     ends_at = None;
                 }
                 ending = true;
@@ -421,7 +421,7 @@
 ) -> Response<AnswerBody> {
     if request.uri().path() == "/up" {
         let ready = front.metrics.ready.load(Ordering::Relaxed);
-        return match (request.method() == Method::GET, front.life.borrow().up(), ready) {
+        return match (request.method() == Method::GET, front.life.borrow().reports_up(), ready) {
             (false, ..) => plain(StatusCode::METHOD_NOT_ALLOWED, "use GET"),
             (true, true, true) => plain(StatusCode::OK, "up"),
             (true, true, false) => plain(StatusCode::SERVICE_UNAVAILABLE, "no list of upstreams yet"),
@@ -435,8 +435,8 @@
     let (head, body) = request.into_parts();
     let (began, stated) = (Instant::now(), body.size_hint().exact());
     let body = match gather(body, began, stated).await {
-        Ok((first, None)) => RequestBody::Whole(first),
-        Ok((first, Some(rest))) => match front.transfers.take() {
+        Ok((first, None)) => RequestBody::Buffered(first),
+        Ok((first, Some(rest))) => match front.transfers.try_acquire() {
             Some(room) => RequestBody::Upload(Arc::new(Upload::new(first, rest, stated, began, room))),
             // Nothing has run, and there is no room to wait in.
             None => return refused(CROWDED_RETRY_MS),
@@ -449,7 +449,7 @@
     let target = head.uri.path_and_query().cloned().map(Uri::from).unwrap_or_default();
     let request = RequestId(front.next_id.fetch_add(1, Ordering::Relaxed));
     let (reply, answer) = oneshot::channel();
-    let (headers, client) = (end_to_end(&head.headers), slot.client());
+    let (headers, client) = (end_to_end_headers(&head.headers), slot.client());
     let forward = ForwardedRequest { method: head.method, target, headers, body, client };
     let arrival = RequestArrival { request, class, tenant, id, at, time_left, forward, reply };
     let mut guard = Guard { request, front, answered: false };
@@ -482,14 +482,14 @@
             Ok(Some(Ok(frame))) => {
                 // Trailers end with the connection that they came on.
                 if let Ok(data) = frame.into_data() {
-                    gathered.add(data, stated);
+                    gathered.push(data, stated);
                 }
             }
             Ok(Some(Err(_))) => return Err((StatusCode::BAD_REQUEST, "the body is broken")),
             Ok(None) => break,
             Err(_) => return Err((StatusCode::REQUEST_TIMEOUT, "the body did not come")),
         }
-        if gathered.length() > WHOLE_BYTES {
+        if gathered.length() > MAX_BUFFERED_BODY_BYTES {
             return Ok((gathered.take(), Some(body)));
         }
     }
@@ -520,7 +520,7 @@
         Some(text) => number(text).ok_or(bad("Content-Length is not a number"))?,
         None => 0,
     };
-    if length > MOST_BYTES {
+    if length > MAX_BODY_BYTES {
         return Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is too long"));
     }
     match single(headers, "x-priority-class")? {
@@ -588,7 +588,7 @@
 }
 
 fn plain(status: StatusCode, reason: &'static str) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::Whole(Bytes::from_static(reason.as_bytes())));
+    let mut response = Response::new(AnswerBody::Buffered(Bytes::from_static(reason.as_bytes())));
     *response.status_mut() = status;
     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     response
--- a/crates/sidecar/src/front/tests.rs
+++ b/crates/sidecar/src/front/tests.rs
@@ -27,7 +27,7 @@
         }
         true
     });
-    let budgets = crate::budget::Budgets::of(8);
+    let budgets = crate::budget::Budgets::with_connections(8);
     let front = Front::new(
         RequestNames { classes: vec![form], tenants: Vec::new() },
         lives,
@@ -93,8 +93,8 @@
         ("it is one of many that are quiet", |served| served.slot.let_go.notify_one()),
         ("the end has begun", |served| {
             served.life.send_modify(|life| {
-                let (linger, at_most) = (Duration::from_secs(20), Duration::from_secs(30));
-                life.request(LifecycleRequest::Drain(Drain::Close { linger, at_most }), Instant::now());
+                let (linger, max_duration) = (Duration::from_secs(20), Duration::from_secs(30));
+                life.request(LifecycleRequest::Drain(Drain::Close { linger, max_duration }), Instant::now());
             });
         }),
     ];
@@ -140,7 +140,7 @@
     tokio::spawn(serve(listener, front, move || told.store(true, Ordering::Relaxed)));
     let wish = LifecycleRequest::Drain(Drain::Close {
         linger: Duration::from_secs(20),
-        at_most: Duration::from_secs(30),
+        max_duration: Duration::from_secs(30),
     });
     life.send_modify(|life| assert!(life.request(wish, Instant::now())));
     // Until it waits for clients, and has been told of all that came before.
--- a/crates/sidecar/src/handover/link.rs
+++ b/crates/sidecar/src/handover/link.rs
@@ -344,7 +344,7 @@
                 }
                 Some(list) = told.recv(), if shared => self.tell(&Message::News { list }, None),
                 _ = ticks.tick(), if shared => {
-                    if self.control.life().ends() {
+                    if self.control.life().is_ending() {
                         self.shares.leave();
                     }
                     self.apply();
@@ -403,7 +403,7 @@
         }
         let estate = self.control.estate().await.map_err(io::Error::other)?;
         stream.write_all(&Message::Estate(Box::new(estate)).line()).await?;
-        let standing = self.shares.to_younger(self.budgets.held());
+        let standing = self.shares.to_younger(self.budgets.in_use());
         stream.write_all(&Message::Stands(self.complete(standing)).line()).await?;
         Ok((stream, lines))
     }
@@ -453,7 +453,7 @@
 
     /// Brings limits and the module into line with what the peers have said.
     fn apply(&mut self) {
-        self.budgets.limit(self.shares.allowed(self.budgets.held()));
+        self.budgets.set_limits(self.shares.allowed(self.budgets.in_use()));
         let processes = self.shares.processes();
         if std::mem::replace(&mut self.processes, processes) != processes {
             self.control.set_sidecars(self.sidecars.saturating_mul(processes));
@@ -462,7 +462,7 @@
 
     /// Tells both how this one stands.
     fn stand(&self) {
-        let held = self.budgets.held();
+        let held = self.budgets.in_use();
         let to_elder = Message::Stands(self.complete(self.shares.to_elder(held)));
         let to_younger = Message::Stands(self.complete(self.shares.to_younger(held)));
         self.tell(&to_elder, Some(Side::Elder));
--- a/crates/sidecar/src/handover/shares.rs
+++ b/crates/sidecar/src/handover/shares.rs
@@ -34,10 +34,10 @@
 ) -> ResourceCounts {
     let part = |whole: usize| whole / TO_FINISH;
     if leaving && !peer.leaving {
-        return held.with(whole, |held, whole| held.max(part(whole)).min(whole));
+        return held.zip_with(whole, |held, whole| held.max(part(whole)).min(whole));
     }
     let theirs = |held: usize, whole: usize| held.max(if peer.leaving { part(whole) } else { whole / 2 });
-    whole.with(peer.held.with(whole, theirs), |whole, theirs| whole.saturating_sub(theirs))
+    whole.zip_with(peer.held.zip_with(whole, theirs), |whole, theirs| whole.saturating_sub(theirs))
 }
 
 /// One process between the one before it and the one after it, of which there may be none.
@@ -75,7 +75,7 @@
         match &self.elder {
             // The elder's word counts where it has less to share than the configuration says.
             Some(elder) => {
-                let whole = self.whole.with(elder.whole, usize::min);
+                let whole = self.whole.zip_with(elder.whole, usize::min);
                 beside(whole, held, self.leaving, elder)
             }
             None => self.whole,
--- a/crates/sidecar/src/headers.rs
+++ b/crates/sidecar/src/headers.rs
@@ -3,7 +3,7 @@
 use hyper::header::{self, HeaderMap, HeaderName};
 
 /// The headers that are not about one connection or its framing.
-pub fn end_to_end(headers: &HeaderMap) -> HeaderMap {
+pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
     const OF_CONNECTION: [HeaderName; 9] = [
         header::CONNECTION,
         header::TE,
--- a/crates/sidecar/src/instance.rs
+++ b/crates/sidecar/src/instance.rs
@@ -152,13 +152,13 @@
                 }
                 ended = &mut serving.0 => return match ended {
                     // It may have ended as soon as it was told to.
-                    Ok(()) if life.borrow().ends() => ExitReason::Drained,
+                    Ok(()) if life.borrow().is_ending() => ExitReason::Drained,
                     ended => ExitReason::Failed(reason("the listener", ended)),
                 },
                 _ = lives.changed() => {}
                 // Nobody holds it any more.
                 _ = held.changed() => return ExitReason::Overdue,
-                () = until(now.due()) => {
+                () = until(now.next_deadline()) => {
                     if now.is_overdue(Instant::now()) {
                         return ExitReason::Overdue;
                     }
@@ -303,7 +303,7 @@
         // Draining: it accepts, and every answer closes its connection.
         let mut life = Lifecycle::new(false, Instant::now());
         life.request(
-            LifecycleRequest::Drain(Drain::Close { linger: FOR_GOOD, at_most: FOR_GOOD }),
+            LifecycleRequest::Drain(Drain::Close { linger: FOR_GOOD, max_duration: FOR_GOOD }),
             Instant::now(),
         );
         let (life, lives) = watch::channel(life);
@@ -334,7 +334,10 @@
         self.0.send_modify(|life| match handed_over {
             true => {
                 life.request(
-                    LifecycleRequest::Drain(Drain::HandOver { linger: Duration::ZERO, at_most: FOR_GOOD }),
+                    LifecycleRequest::Drain(Drain::HandOver {
+                        linger: Duration::ZERO,
+                        max_duration: FOR_GOOD,
+                    }),
                     now,
                 );
             }
--- a/crates/sidecar/src/lifecycle.rs
+++ b/crates/sidecar/src/lifecycle.rs
@@ -52,14 +52,14 @@
         /// For how long.
         linger: Duration,
         /// It ends after this long in all, whatever is open.
-        at_most: Duration,
+        max_duration: Duration,
     },
     /// A successor listens on the same socket: it takes no new connection from now on and finishes what is open.
     HandOver {
         /// For how long a connection with nothing open may carry one more request.
         linger: Duration,
         /// It ends after this long, whatever is open.
-        at_most: Duration,
+        max_duration: Duration,
     },
 }
 
@@ -123,16 +123,16 @@
             (Stage::Draining | Stage::Closing | Stage::HandedOver, LifecycleRequest::Rejoin) => return false,
             (
                 Stage::Standby | Stage::Serving | Stage::Evacuating,
-                LifecycleRequest::Drain(Drain::Close { linger, at_most }),
+                LifecycleRequest::Drain(Drain::Close { linger, max_duration }),
             ) => {
                 self.enter(Stage::Draining, now);
-                (self.next, self.overdue) = (Some(now + linger.min(at_most)), Some(now + at_most));
+                (self.next, self.overdue) = (Some(now + linger.min(max_duration)), Some(now + max_duration));
             }
             (Stage::HandedOver, LifecycleRequest::Drain(_)) => {}
-            (_, LifecycleRequest::Drain(Drain::HandOver { linger, at_most })) => {
+            (_, LifecycleRequest::Drain(Drain::HandOver { linger, max_duration })) => {
                 self.enter(Stage::HandedOver, now);
                 self.linger = linger;
-                self.overdue = Some(self.overdue.unwrap_or(now + at_most));
+                self.overdue = Some(self.overdue.unwrap_or(now + max_duration));
             }
             (Stage::Draining | Stage::Closing, LifecycleRequest::Drain(Drain::Close { .. })) => {}
         }
@@ -152,7 +152,7 @@
     }
 
     /// When it is to be told the time again.
-    pub fn due(&self) -> Option<Instant> {
+    pub fn next_deadline(&self) -> Option<Instant> {
         self.next.into_iter().chain(self.overdue).min()
     }
 
@@ -171,27 +171,27 @@
     }
 
     /// By when whatever is taken must be answered, where there is such a time.
-    pub fn answer_by(&self) -> Option<Instant> {
+    pub fn answers_due_by(&self) -> Option<Instant> {
         self.overdue.map(|overdue| overdue.checked_sub(LAST_ANSWERS).unwrap_or(overdue))
     }
 
     /// Whether the end has begun.
-    pub fn ends(&self) -> bool {
+    pub fn is_ending(&self) -> bool {
         matches!(self.stage, Stage::Draining | Stage::Closing | Stage::HandedOver)
     }
 
     /// Whether it accepts connections.
-    pub fn accepts(&self) -> bool {
+    pub fn is_accepting(&self) -> bool {
         !matches!(self.stage, Stage::Standby | Stage::HandedOver)
     }
 
     /// Whether no client is to come any more: who still waits to be accepted is, and that is all.
-    pub fn closes(&self) -> bool {
+    pub fn is_closing(&self) -> bool {
         matches!(self.stage, Stage::Closing | Stage::HandedOver)
     }
 
     /// Whether `/up` may say yes, as far as this is concerned.
-    pub fn up(&self) -> bool {
+    pub fn reports_up(&self) -> bool {
         !self.evacuated
     }
 
@@ -207,7 +207,7 @@
 
     /// When a connection is closed on which nothing is open; never where there is no time. `used` if it has carried a
     /// request before.
-    pub fn idle_until(&self, accepted: Instant, used: bool) -> Option<Instant> {
+    pub fn idle_close_at(&self, accepted: Instant, used: bool) -> Option<Instant> {
         match self.stage {
             Stage::Standby | Stage::Serving => None,
             Stage::Evacuating => Some(self.since.max(accepted) + EVACUATION_LINGER),
@@ -234,25 +234,32 @@
 
     const CLOSE: LifecycleRequest = LifecycleRequest::Drain(Drain::Close {
         linger: Duration::from_millis(550),
-        at_most: Duration::from_secs(3),
+        max_duration: Duration::from_secs(3),
     });
     const HAND_OVER: LifecycleRequest = LifecycleRequest::Drain(Drain::HandOver {
         linger: Duration::from_secs(1),
-        at_most: Duration::from_secs(3),
+        max_duration: Duration::from_secs(3),
     });
 
     #[test]
     fn evacuation_is_undone_by_rejoining_and_by_nothing_else() {
         let now = Instant::now();
         let mut life = Lifecycle::new(false, now);
-        assert!(life.request(LifecycleRequest::Rejoin, now) && life.up() && !life.closes_after_answer(None));
+        assert!(
+            life.request(LifecycleRequest::Rejoin, now)
+                && life.reports_up()
+                && !life.closes_after_answer(None)
+        );
         assert!(
             life.request(LifecycleRequest::Evacuate, now) && life.request(LifecycleRequest::Evacuate, now)
         );
-        assert!(!life.up() && life.accepts() && life.closes_after_answer(None));
-        assert!(life.request(LifecycleRequest::Open, now) && !life.up(), "opening is no rejoining");
+        assert!(!life.reports_up() && life.is_accepting() && life.closes_after_answer(None));
+        assert!(life.request(LifecycleRequest::Open, now) && !life.reports_up(), "opening is no rejoining");
         assert!(life.request(LifecycleRequest::Rejoin, now));
-        assert_eq!((life.stage(), life.up(), life.idle_until(now, true)), (Stage::Serving, true, None));
+        assert_eq!(
+            (life.stage(), life.reports_up(), life.idle_close_at(now, true)),
+            (Stage::Serving, true, None)
+        );
     }
 
     #[test]
@@ -260,7 +267,7 @@
         let now = Instant::now();
         let mut life = Lifecycle::new(true, now);
         life.request(LifecycleRequest::Evacuate, now);
-        assert!(!life.accepts() && !life.up());
+        assert!(!life.is_accepting() && !life.reports_up());
         life.request(LifecycleRequest::Open, now);
         assert_eq!(life.stage(), Stage::Evacuating);
         let mut life = Lifecycle::new(true, now);
@@ -282,10 +289,10 @@
                 && life.request(LifecycleRequest::Open, start)
                 && life.request(CLOSE, later)
         );
-        assert!(!life.up(), "it was evacuated and stays so");
-        assert_eq!(life.due(), Some(start + Duration::from_millis(550)));
-        assert!(!life.advance(start) && life.advance(later) && life.closes() && life.accepts());
-        assert!(life.request(HAND_OVER, later) && !life.accepts());
+        assert!(!life.reports_up(), "it was evacuated and stays so");
+        assert_eq!(life.next_deadline(), Some(start + Duration::from_millis(550)));
+        assert!(!life.advance(start) && life.advance(later) && life.is_closing() && life.is_accepting());
+        assert!(life.request(HAND_OVER, later) && !life.is_accepting());
         assert!(!life.is_overdue(later) && life.is_overdue(start + Duration::from_secs(3)));
     }
 
@@ -311,16 +318,16 @@
     #[test]
     fn a_silent_connection_is_closed_before_what_it_says_could_not_be_answered() {
         let start = Instant::now();
-        let at_most = Duration::from_millis(60 + 640);
+        let max_duration = Duration::from_millis(60 + 640);
         let mut life = Lifecycle::new(false, start);
         life.request(
-            LifecycleRequest::Drain(Drain::Close { linger: Duration::from_millis(550), at_most }),
+            LifecycleRequest::Drain(Drain::Close { linger: Duration::from_millis(550), max_duration }),
             start,
         );
         let closing = start + Duration::from_millis(550);
         assert!(life.advance(closing));
-        let until = life.idle_until(closing, false).expect("it is closed at some time");
-        assert!(until < life.answer_by().expect("there is an end"), "an answer still has its time");
+        let until = life.idle_close_at(closing, false).expect("it is closed at some time");
+        assert!(until < life.answers_due_by().expect("there is an end"), "an answer still has its time");
         assert!(until >= closing);
     }
 
@@ -337,18 +344,21 @@
                 let before = life;
                 match rng.rand_range(0..7) {
                     0 => assert!(life.request(LifecycleRequest::Open, now)),
-                    1 => assert!(life.request(LifecycleRequest::Evacuate, now) && !life.up()),
-                    2 => assert_eq!(life.request(LifecycleRequest::Rejoin, now), !before.ends()),
-                    3 if rng.rand_range(0..3) == 0 => assert!(life.request(CLOSE, now) && life.ends()),
+                    1 => assert!(life.request(LifecycleRequest::Evacuate, now) && !life.reports_up()),
+                    2 => assert_eq!(life.request(LifecycleRequest::Rejoin, now), !before.is_ending()),
+                    3 if rng.rand_range(0..3) == 0 => assert!(life.request(CLOSE, now) && life.is_ending()),
                     4 if rng.rand_range(0..3) == 0 => {
-                        assert!(life.request(HAND_OVER, now) && !life.accepts());
+                        assert!(life.request(HAND_OVER, now) && !life.is_accepting());
                     }
                     _ => assert_eq!(life.advance(now), life != before),
                 }
-                assert!(life.ends() || !before.ends(), "an end is final");
+                assert!(life.is_ending() || !before.is_ending(), "an end is final");
                 assert!(life.stage() == Stage::HandedOver || before.stage() != Stage::HandedOver);
-                assert!(!life.up() || before.up() || !before.ends(), "who ended evacuated stays so");
-                assert_eq!(life.ends(), life.overdue.is_some(), "every end has its time");
+                assert!(
+                    !life.reports_up() || before.reports_up() || !before.is_ending(),
+                    "who ended evacuated stays so"
+                );
+                assert_eq!(life.is_ending(), life.overdue.is_some(), "every end has its time");
                 assert!(life.overdue.is_none_or(|at| at <= now + Duration::from_secs(3)));
                 if let Some(first) = before.overdue {
                     assert_eq!(life.overdue, Some(first));
@@ -356,7 +366,7 @@
                 // Whatever is idle is closed within a stated time, but for one that carries its first request.
                 let age = Duration::from_millis(rng.rand_range(0..5_000));
                 let (accepted, used) = (now.checked_sub(age).unwrap_or(start), rng.rand_range(0..2) == 0);
-                let until = life.idle_until(accepted, used);
+                let until = life.idle_close_at(accepted, used);
                 match life.stage() {
                     Stage::Standby | Stage::Serving => assert_eq!(until, None),
                     Stage::Draining if !used => assert_eq!(until, None),
--- a/crates/sidecar/src/messages.rs
+++ b/crates/sidecar/src/messages.rs
@@ -124,7 +124,7 @@
 impl AttemptInfo {
     /// Its times, as its bounds depend on them.
     pub fn times(&self) -> AttemptTimes {
-        AttemptTimes { connect_by: self.connect_by, until: self.until }
+        AttemptTimes { connect_by: self.connect_by, times_out_at: self.until }
     }
 }
 
--- a/crates/sidecar/src/metered_stream.rs
+++ b/crates/sidecar/src/metered_stream.rs
@@ -71,78 +71,84 @@
 
 impl Meter {
     /// Bytes that the kernel has taken so far.
-    pub fn written(&self) -> u64 {
+    pub fn bytes_written(&self) -> u64 {
         self.written.load(Ordering::Relaxed)
     }
 
     /// Bytes that were read so far.
-    pub fn read(&self) -> u64 {
+    pub fn bytes_read(&self) -> u64 {
         self.read.load(Ordering::Relaxed)
     }
 
     /// Comes back once the first byte of an answer has been read.
-    pub async fn answer_began(&self) {
+    pub async fn wait_for_answer_start(&self) {
         while !self.answering.load(Ordering::Relaxed) {
             self.began.notified().await;
         }
     }
 
     /// The head of the answer itself has come.
-    pub fn answer_has_begun(&self) {
+    pub fn mark_answer_started(&self) {
         if !self.answering.swap(true, Ordering::Relaxed) {
             self.began.notify_one();
         }
     }
 
     /// Whether an answer has begun that is not whole.
-    pub fn is_answering(&self) -> bool {
+    pub fn is_answer_started(&self) -> bool {
         self.answering.load(Ordering::Relaxed)
     }
 
     /// What came was no more than a notice that the answer is still to come.
-    pub fn answer_is_to_come(&self) {
+    pub fn mark_interim_answer(&self) {
         self.answering.store(false, Ordering::Relaxed);
     }
 
     /// The answer is whole: what comes before the next request is written belongs to none.
-    pub fn answered(&self) {
+    pub fn mark_answer_complete(&self) {
         self.asked.store(false, Ordering::Relaxed);
         self.answering.store(false, Ordering::Relaxed);
     }
 
     /// An exchange begins. What an earlier one left is forgotten.
-    pub fn begin(&self, told: Option<(Arc<Metrics>, Arc<StallTimeout>)>, terms: Option<WriteConditions>) {
+    pub fn begin_exchange(
+        &self,
+        told: Option<(Arc<Metrics>, Arc<StallTimeout>)>,
+        terms: Option<WriteConditions>,
+    ) {
         *lock(&self.exchange) = Exchange { told, terms, ..Exchange::default() };
     }
 
     /// Whether its request was not written since nobody wanted it any more.
-    pub fn is_unwanted(&self) -> bool {
+    pub fn is_request_obsolete(&self) -> bool {
         lock(&self.exchange).unwanted
     }
 
     /// How much of its request was written.
-    pub fn request(&self) -> Written {
+    pub fn request_written(&self) -> Written {
         let exchange = lock(&self.exchange);
         match exchange.taken {
-            _ if exchange.framing.whole() > 0 || exchange.framing.is_lost() => Written::Whole,
+            _ if exchange.framing.complete_requests() > 0 || exchange.framing.is_untracked() => {
+                Written::Whole
+            }
             0 => Written::Nothing,
             _ => Written::Part,
         }
     }
 
     /// How many bytes of its request were written.
-    pub fn taken(&self) -> u64 {
+    pub fn request_bytes_written(&self) -> u64 {
         lock(&self.exchange).taken
     }
 
     /// Has the socket reset when it is closed: what the kernel holds back is thrown away with it, and never arrives after
     /// the next attempt has begun.
-    pub fn abort(&self) {
+    pub fn reset_on_close(&self) {
         self.abortive.store(true, Ordering::Relaxed);
     }
 
     /// When bytes were last read.
-    pub fn read_at(&self) -> Instant {
+    pub fn last_read_at(&self) -> Instant {
         self.began_at + Duration::from_micros(self.read_at.load(Ordering::Relaxed))
     }
 
@@ -150,7 +156,7 @@
     fn count_written(&self, parts: &[io::IoSlice<'_>], mut bytes: usize) {
         self.written.fetch_add(bytes as u64, Ordering::Relaxed);
         let mut exchange = lock(&self.exchange);
-        let before = exchange.framing.whole();
+        let before = exchange.framing.complete_requests();
         exchange.taken += bytes as u64;
         for part in parts {
             let mut rest = part.get(..bytes.min(part.len())).unwrap_or_default();
@@ -161,7 +167,7 @@
             }
         }
         if before == 0
-            && exchange.framing.whole() > 0
+            && exchange.framing.complete_requests() > 0
             && let Some((metrics, _)) = &exchange.told
         {
             metrics.sends.fetch_add(1, Ordering::Release);
@@ -178,12 +184,12 @@
         self.read.fetch_add(bytes as u64, Ordering::Relaxed);
         let now = u64::try_from(self.began_at.elapsed().as_micros()).unwrap_or(u64::MAX);
         let before = self.read_at.swap(now, Ordering::Relaxed);
-        if self.is_answering()
+        if self.is_answer_started()
             && let Some((_, patience)) = &lock(&self.exchange).told
         {
-            patience.went_on(Duration::from_micros(now.saturating_sub(before)));
+            patience.record_gap(Duration::from_micros(now.saturating_sub(before)));
         }
-        self.answer_has_begun();
+        self.mark_answer_started();
         Ok(())
     }
 }
@@ -217,16 +223,16 @@
         }
         io_counts::read(&Poll::Ready(Ok(())), 0);
         let mut exchange = lock(&self.meter.exchange);
-        match client_disconnect::look(&self.stream, exchange.terms.as_ref())? {
-            ConnectionCheck::Clear => {
+        match client_disconnect::check_before_write(&self.stream, exchange.terms.as_ref())? {
+            ConnectionCheck::Proceed => {
                 self.meter.asked.store(true, Ordering::Relaxed);
                 Ok(())
             }
-            ConnectionCheck::Unwanted => {
+            ConnectionCheck::RequestObsolete => {
                 exchange.unwanted = true;
                 Err(io::Error::other("nobody wants it any more"))
             }
-            ConnectionCheck::Unusable => {
+            ConnectionCheck::UpstreamUnusable => {
                 Err(io::Error::new(io::ErrorKind::NotConnected, "the idle connection is of no more use"))
             }
         }
@@ -329,12 +335,12 @@
         counted.write_all(b"first").await.unwrap();
         upstream.write_all(b"answer").unwrap();
         counted.read_exact(&mut [0; 6]).await.unwrap();
-        meter.answered();
+        meter.mark_answer_complete();
         // The runtime has not turned to the kernel since: only the socket itself can tell.
         upstream.write_all(b"more").unwrap();
-        let written = meter.written();
+        let written = meter.bytes_written();
         assert!(counted.write_all(b"second").await.is_err());
-        assert_eq!(meter.written(), written);
+        assert_eq!(meter.bytes_written(), written);
         assert!(counted.read(&mut [0; 4]).await.is_err(), "nor is it read as an answer");
     }
 
@@ -343,6 +349,6 @@
         let (mut counted, meter, upstream) = pair().await;
         drop(upstream);
         assert!(counted.write_all(b"first").await.is_err());
-        assert_eq!(meter.written(), 0);
+        assert_eq!(meter.bytes_written(), 0);
     }
 }
--- a/crates/sidecar/src/request_bound.rs
+++ b/crates/sidecar/src/request_bound.rs
@@ -17,7 +17,7 @@
 
 use tokio::time::Instant;
 
-use crate::transfer::limits::{STREAM_IDLE_TIMEOUT, WHOLE_BYTES, body_by};
+use crate::transfer::limits::{MAX_BUFFERED_BODY_BYTES, STREAM_IDLE_TIMEOUT, body_due_by};
 
 /// Attempts end this much before the deadline: the final answer must reach the client in time. An answer takes a fraction of
 /// a millisecond to it; the rest is for a turn of the driver in which much else is to be done.
@@ -30,7 +30,7 @@
 /// half is for a process that gets little of its processor.
 pub const STREAM_GRACE: Duration = Duration::from_millis(250);
 /// After its deadline, an answer of unknown length has to have made progress at this rate. Bytes a second.
-pub const MIN_STREAM_RATE: u64 = 4 << 10;
+pub const MIN_STREAM_BYTES_PER_SECOND: u64 = 4 << 10;
 
 /// By when the final answer to one request is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -44,11 +44,11 @@
     /// ends by `process_ends` if it ends at all.
     pub fn new(taken_at: Instant, timeout: Duration, process_ends: Option<Instant>) -> Deadline {
         let deadline = Deadline { taken_at, at: taken_at + timeout };
-        process_ends.map_or(deadline, |ends| deadline.ending_by(ends))
+        process_ends.map_or(deadline, |ends| deadline.capped_at(ends))
     }
 
     /// The same where the process ends by then.
-    pub fn ending_by(&self, process_ends: Instant) -> Deadline {
+    pub fn capped_at(&self, process_ends: Instant) -> Deadline {
         Deadline { at: self.at.min(process_ends).max(self.taken_at), ..*self }
     }
 
@@ -58,7 +58,7 @@
     }
 
     /// By when every attempt has to have ended.
-    pub fn attempts_by(&self) -> Instant {
+    pub fn attempts_due_by(&self) -> Instant {
         self.less(ATTEMPT_MARGIN)
     }
 
@@ -73,7 +73,7 @@
     /// By when it has to have its connection.
     pub connect_by: Instant,
     /// When it times out.
-    pub until: Instant,
+    pub times_out_at: Instant,
 }
 
 /// How far an answer has come that is passed on while it arrives.
@@ -86,7 +86,7 @@
     /// How long answers pause at most, as far as is known.
     pub longest_pause: Duration,
     /// Bytes that were passed on.
-    pub passed_bytes: u64,
+    pub forwarded_bytes: u64,
     /// Its length, if the upstream has stated one.
     pub length: Option<u64>,
 }
@@ -94,7 +94,7 @@
 impl StreamProgress {
     /// Whether it may turn out so short that its client expects all of it by the deadline.
     fn may_be_short(&self) -> bool {
-        self.length.unwrap_or(self.passed_bytes) <= WHOLE_BYTES as u64
+        self.length.unwrap_or(self.forwarded_bytes) <= MAX_BUFFERED_BODY_BYTES as u64
     }
 }
 
@@ -128,7 +128,7 @@
     /// 502.
     BadGateway,
     /// An answer that is visibly not whole.
-    TornAnswer,
+    TruncatedAnswer,
 }
 
 /// When a state ends at the latest, and with what.
@@ -144,17 +144,17 @@
 pub fn bound(state: RequestState) -> Bound {
     match state {
         RequestState::Reading { head_at, bytes } => {
-            Bound { at: body_by(head_at, bytes), ends_with: EndsWith::RequestTimeout }
+            Bound { at: body_due_by(head_at, bytes), ends_with: EndsWith::RequestTimeout }
         }
         RequestState::Queued(deadline) => {
             Bound { at: deadline.less(FINAL_ANSWER_MARGIN), ends_with: EndsWith::BadGateway }
         }
         RequestState::Connecting(times) => {
-            Bound { at: times.connect_by.min(times.until), ends_with: EndsWith::AnotherAttempt }
+            Bound { at: times.connect_by.min(times.times_out_at), ends_with: EndsWith::AnotherAttempt }
         }
-        RequestState::Sent(times) => Bound { at: times.until, ends_with: EndsWith::AnotherAttempt },
+        RequestState::Sent(times) => Bound { at: times.times_out_at, ends_with: EndsWith::AnotherAttempt },
         RequestState::Streaming(progress) => {
-            Bound { at: stream_ends_at(&progress), ends_with: EndsWith::TornAnswer }
+            Bound { at: stream_ends_at(&progress), ends_with: EndsWith::TruncatedAnswer }
         }
     }
 }
@@ -167,7 +167,9 @@
         return idle;
     }
     let paused = progress.waiting_since + progress.longest_pause;
-    let earned = Duration::from_micros(progress.passed_bytes.saturating_mul(1_000_000) / MIN_STREAM_RATE);
+    let earned = Duration::from_micros(
+        progress.forwarded_bytes.saturating_mul(1_000_000) / MIN_STREAM_BYTES_PER_SECOND,
+    );
     let allowed = progress.deadline + STREAM_GRACE;
     // What pauses longer than answers do has stopped; what crawls has to keep its rate.
     idle.min(allowed.max(paused.min(allowed + earned)))
--- a/crates/sidecar/src/transfer/answer.rs
+++ b/crates/sidecar/src/transfer/answer.rs
@@ -12,7 +12,7 @@
 use tokio::time::{Instant, Sleep, sleep_until};
 
 use super::answer_hold::AnswerLengths;
-use super::limits::{MOST_BYTES, WHOLE_BYTES};
+use super::limits::{MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES};
 use super::stall_timeout::StallTimeout;
 use crate::budget::TransferPermit;
 use crate::connection::Connection;
@@ -24,7 +24,7 @@
 #[derive(Debug)]
 pub enum AnswerBody {
     /// All of it.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// As it comes.
     Stream(Box<AnswerStream>),
 }
@@ -33,22 +33,22 @@
     /// How long it is, where that is known.
     pub fn length(&self) -> Option<u64> {
         match self {
-            AnswerBody::Whole(bytes) => u64::try_from(bytes.len()).ok(),
+            AnswerBody::Buffered(bytes) => u64::try_from(bytes.len()).ok(),
             AnswerBody::Stream(stream) => stream.length,
         }
     }
 
     /// Its bytes, if it is held whole.
-    pub fn whole(&self) -> Option<&Bytes> {
+    pub fn buffered(&self) -> Option<&Bytes> {
         match self {
-            AnswerBody::Whole(bytes) => Some(bytes),
+            AnswerBody::Buffered(bytes) => Some(bytes),
             AnswerBody::Stream(_) => None,
         }
     }
 
     /// Keeps a client's connection from counting as free until it is through. A client of HTTP/1.0 can tell the end of an
     /// answer of unknown length only by the end of its connection.
-    pub fn occupies(&mut self, slot: &Arc<ConnectionActivity>, version: Version) {
+    pub fn attach_connection(&mut self, slot: &Arc<ConnectionActivity>, version: Version) {
         if let AnswerBody::Stream(stream) = self {
             stream.slot = Some(slot.clone());
             stream.delimited_by_close = version == Version::HTTP_10 && stream.length.is_none();
@@ -69,7 +69,7 @@
     Upstream(#[from] hyper::Error),
     /// Nothing came for too long.
     #[error("the upstream stopped")]
-    Still,
+    Stalled,
     /// It went on beyond what any answer holds.
     #[error("the answer is too long")]
     TooLong,
@@ -106,7 +106,7 @@
 #[derive(Clone)]
 pub struct StreamEstimates {
     /// How long answers pause.
-    pub patience: Arc<StallTimeout>,
+    pub stall_timeout: Arc<StallTimeout>,
     /// How long those turn out that state no length.
     pub lengths: Arc<AnswerLengths>,
 }
@@ -122,19 +122,28 @@
     /// The connection that they come on.
     pub connection: Connection,
     /// Called at its end.
-    pub end: EndCallback,
+    pub on_end: EndCallback,
     /// The room that it takes.
-    pub room: TransferPermit,
+    pub permit: TransferPermit,
     /// When its client stops waiting for a short answer.
     pub deadline: Instant,
     /// What was learnt from others.
-    pub learnt: StreamEstimates,
+    pub estimates: StreamEstimates,
 }
 
 impl AnswerStream {
     /// One that has just begun.
     pub fn new(parts: StreamParts) -> AnswerStream {
-        let StreamParts { first, rest, length, connection, end, room, deadline, learnt } = parts;
+        let StreamParts {
+            first,
+            rest,
+            length,
+            connection,
+            on_end: end,
+            permit: room,
+            deadline,
+            estimates: learnt,
+        } = parts;
         AnswerStream {
             first: Some(first).filter(|first| !first.is_empty()),
             rest,
@@ -157,7 +166,7 @@
 
     fn pass(&mut self, data: Bytes, cx: &Context<'_>) -> Poll<Option<Result<Frame<Bytes>, StreamError>>> {
         self.passed = self.passed.saturating_add(data.len() as u64);
-        if self.passed > MOST_BYTES {
+        if self.passed > MAX_BODY_BYTES {
             return self.tear_later(StreamError::TooLong, cx);
         }
         self.waiting_since = None;
@@ -199,8 +208,8 @@
         StreamProgress {
             deadline: self.deadline,
             waiting_since,
-            longest_pause: self.learnt.patience.learnt(),
-            passed_bytes: self.passed,
+            longest_pause: self.learnt.stall_timeout.estimate(),
+            forwarded_bytes: self.passed,
             length: self.length,
         }
     }
@@ -239,7 +248,7 @@
                     return Poll::Ready(None);
                 }
                 Poll::Pending if this.poll_overdue(cx).is_ready() => {
-                    return this.tear_later(StreamError::Still, cx);
+                    return this.tear_later(StreamError::Stalled, cx);
                 }
                 Poll::Pending => return Poll::Pending,
             }
@@ -259,9 +268,9 @@
 impl Drop for AnswerStream {
     fn drop(&mut self) {
         let whole = self.is_whole();
-        let is_long = self.passed > WHOLE_BYTES as u64;
+        let is_long = self.passed > MAX_BUFFERED_BODY_BYTES as u64;
         if self.length.is_none() && (whole || is_long) {
-            self.learnt.lengths.learn(is_long);
+            self.learnt.lengths.record(is_long);
         }
         let came = match (whole, self.torn) {
             (true, _) => RequestOutcome::Served,
@@ -274,7 +283,7 @@
         // One that is not whole is closed as it is.
         let connection = self.connection.take().filter(|_| whole);
         if let Some(connection) = &connection {
-            connection.meter.answered();
+            connection.meter.mark_answer_complete();
         }
         if let Some(end) = self.end.take() {
             end(came, connection);
@@ -297,22 +306,22 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, StreamError>>> {
         match &mut *self {
-            AnswerBody::Whole(bytes) if bytes.is_empty() => Poll::Ready(None),
-            AnswerBody::Whole(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
+            AnswerBody::Buffered(bytes) if bytes.is_empty() => Poll::Ready(None),
+            AnswerBody::Buffered(bytes) => Poll::Ready(Some(Ok(Frame::data(std::mem::take(bytes))))),
             AnswerBody::Stream(stream) => Pin::new(&mut **stream).poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            AnswerBody::Whole(bytes) => bytes.is_empty(),
+            AnswerBody::Buffered(bytes) => bytes.is_empty(),
             AnswerBody::Stream(stream) => stream.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AnswerBody::Whole(bytes) => SizeHint::with_exact(bytes.len() as u64),
+            AnswerBody::Buffered(bytes) => SizeHint::with_exact(bytes.len() as u64),
             AnswerBody::Stream(stream) => stream.size_hint(),
         }
     }
--- a/crates/sidecar/src/transfer/answer_hold.rs
+++ b/crates/sidecar/src/transfer/answer_hold.rs
@@ -8,10 +8,10 @@
 
 use tokio::time::Instant;
 
-use super::limits::LEAST_RATE;
+use super::limits::MIN_BODY_BYTES_PER_SECOND;
 
 /// Every answer of unknown length is held for this long, in the memory that its connection has in any case.
-pub const SHORT_HOLD: Duration = Duration::from_millis(100);
+pub const MIN_HOLD: Duration = Duration::from_millis(100);
 /// None is held for longer: to hold a long answer back for 2 s is to lose it.
 const MAX_HOLD: Duration = Duration::from_millis(1_500);
 /// A hold ends this much before the moment that it must not miss, for the turn in which the answer is passed on.
@@ -34,16 +34,16 @@
     /// By when its client should have the answer.
     pub aim_at: Instant,
     /// When the attempt times out.
-    pub attempt_until: Instant,
+    pub attempt_times_out_at: Instant,
 }
 
 /// Until when an answer of unknown length is held, if there is memory for that.
 pub fn hold_until(times: HoldTimes, long_expected: bool) -> Instant {
-    let HoldTimes { head_at, aim_at, attempt_until } = times;
+    let HoldTimes { head_at, aim_at, attempt_times_out_at: attempt_until } = times;
     let before = |moment: Instant| moment.checked_sub(HOLD_MARGIN).unwrap_or(head_at);
     let most = before(attempt_until).min(head_at + MAX_HOLD);
     let wanted = if long_expected { before(aim_at).min(most) } else { most };
-    wanted.max(head_at + SHORT_HOLD)
+    wanted.max(head_at + MIN_HOLD)
 }
 
 /// At which pace the pieces of one answer come.
@@ -62,7 +62,7 @@
     }
 
     /// A piece of its body has come.
-    pub fn piece(&mut self, now: Instant, bytes: usize) {
+    pub fn record_piece(&mut self, now: Instant, bytes: usize) {
         self.bytes += bytes as u64;
         let gap = now.saturating_duration_since(self.last_at);
         self.longest_gap = Some(self.longest_gap.map_or(gap, |longest| longest.max(gap)));
@@ -71,7 +71,7 @@
 
     /// Whether more is to be expected, going by the gaps so far. One that came at once with its head and no further may have
     /// stopped.
-    pub fn is_coming(&self, now: Instant) -> bool {
+    pub fn is_progressing(&self, now: Instant) -> bool {
         let silent_for = now.saturating_duration_since(self.last_at);
         self.longest_gap.is_some_and(|longest| silent_for <= longest * GAPS_ALLOWED)
     }
@@ -80,7 +80,7 @@
     pub fn may_be_long(&self, now: Instant) -> bool {
         let pause = self.longest_gap.unwrap_or_default();
         let coming_for = now.saturating_duration_since(self.head_at).saturating_sub(pause);
-        self.bytes as f64 >= LEAST_RATE as f64 * coming_for.as_secs_f64()
+        self.bytes as f64 >= MIN_BODY_BYTES_PER_SECOND as f64 * coming_for.as_secs_f64()
     }
 }
 
@@ -99,7 +99,7 @@
     }
 
     /// One has turned out to be long, or short.
-    pub fn learn(&self, is_long: bool) {
+    pub fn record(&self, is_long: bool) {
         let seen = f64::from(u8::from(is_long));
         let share = self.share() + WEIGHT * (seen - self.share());
         // What is told at the same moment may be lost; others will come.
--- a/crates/sidecar/src/transfer/answer_hold/tests.rs
+++ b/crates/sidecar/src/transfer/answer_hold/tests.rs
@@ -9,7 +9,7 @@
 /// How long an answer is held whose head comes at 0, by its aim, the end of its attempt and what is expected.
 fn held_for(aim: u64, attempt: u64, long_expected: bool) -> Duration {
     let head_at = Instant::now();
-    let times = HoldTimes { head_at, aim_at: head_at + ms(aim), attempt_until: head_at + ms(attempt) };
+    let times = HoldTimes { head_at, aim_at: head_at + ms(aim), attempt_times_out_at: head_at + ms(attempt) };
     hold_until(times, long_expected) - head_at
 }
 
@@ -35,16 +35,16 @@
 fn one_long_answer_is_enough_to_expect_another_and_short_ones_wear_that_off() {
     let lengths = AnswerLengths::default();
     assert!(!lengths.long_expected());
-    lengths.learn(true);
+    lengths.record(true);
     assert!(lengths.long_expected());
     let worn_off_after = (1..1_000).find(|_| {
-        lengths.learn(false);
+        lengths.record(false);
         !lengths.long_expected()
     });
     assert!(worn_off_after.is_some_and(|answers| (5..20).contains(&answers)), "{worn_off_after:?}");
     // Where one in ten is long it stays expected.
     for number in 0..1_000 {
-        lengths.learn(number % 10 == 0);
+        lengths.record(number % 10 == 0);
     }
     assert!(lengths.long_expected());
 }
@@ -53,14 +53,14 @@
 fn an_answer_comes_on_while_its_silence_is_like_its_gaps() {
     let head_at = Instant::now();
     let mut pace = Pace::new(head_at);
-    assert!(!pace.is_coming(head_at + ms(1)), "nothing has come yet");
-    pace.piece(head_at, 1);
-    assert!(!pace.is_coming(head_at + ms(50)), "all of it came with its head");
-    pace.piece(head_at + ms(40), 1);
-    assert!(pace.is_coming(head_at + ms(120)));
-    assert!(!pace.is_coming(head_at + ms(121)));
-    pace.piece(head_at + ms(300), 1);
-    assert!(pace.is_coming(head_at + ms(700)));
+    assert!(!pace.is_progressing(head_at + ms(1)), "nothing has come yet");
+    pace.record_piece(head_at, 1);
+    assert!(!pace.is_progressing(head_at + ms(50)), "all of it came with its head");
+    pace.record_piece(head_at + ms(40), 1);
+    assert!(pace.is_progressing(head_at + ms(120)));
+    assert!(!pace.is_progressing(head_at + ms(121)));
+    pace.record_piece(head_at + ms(300), 1);
+    assert!(pace.is_progressing(head_at + ms(700)));
 }
 
 #[test]
@@ -70,15 +70,15 @@
     for (piece, is_long) in [(2 << 10, true), (200, false)] {
         let mut pace = Pace::new(head_at);
         for number in 1..=20 {
-            pace.piece(head_at + ms(50 * number), piece);
+            pace.record_piece(head_at + ms(50 * number), piece);
         }
         assert_eq!(pace.may_be_long(head_at + ms(1_000)), is_long, "{piece}");
     }
     // All at its pace but for one pause of a second.
     let mut pace = Pace::new(head_at);
     for number in 1..=10 {
-        pace.piece(head_at + ms(50 * number), 2 << 10);
+        pace.record_piece(head_at + ms(50 * number), 2 << 10);
     }
-    pace.piece(head_at + ms(1_500), 2 << 10);
+    pace.record_piece(head_at + ms(1_500), 2 << 10);
     assert!(pace.may_be_long(head_at + ms(1_500)));
 }
--- a/crates/sidecar/src/transfer/framing.rs
+++ b/crates/sidecar/src/transfer/framing.rs
@@ -74,17 +74,17 @@
     }
 
     /// How many requests have come whole.
-    pub fn whole(&self) -> u64 {
+    pub fn complete_requests(&self) -> u64 {
         self.whole
     }
 
     /// The number of the first request that was framed in two ways, counted from 1.
-    pub fn doubled(&self) -> Option<u64> {
+    pub fn first_ambiguous_request(&self) -> Option<u64> {
         self.doubled
     }
 
     /// Whether nobody can say any more where requests end.
-    pub fn is_lost(&self) -> bool {
+    pub fn is_untracked(&self) -> bool {
         self.at == At::Lost
     }
 
@@ -200,9 +200,12 @@
         for piece in pieces {
             let mut rest = *piece;
             while !rest.is_empty() {
-                let before = framing.whole();
+                let before = framing.complete_requests();
                 let fed = framing.feed(rest);
-                assert!(fed == rest.len() || framing.whole() == before + 1, "it stops at ends only");
+                assert!(
+                    fed == rest.len() || framing.complete_requests() == before + 1,
+                    "it stops at ends only"
+                );
                 rest = &rest[fed..];
             }
         }
@@ -214,11 +217,15 @@
         for cut in 0..=SOUND.len() {
             let (first, second) = SOUND.split_at(cut);
             let framing = read(&[first, second]);
-            assert_eq!((framing.heads, framing.doubled(), framing.at), (4, None, At::Head), "cut at {cut}");
-            assert_eq!(framing.whole(), 4, "cut at {cut}");
+            assert_eq!(
+                (framing.heads, framing.first_ambiguous_request(), framing.at),
+                (4, None, At::Head),
+                "cut at {cut}"
+            );
+            assert_eq!(framing.complete_requests(), 4, "cut at {cut}");
         }
         let bytes: Vec<&[u8]> = SOUND.chunks(1).collect();
-        assert_eq!((read(&bytes).heads, read(&bytes).doubled()), (4, None));
+        assert_eq!((read(&bytes).heads, read(&bytes).first_ambiguous_request()), (4, None));
     }
 
     #[test]
@@ -227,9 +234,9 @@
             let whole = [SOUND, doubled].concat();
             for cut in 0..=whole.len() {
                 let (first, second) = whole.split_at(cut);
-                assert_eq!(read(&[first, second]).doubled(), Some(5), "cut at {cut}");
+                assert_eq!(read(&[first, second]).first_ambiguous_request(), Some(5), "cut at {cut}");
             }
-            assert_eq!(read(&[doubled]).doubled(), Some(1));
+            assert_eq!(read(&[doubled]).first_ambiguous_request(), Some(1));
         }
     }
 
@@ -246,7 +253,7 @@
         }
         let long = format!("GET /{} HTTP/1.1\r\nX: {}\r\n", "x".repeat(5_000), "y".repeat(9_000));
         let whole = [long.as_bytes(), b"Content-Length: 1\r\nTransfer-Encoding: chunked\r\n\r\n"].concat();
-        assert_eq!(read(&[&whole]).doubled(), Some(1));
+        assert_eq!(read(&[&whole]).first_ambiguous_request(), Some(1));
     }
 
     #[test]
--- a/crates/sidecar/src/transfer/limits.rs
+++ b/crates/sidecar/src/transfer/limits.rs
@@ -5,42 +5,42 @@
 use tokio::time::Instant;
 
 /// Bodies up to this are held whole: checked before they go on, and fit to be sent again.
-pub const WHOLE_BYTES: usize = 64 << 10;
+pub const MAX_BUFFERED_BODY_BYTES: usize = 64 << 10;
 /// Longer bodies are not carried, either way: the platform's are of 32 MB at most.
-pub const MOST_BYTES: u64 = 32 << 20;
+pub const MAX_BODY_BYTES: u64 = 32 << 20;
 /// A head must be whole this long after its first byte, or after its connection began: honest clients take up to 2 s, and
 /// one that never ends it is owed an end within 3 s.
-pub const HEAD: Duration = Duration::from_millis(2_700);
+pub const HEAD_TIMEOUT: Duration = Duration::from_millis(2_700);
 /// A body must be whole this long after its head,
 const BODY: Duration = Duration::from_millis(2_300);
 /// and as long as its bytes take at this rate a second: half of what the slowest honest client sends.
-pub const LEAST_RATE: u64 = 32 << 10;
+pub const MIN_BODY_BYTES_PER_SECOND: u64 = 32 << 10;
 /// A transfer under way in which nothing moves for this long has ended.
 pub const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// When a body that has come so far must be whole, or have brought more.
-pub fn body_by(head_at: Instant, bytes: u64) -> Instant {
-    head_at + BODY + Duration::from_micros(bytes.saturating_mul(1_000_000) / LEAST_RATE)
+pub fn body_due_by(head_at: Instant, bytes: u64) -> Instant {
+    head_at + BODY + Duration::from_micros(bytes.saturating_mul(1_000_000) / MIN_BODY_BYTES_PER_SECOND)
 }
 
 /// What to do with an answer's body, by its stated length.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyHandling {
     /// It is read whole before any of it goes on.
-    Whole,
+    Buffer,
     /// It goes on as it comes.
     Stream,
     /// Its length is not known: it is read until it is whole, too long to hold or too long on its way.
-    Wait,
+    UnknownLength,
     /// It is longer than any is.
     TooLong,
 }
 
 /// The plan for an answer that states such a length, if it states one.
-pub fn plan(length: Option<u64>) -> BodyHandling {
+pub fn body_handling(length: Option<u64>) -> BodyHandling {
     match length {
-        None => BodyHandling::Wait,
-        Some(length) if length <= WHOLE_BYTES as u64 => BodyHandling::Whole,
-        Some(length) if length <= MOST_BYTES => BodyHandling::Stream,
+        None => BodyHandling::UnknownLength,
+        Some(length) if length <= MAX_BUFFERED_BODY_BYTES as u64 => BodyHandling::Buffer,
+        Some(length) if length <= MAX_BODY_BYTES => BodyHandling::Stream,
         Some(_) => BodyHandling::TooLong,
     }
 }
@@ -60,7 +60,7 @@
                 if sent >= 4_000_000 {
                     return None;
                 }
-                if start + Duration::from_millis(ms) > body_by(start, sent) {
+                if start + Duration::from_millis(ms) > body_due_by(start, sent) {
                     return Some(ms);
                 }
                 ms += 10;
@@ -75,13 +75,16 @@
     #[test]
     fn what_is_short_is_held_and_what_is_absurd_is_not_carried() {
         let bounds =
-            [(0, BodyHandling::Whole), (65_536, BodyHandling::Whole), (65_537, BodyHandling::Stream)];
+            [(0, BodyHandling::Buffer), (65_536, BodyHandling::Buffer), (65_537, BodyHandling::Stream)];
         for (length, expected) in bounds
             .into_iter()
-            .chain([(MOST_BYTES, BodyHandling::Stream), (MOST_BYTES + 1, BodyHandling::TooLong)])
+            .chain([(MAX_BODY_BYTES, BodyHandling::Stream), (MAX_BODY_BYTES + 1, BodyHandling::TooLong)])
         {
-            assert_eq!(plan(Some(length)), expected, "{length}");
+            assert_eq!(body_handling(Some(length)), expected, "{length}");
         }
-        assert_eq!((plan(None), plan(Some(u64::MAX))), (BodyHandling::Wait, BodyHandling::TooLong));
+        assert_eq!(
+            (body_handling(None), body_handling(Some(u64::MAX))),
+            (BodyHandling::UnknownLength, BodyHandling::TooLong)
+        );
     }
 }
--- a/crates/sidecar/src/transfer/request_body.rs
+++ b/crates/sidecar/src/transfer/request_body.rs
@@ -15,7 +15,7 @@
 #[derive(Debug, Clone)]
 pub enum RequestBody {
     /// All of it.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// What has come so far, and where the rest comes from.
     Upload(Arc<Upload>),
 }
@@ -24,7 +24,7 @@
     /// How long it is, where that is known.
     pub fn length(&self) -> Option<u64> {
         match self {
-            RequestBody::Whole(bytes) => u64::try_from(bytes.len()).ok(),
+            RequestBody::Buffered(bytes) => u64::try_from(bytes.len()).ok(),
             RequestBody::Upload(upload) => upload.length(),
         }
     }
@@ -32,7 +32,7 @@
     /// The upload, if it is one.
     pub fn upload(&self) -> Option<&Arc<Upload>> {
         match self {
-            RequestBody::Whole(_) => None,
+            RequestBody::Buffered(_) => None,
             RequestBody::Upload(upload) => Some(upload),
         }
     }
@@ -41,15 +41,15 @@
 /// What an attempt writes.
 pub enum AttemptBody {
     /// All of it at once.
-    Whole(Full<Bytes>),
+    Buffered(Full<Bytes>),
     /// As it comes.
-    Passing(UploadStream),
+    Stream(UploadStream),
 }
 
 impl AttemptBody {
     /// One without a body.
     pub fn empty() -> AttemptBody {
-        AttemptBody::Whole(Full::new(Bytes::new()))
+        AttemptBody::Buffered(Full::new(Bytes::new()))
     }
 }
 
@@ -62,24 +62,24 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, UploadError>>> {
         match &mut *self {
-            AttemptBody::Whole(body) => Pin::new(body)
+            AttemptBody::Buffered(body) => Pin::new(body)
                 .poll_frame(cx)
                 .map(|frame| frame.map(|frame| frame.map_err(|error: Infallible| match error {}))),
-            AttemptBody::Passing(body) => Pin::new(body).poll_frame(cx),
+            AttemptBody::Stream(body) => Pin::new(body).poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            AttemptBody::Whole(body) => body.is_end_stream(),
-            AttemptBody::Passing(body) => body.is_end_stream(),
+            AttemptBody::Buffered(body) => body.is_end_stream(),
+            AttemptBody::Stream(body) => body.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AttemptBody::Whole(body) => body.size_hint(),
-            AttemptBody::Passing(body) => body.size_hint(),
+            AttemptBody::Buffered(body) => body.size_hint(),
+            AttemptBody::Stream(body) => body.size_hint(),
         }
     }
 }
--- a/crates/sidecar/src/transfer/stall_timeout.rs
+++ b/crates/sidecar/src/transfer/stall_timeout.rs
@@ -7,7 +7,7 @@
 /// Never less: it is made before it is sent, and its bytes follow each other.
 const LEAST: Duration = Duration::from_millis(30);
 /// Never more, and what is waited in order to learn: honest servers pause for up to 2 s.
-pub const MOST: Duration = Duration::from_millis(2_100);
+pub const MAX_STALL_TIMEOUT: Duration = Duration::from_millis(2_100);
 /// Before anything is known.
 const FIRST: Duration = Duration::from_millis(75);
 /// As many times the longest gap of late.
@@ -37,25 +37,25 @@
 
 impl StallTimeout {
     /// How long the next answer that stops is waited for.
-    pub fn limit(&self) -> Duration {
+    pub fn next_timeout(&self) -> Duration {
         if self.asked.fetch_add(1, Ordering::Relaxed) % TRY_OUT == TRY_OUT - 1 {
-            return MOST;
+            return MAX_STALL_TIMEOUT;
         }
-        self.learnt()
+        self.estimate()
     }
 
     /// What was learnt of how long answers pause, without trying out whether it is still true.
-    pub fn learnt(&self) -> Duration {
-        (Duration::from_micros(self.gap.load(Ordering::Relaxed)) * TIMES).clamp(LEAST, MOST)
+    pub fn estimate(&self) -> Duration {
+        (Duration::from_micros(self.gap.load(Ordering::Relaxed)) * TIMES).clamp(LEAST, MAX_STALL_TIMEOUT)
     }
 
     /// An answer went on after it had brought nothing for this long.
-    pub fn went_on(&self, gap: Duration) {
-        self.gap.fetch_max(micros(gap.min(MOST)), Ordering::Relaxed);
+    pub fn record_gap(&self, gap: Duration) {
+        self.gap.fetch_max(micros(gap.min(MAX_STALL_TIMEOUT)), Ordering::Relaxed);
     }
 
     /// An answer came whole.
-    pub fn whole(&self) {
+    pub fn record_complete_answer(&self) {
         let gap = self.gap.load(Ordering::Relaxed);
         // A gap that is told meanwhile may be lost; another will come.
         self.gap.store(gap - gap / FADE, Ordering::Relaxed);
@@ -70,12 +70,12 @@
     fn after(patience: &StallTimeout, answers: usize, gap: Duration) -> usize {
         let mut cut = 0;
         for _ in 0..answers {
-            if patience.limit() < gap {
+            if patience.next_timeout() < gap {
                 cut += 1;
                 continue;
             }
-            patience.went_on(gap);
-            patience.whole();
+            patience.record_gap(gap);
+            patience.record_complete_answer();
         }
         cut
     }
@@ -84,15 +84,15 @@
     fn it_falls_where_answers_do_not_pause_and_grows_where_they_do() {
         let patience = StallTimeout::default();
         after(&patience, 2_000, Duration::from_micros(300));
-        let limits: Vec<Duration> = (0..8).map(|_| patience.limit()).collect();
+        let limits: Vec<Duration> = (0..8).map(|_| patience.next_timeout()).collect();
         assert_eq!(limits.iter().filter(|limit| **limit == LEAST).count(), 7);
-        assert_eq!(limits.iter().filter(|limit| **limit == MOST).count(), 1);
+        assert_eq!(limits.iter().filter(|limit| **limit == MAX_STALL_TIMEOUT).count(), 1);
         // Servers begin to pause for longer than it waits: few are cut before it knows.
         let cut = after(&patience, 1_000, Duration::from_millis(400));
         assert!(cut <= 8, "{cut} answers were cut");
         let cut = after(&patience, 1_000, Duration::from_millis(1_900));
         assert!(cut <= 8, "{cut} answers were cut");
         after(&patience, 3_000, Duration::from_micros(300));
-        assert!((0..8).filter(|_| patience.limit() == LEAST).count() == 7, "and it falls again");
+        assert!((0..8).filter(|_| patience.next_timeout() == LEAST).count() == 7, "and it falls again");
     }
 }
--- a/crates/sidecar/src/transfer/upload.rs
+++ b/crates/sidecar/src/transfer/upload.rs
@@ -14,18 +14,18 @@
 use tokio::sync::watch;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-use super::limits::{MOST_BYTES, body_by};
+use super::limits::{MAX_BODY_BYTES, body_due_by};
 use crate::budget::TransferPermit;
 
 /// What became of a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UploadState {
     /// It is still coming, or has not been asked for.
-    Coming,
+    Receiving,
     /// Its last byte came then.
-    Whole(Instant),
+    Complete(Instant),
     /// It never came whole, and this is what its client is told.
-    Broken(StatusCode),
+    Failed(StatusCode),
 }
 
 /// Where the bytes are.
@@ -72,7 +72,7 @@
             began,
             gathered: Instant::now(),
             source,
-            fate: watch::Sender::new(UploadState::Coming),
+            fate: watch::Sender::new(UploadState::Receiving),
             _room: room,
         }
     }
@@ -83,30 +83,30 @@
     }
 
     /// Whether an attempt can have it.
-    pub fn can_be_sent(&self) -> bool {
+    pub fn is_sendable(&self) -> bool {
         matches!(*lock(&self.source), Source::Kept(_))
     }
 
     /// What became of it.
-    pub fn fate(&self) -> UploadState {
+    pub fn state(&self) -> UploadState {
         *self.fate.borrow()
     }
 
     /// Whether it never came whole.
-    pub fn is_broken(&self) -> bool {
-        matches!(self.fate(), UploadState::Broken(_))
+    pub fn has_failed(&self) -> bool {
+        matches!(self.state(), UploadState::Failed(_))
     }
 
     /// Comes back once it no longer comes.
-    pub async fn settled(&self) -> UploadState {
+    pub async fn wait_until_settled(&self) -> UploadState {
         let mut fates = self.fate.subscribe();
         // It cannot fail: the sender is here.
-        let _ = fates.wait_for(|fate| *fate != UploadState::Coming).await;
-        self.fate()
+        let _ = fates.wait_for(|fate| *fate != UploadState::Receiving).await;
+        self.state()
     }
 
     /// The body for an attempt; `None` if it can have none.
-    pub fn body(this: &Arc<Upload>) -> Option<UploadStream> {
+    pub fn take_stream(this: &Arc<Upload>) -> Option<UploadStream> {
         match std::mem::replace(&mut *lock(&this.source), Source::Gone) {
             Source::Kept(rest) => Some(UploadStream {
                 upload: this.clone(),
@@ -114,7 +114,7 @@
                 rest: Some(rest),
                 touched: false,
                 passed: 0,
-                limit: Box::pin(sleep_until(body_by(this.began, 0))),
+                limit: Box::pin(sleep_until(body_due_by(this.began, 0))),
                 unasked: Some(this.gathered),
                 held: Duration::ZERO,
             }),
@@ -145,7 +145,7 @@
 impl UploadStream {
     fn pass(&mut self, data: Bytes) -> Poll<Option<Result<Frame<Bytes>, UploadError>>> {
         self.passed = self.passed.saturating_add(data.len() as u64);
-        if self.passed > MOST_BYTES {
+        if self.passed > MAX_BODY_BYTES {
             return self.breaks(StatusCode::PAYLOAD_TOO_LARGE);
         }
         self.unasked = Some(Instant::now());
@@ -156,13 +156,13 @@
     }
 
     fn breaks(&mut self, status: StatusCode) -> Poll<Option<Result<Frame<Bytes>, UploadError>>> {
-        self.upload.fate.send_replace(UploadState::Broken(status));
+        self.upload.fate.send_replace(UploadState::Failed(status));
         Poll::Ready(Some(Err(UploadError)))
     }
 
     fn ends(&mut self) {
-        if self.upload.fate() == UploadState::Coming {
-            self.upload.fate.send_replace(UploadState::Whole(Instant::now()));
+        if self.upload.state() == UploadState::Receiving {
+            self.upload.fate.send_replace(UploadState::Complete(Instant::now()));
         }
     }
 }
@@ -178,7 +178,7 @@
         let this = &mut *self;
         if let Some(since) = this.unasked.take() {
             this.held += since.elapsed();
-            this.limit.as_mut().reset(body_by(this.upload.began + this.held, this.passed));
+            this.limit.as_mut().reset(body_due_by(this.upload.began + this.held, this.passed));
         }
         if let Some(first) = this.first.take().filter(|first| !first.is_empty()) {
             return this.pass(first);
--- a/crates/sidecar/src/upstream.rs
+++ b/crates/sidecar/src/upstream.rs
@@ -25,9 +25,9 @@
 use crate::metrics::{Metrics, RequestOutcome};
 use crate::request_bound::{RequestState, bound};
 use crate::transfer::answer::{self, AnswerBody, AnswerStream};
-use crate::transfer::answer_hold::{AnswerLengths, HoldTimes, Pace, SHORT_HOLD, hold_until};
+use crate::transfer::answer_hold::{AnswerLengths, HoldTimes, MIN_HOLD, Pace, hold_until};
 use crate::transfer::body_buffer::BodyBuffer;
-use crate::transfer::limits::{self, BodyHandling, WHOLE_BYTES};
+use crate::transfer::limits::{self, BodyHandling, MAX_BUFFERED_BODY_BYTES};
 use crate::transfer::request_body::{AttemptBody, RequestBody};
 use crate::transfer::stall_timeout::StallTimeout;
 use crate::transfer::upload::{Upload, UploadState};
@@ -80,7 +80,7 @@
 impl<'a> Hold<'a> {
     fn new(holder: &'a Holder<'a>) -> Hold<'a> {
         let head_at = Instant::now();
-        Hold { holder, head_at, until: head_at + SHORT_HOLD, pace: Pace::new(head_at), room: None }
+        Hold { holder, head_at, until: head_at + MIN_HOLD, pace: Pace::new(head_at), room: None }
     }
 
     /// Comes back when the answer is not to be held any longer. One that has stopped is held until its next piece: nobody gains
@@ -93,7 +93,7 @@
             }
             let now = Instant::now();
             // Without room it goes on as it comes, whatever it may be.
-            if self.pace.is_coming(now) && (self.room.is_none() || self.pace.may_be_long(now)) {
+            if self.pace.is_progressing(now) && (self.room.is_none() || self.pace.may_be_long(now)) {
                 return;
             }
             std::future::pending::<()>().await;
@@ -106,12 +106,13 @@
             return false;
         }
         let Holder { flight, common } = self.holder;
-        self.room = common.transfers.take();
+        self.room = common.transfers.try_acquire();
         if self.room.is_none() {
             common.metrics.unheld_answers.fetch_add(1, Ordering::Relaxed);
             return false;
         }
-        let times = HoldTimes { head_at: self.head_at, aim_at: flight.aim_at, attempt_until: flight.until };
+        let times =
+            HoldTimes { head_at: self.head_at, aim_at: flight.aim_at, attempt_times_out_at: flight.until };
         self.until = hold_until(times, common.lengths.long_expected());
         true
     }
@@ -125,22 +126,22 @@
     holder: Option<&Holder<'_>>,
 ) -> Result<Got, Broken> {
     let notices = meter.clone();
-    hyper::ext::on_informational(&mut request, move |_| notices.answer_is_to_come());
+    hyper::ext::on_informational(&mut request, move |_| notices.mark_interim_answer());
     let response = sender.send_request(request).await.map_err(|_| Broken::Cut)?;
-    meter.answer_has_begun();
+    meter.mark_answer_started();
     let (head, mut body): (_, Incoming) = Response::into_parts(response);
     if let Some(reason) = unfit(&head) {
         return Err(Broken::Unfit(reason));
     }
     let length = body.size_hint().exact();
     let served = head.status == StatusCode::OK;
-    let plan = match limits::plan(length) {
+    let plan = match limits::body_handling(length) {
         BodyHandling::TooLong if served => return Err(Broken::Unfit("an answer that is too long")),
         // What it says beside its status goes to nobody.
         BodyHandling::TooLong | BodyHandling::Stream if !served => return Ok(Got::Head(head_only(head))),
         plan => plan,
     };
-    let mut hold = holder.filter(|_| plan == BodyHandling::Wait && served).map(Hold::new);
+    let mut hold = holder.filter(|_| plan == BodyHandling::UnknownLength && served).map(Hold::new);
     let mut gathered = BodyBuffer::default();
     loop {
         let frame = tokio::select! {
@@ -150,29 +151,29 @@
         };
         match frame {
             None => {
-                meter.answered();
+                meter.mark_answer_complete();
                 // Those that were whole at once say nothing of those that are not.
                 if let Some(Hold { holder, room: Some(_), .. }) = &hold {
-                    holder.common.lengths.learn(false);
+                    holder.common.lengths.record(false);
                 }
-                let (Parts { status, headers, .. }, body) = (head, AnswerBody::Whole(gathered.take()));
+                let (Parts { status, headers, .. }, body) = (head, AnswerBody::Buffered(gathered.take()));
                 return Ok(Got::Whole(Answer { status, headers, body }));
             }
             Some(Ok(frame)) => {
                 // Trailers end with the connection that they came on.
                 if let Ok(data) = frame.into_data() {
                     if let Some(hold) = &mut hold {
-                        hold.pace.piece(Instant::now(), data.len());
+                        hold.pace.record_piece(Instant::now(), data.len());
                     }
-                    gathered.add(data, length);
+                    gathered.push(data, length);
                 }
             }
             Some(Err(_)) => return Err(Broken::Cut),
         }
-        let is_long = gathered.length() > WHOLE_BYTES;
+        let is_long = gathered.length() > MAX_BUFFERED_BODY_BYTES;
         match plan {
-            BodyHandling::Wait if is_long && !served => return Ok(Got::Head(head_only(head))),
-            BodyHandling::Wait if is_long => break,
+            BodyHandling::UnknownLength if is_long && !served => return Ok(Got::Head(head_only(head))),
+            BodyHandling::UnknownLength if is_long => break,
             BodyHandling::Stream => break,
             _ => {}
         }
@@ -184,7 +185,7 @@
 /// An answer of which nothing but its status is of use.
 fn head_only(head: Parts) -> Answer {
     let Parts { status, headers, .. } = head;
-    Answer { status, headers, body: AnswerBody::Whole(Bytes::new()) }
+    Answer { status, headers, body: AnswerBody::Buffered(Bytes::new()) }
 }
 
 /// Comes back when a hold is over; never where there is none.
@@ -199,10 +200,10 @@
 /// reads it, and that is no fault of the upstream's.
 async fn stalled(meter: &Meter, patience: &StallTimeout, waits_for_room: &AtomicBool) {
     loop {
-        meter.answer_began().await;
-        let limit = patience.limit();
-        while meter.is_answering() {
-            let until = meter.read_at() + limit;
+        meter.wait_for_answer_start().await;
+        let limit = patience.next_timeout();
+        while meter.is_answer_started() {
+            let until = meter.last_read_at() + limit;
             if waits_for_room.load(Ordering::Relaxed) {
                 return std::future::pending().await;
             }
@@ -325,12 +326,12 @@
     }
     let (meter, port) = (connection.meter.clone(), connection.port);
     let client_waits = flight.deadline.saturating_duration_since(Instant::now());
-    meter.begin(Some((common.metrics.clone(), common.patience.clone())), terms);
+    meter.begin_exchange(Some((common.metrics.clone(), common.patience.clone())), terms);
     let upload = body.upload().cloned();
     *request.body_mut() = match body {
-        RequestBody::Whole(bytes) => AttemptBody::Whole(Full::new(bytes)),
-        RequestBody::Upload(upload) => match Upload::body(&upload) {
-            Some(body) => AttemptBody::Passing(body),
+        RequestBody::Buffered(bytes) => AttemptBody::Buffered(Full::new(bytes)),
+        RequestBody::Upload(upload) => match Upload::take_stream(&upload) {
+            Some(body) => AttemptBody::Stream(body),
             None => {
                 told.tell(UpstreamEvent::Ended {
                     flight,
@@ -349,7 +350,7 @@
             // Until there is room for what goes on as it comes, it waits with its upstream.
             if let Got::Begun { room: room @ None, .. } = &mut got {
                 waits_for_room.store(true, Ordering::Relaxed);
-                *room = common.transfers.wait().await;
+                *room = common.transfers.acquire().await;
             }
             Ok(got)
         };
@@ -357,12 +358,12 @@
             biased;
             result = exchange => match result {
                 Ok(Got::Whole(answer)) => {
-                    common.patience.whole();
+                    common.patience.record_complete_answer();
                     let says = execution::says(answer.status, execution::is_marked(&answer.headers));
                     // What answers before it has all of a request goes on reading it: that must not arrive any more.
-                    if meter.request() == Written::Whole {
+                    if meter.request_written() == Written::Whole {
                         let end = ended(How::Answered(says), Written::Whole, Some(answer));
-                        told.tell(UpstreamEvent::Ended { flight, end, wire: Wire { port, bytes: meter.taken() } });
+                        told.tell(UpstreamEvent::Ended { flight, end, wire: Wire { port, bytes: meter.request_bytes_written() } });
                         return give_back(connection.settle().await, flight.upstream, flight.incarnation, &told);
                     }
                     (How::Answered(says), Some(answer))
@@ -383,23 +384,23 @@
                             });
                         }
                     });
-                    let deadline = match upload.as_deref().map(Upload::fate) {
-                        Some(UploadState::Whole(at)) => at + client_waits,
+                    let deadline = match upload.as_deref().map(Upload::state) {
+                        Some(UploadState::Complete(at)) => at + client_waits,
                         _ => flight.deadline,
                     };
                     let learnt = answer::StreamEstimates {
-                        patience: common.patience.clone(),
+                        stall_timeout: common.patience.clone(),
                         lengths: common.lengths.clone(),
                     };
-                    let parts = answer::StreamParts { first, rest, length, connection, end, room, deadline, learnt };
+                    let parts = answer::StreamParts { first, rest, length, connection, on_end: end, permit: room, deadline, estimates: learnt };
                     let body = AnswerBody::Stream(Box::new(AnswerStream::new(parts)));
                     let answer = Answer { status: head.status, headers: head.headers, body };
                     let end = AttemptEnd::Outcome(Outcome::Ok, Some(answer));
-                    told.tell(UpstreamEvent::Ended { flight, end, wire: Wire { port, bytes: meter.taken() } });
+                    told.tell(UpstreamEvent::Ended { flight, end, wire: Wire { port, bytes: meter.request_bytes_written() } });
                     return;
                 }
                 Ok(Got::Begun { room: None, .. }) => (How::Spoilt, None),
-                Err(Broken::Cut) if upload.as_ref().is_some_and(|upload| upload.is_broken()) => {
+                Err(Broken::Cut) if upload.as_ref().is_some_and(|upload| upload.has_failed()) => {
                     (How::BodyBroke, None)
                 }
                 Err(Broken::Cut) => (How::Broke, None),
@@ -421,13 +422,17 @@
     let used = connection.used;
     connection.close().await;
     // Who is not there any more is no fault of the upstream's.
-    let how = if meter.is_unwanted() { How::CalledOff } else { how };
-    let written = meter.request();
+    let how = if meter.is_request_obsolete() { How::CalledOff } else { how };
+    let written = meter.request_written();
     let end = match execution::is_stale(how, execution::execution(how, written), used) {
         true => AttemptEnd::Stale,
         false => ended(how, written, answer),
     };
-    told.tell(UpstreamEvent::Ended { flight, end, wire: Wire { port, bytes: meter.taken() } });
+    told.tell(UpstreamEvent::Ended {
+        flight,
+        end,
+        wire: Wire { port, bytes: meter.request_bytes_written() },
+    });
 }
 
 /// What the driver is told of an attempt that has ended.
@@ -440,16 +445,16 @@
     let until = bound(RequestState::Sent(flight.times())).at;
     let Some(upload) = upload else { return sleep_until(until).await };
     let allowed = until.saturating_duration_since(Instant::now());
-    if upload.fate() == UploadState::Coming {
-        told.tell(UpstreamEvent::Uploads(*flight, UploadState::Coming));
+    if upload.state() == UploadState::Receiving {
+        told.tell(UpstreamEvent::Uploads(*flight, UploadState::Receiving));
     }
-    match upload.settled().await {
-        UploadState::Whole(at) => {
-            told.tell(UpstreamEvent::Uploads(*flight, UploadState::Whole(at)));
+    match upload.wait_until_settled().await {
+        UploadState::Complete(at) => {
+            told.tell(UpstreamEvent::Uploads(*flight, UploadState::Complete(at)));
             sleep_until(at + allowed).await;
         }
         // The exchange ends by itself.
-        UploadState::Coming | UploadState::Broken(_) => std::future::pending().await,
+        UploadState::Receiving | UploadState::Failed(_) => std::future::pending().await,
     }
 }
 
@@ -469,7 +474,7 @@
     let mut answer = None;
     if let Ok(mut connection) = opened {
         let meter = connection.meter.clone();
-        meter.begin(None, None);
+        meter.begin_exchange(None, None);
         let result = timeout_at(until, exchange(&mut connection.sender, request, &meter, None)).await;
         if let Ok(Ok(Got::Whole(got))) = result {
             answer = Some(got);
--- a/crates/sidecar/src/upstream/tests.rs
+++ b/crates/sidecar/src/upstream/tests.rs
@@ -24,7 +24,7 @@
 /// A connection to this address, and what an attempt over it needs to know.
 async fn at_hand(dial: SocketAddr) -> (Connection, AttemptInfo) {
     let until = Instant::now() + FOREVER;
-    let permit = Budgets::of(1).permit(dial).unwrap();
+    let permit = Budgets::with_connections(1).upstream_permit(dial).unwrap();
     let connection = Connection::open(dial, until, permit).await.unwrap();
     let (request, attempt, upstream) = (RequestId(1), AttemptNo(0), UpstreamId(1));
     let flight = AttemptInfo {
@@ -85,7 +85,7 @@
 /// A request, with so many bytes of body, as the driver makes one.
 fn post(length: usize) -> (Request<AttemptBody>, RequestBody) {
     let request = Request::post("/bill?k=1").header("host", "x").header("content-length", length);
-    (request.body(AttemptBody::empty()).unwrap(), RequestBody::Whole(Bytes::from(vec![b'x'; length])))
+    (request.body(AttemptBody::empty()).unwrap(), RequestBody::Buffered(Bytes::from(vec![b'x'; length])))
 }
 
 /// Whether these bytes hold a whole request: read by the rules of RFC 9112 and by no code of the program.
@@ -111,7 +111,7 @@
     let outgoing = Request::get("/fetch").header("host", "x").body(AttemptBody::empty()).unwrap();
     attempt(
         connection,
-        Writing { request: outgoing, body: RequestBody::Whole(Bytes::new()), terms: None },
+        Writing { request: outgoing, body: RequestBody::Buffered(Bytes::new()), terms: None },
         flight,
         given_up,
         common(),
@@ -164,7 +164,7 @@
         let (connection, flight) = at_hand(dial).await;
         let (heard, outlet) = listening();
         let (_give_up, given_up) = oneshot::channel();
-        let body = RequestBody::Whole(Bytes::from(vec![b'x'; length]));
+        let body = RequestBody::Buffered(Bytes::from(vec![b'x'; length]));
         attempt(connection, Writing { request, body, terms: None }, flight, given_up, common(), outlet).await;
         let outcome = told_end(&heard);
         let came_whole = peer.join().unwrap();
@@ -238,7 +238,7 @@
         let accepted = clients.accept().unwrap().0;
         accepted.set_nonblocking(true).unwrap();
         let socket = Arc::new(Mutex::new(tokio::net::TcpStream::from_std(accepted).unwrap()));
-        let presence = ClientConnection::of(&socket);
+        let presence = ClientConnection::from_stream(&socket);
         let stays = (!leaves).then_some(client);
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let (connection, mut flight) = at_hand(listener.local_addr().unwrap()).await;
@@ -247,7 +247,7 @@
         let (_give_up, given_up) = oneshot::channel();
         flight.until = Instant::now() + Duration::from_millis(100);
         let (request, body) = post(90);
-        let terms = Some(WriteConditions { client: presence, until: flight.until });
+        let terms = Some(WriteConditions { client: presence, expires_at: flight.until });
         attempt(connection, Writing { request, body, terms }, flight, given_up, common(), outlet).await;
         let mut came = Vec::new();
         let _ = stream.read_to_end(&mut came);
@@ -280,7 +280,7 @@
             let _ = stream.shutdown(Shutdown::Both);
         });
         let common = common();
-        let taken = is_full.then(|| common.transfers.take().expect("one place"));
+        let taken = is_full.then(|| common.transfers.try_acquire().expect("one place"));
         let (heard, outlet) = listening();
         let (_give_up, given_up) = oneshot::channel();
         let (request, body) = post(1);
--- a/crates/sidecar/tests/client_disconnect.rs
+++ b/crates/sidecar/tests/client_disconnect.rs
@@ -122,7 +122,7 @@
             seed: 1,
             // Nobody is there.
             discovery: SocketAddr::from(([127, 0, 0, 1], 9)),
-            budgets: Budgets::of(8),
+            budgets: Budgets::with_connections(8),
             crossing: None,
             metrics: Arc::new(Metrics::new(std::iter::once("a"))),
             log: Log::process(),
@@ -142,7 +142,7 @@
             method: Method::GET,
             target: target.parse::<Uri>().expect("a target"),
             headers: HeaderMap::new(),
-            body: RequestBody::Whole(Default::default()),
+            body: RequestBody::Buffered(Default::default()),
             client,
         };
         let arrival = RequestArrival {
@@ -197,7 +197,7 @@
                 stage.warm_up().await;
             }
             let (socket, client) = client();
-            let (target, answer) = stage.arrives(Some(ClientConnection::of(&socket)));
+            let (target, answer) = stage.arrives(Some(ClientConnection::from_stream(&socket)));
             let first = stage.asked().await;
             assert_eq!(first.target, target);
             // Nobody tells the driver.
--- a/crates/sidecar/tests/staleness.rs
+++ b/crates/sidecar/tests/staleness.rs
@@ -168,7 +168,7 @@
             settings: serde_json::from_str(SETTINGS).expect("settings"),
             seed,
             discovery,
-            budgets: Budgets::of(8),
+            budgets: Budgets::with_connections(8),
             crossing: None,
             metrics: metrics.clone(),
             log,
