--- a/crates/sidecar/src/budget.rs
+++ b/crates/sidecar/src/budget.rs
@@ -1,4 +1,5 @@
-//! What an instance may hold at once: handed to it by its owner, and returned piece by piece as it lets go.
+//! Limits of the connections and transfers of an instance. Its owner sets them; permits are returned as they
+//! are dropped.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -7,194 +8,199 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// A number of things that may be held at once. The limit may change while they are held: those beyond a smaller
-/// one stay until they are let go, and until then nothing more is given.
+/// A limit of concurrently held permits. The limit may change while permits are held: if it shrinks below
+/// their number, they stay valid, and no more are given out until enough have been returned.
 #[derive(Debug, Clone)]
-pub struct Quota(Arc<Counts>);
+pub struct Quota(Arc<QuotaState>);
 
 #[derive(Debug)]
-struct Counts {
+struct QuotaState {
     limit: AtomicUsize,
-    held: AtomicUsize,
+    in_use: AtomicUsize,
 }
 
-/// One of them; returned when dropped.
+/// One permit of a [`Quota`]; returned when dropped.
 #[derive(Debug)]
-pub struct QuotaPermit(Arc<Counts>);
+pub struct QuotaPermit(Arc<QuotaState>);
 
 impl Quota {
-    /// So many.
+    /// Creates a quota of `limit` permits.
     pub fn new(limit: usize) -> Quota {
-        Quota(Arc::new(Counts { limit: AtomicUsize::new(limit), held: AtomicUsize::new(0) }))
+        Quota(Arc::new(QuotaState { limit: AtomicUsize::new(limit), in_use: AtomicUsize::new(0) }))
     }
 
-    /// Takes one, if there is one.
+    /// Takes a permit, if one is available.
     pub fn try_acquire(&self) -> Option<QuotaPermit> {
         self.try_acquire_beyond(0)
     }
 
-    /// Takes one of those, or of so many more: for what is about to take the place of another.
+    /// Takes a permit, if necessary one of `extra` permits above the limit. These are for a holder that is
+    /// about to replace another.
     pub fn try_acquire_beyond(&self, extra: usize) -> Option<QuotaPermit> {
         let limit = self.limit().saturating_add(extra);
-        let more = |held: usize| (held < limit).then_some(held + 1);
-        self.0.held.fetch_update(Ordering::AcqRel, Ordering::Relaxed, more).ok()?;
+        let one_more = |in_use: usize| (in_use < limit).then_some(in_use + 1);
+        self.0.in_use.fetch_update(Ordering::AcqRel, Ordering::Relaxed, one_more).ok()?;
         Some(QuotaPermit(self.0.clone()))
     }
 
-    /// How many there may be.
+    /// How many permits may be held.
     pub fn limit(&self) -> usize {
         self.0.limit.load(Ordering::Relaxed)
     }
 
-    /// Changes that.
+    /// Changes the limit.
     pub fn set_limit(&self, limit: usize) {
         self.0.limit.store(limit, Ordering::Relaxed);
     }
 
-    /// How many are held.
+    /// How many permits are held.
     pub fn in_use(&self) -> usize {
-        self.0.held.load(Ordering::Acquire)
+        self.0.in_use.load(Ordering::Acquire)
     }
 }
 
 impl Drop for QuotaPermit {
     fn drop(&mut self) {
-        self.0.held.fetch_sub(1, Ordering::AcqRel);
+        self.0.in_use.fetch_sub(1, Ordering::AcqRel);
     }
 }
 
-/// Numbers of things: held, or allowed.
+/// Counts of connections and transfers, in use or allowed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default, Serialize, Deserialize)]
 pub struct ResourceCounts {
-    /// Connections of clients.
+    /// Client connections.
     pub clients: usize,
     /// Connections to upstreams.
     pub upstreams: usize,
-    /// Bodies that pass through.
+    /// Bodies that are streamed instead of buffered.
     pub transfers: usize,
 }
 
 impl ResourceCounts {
-    /// The same of each.
-    pub fn zip_with(self, other: ResourceCounts, how: impl Fn(usize, usize) -> usize) -> ResourceCounts {
+    /// Combines the counts of each kind.
+    pub fn zip_with(self, other: ResourceCounts, combine: impl Fn(usize, usize) -> usize) -> ResourceCounts {
         ResourceCounts {
-            clients: how(self.clients, other.clients),
-            upstreams: how(self.upstreams, other.upstreams),
-            transfers: how(self.transfers, other.transfers),
+            clients: combine(self.clients, other.clients),
+            upstreams: combine(self.upstreams, other.upstreams),
+            transfers: combine(self.transfers, other.transfers),
         }
     }
 }
 
-/// Room for bodies that pass through. Unlike a [`Quota`] it can be waited for.
+/// A limit of concurrent transfers. Unlike with a [`Quota`], a permit can be waited for.
 #[derive(Debug, Clone)]
-pub struct TransferLimit(Arc<Places>);
+pub struct TransferLimit(Arc<TransferState>);
 
 #[derive(Debug)]
-struct Places {
+struct TransferState {
     semaphore: Arc<Semaphore>,
     limit: AtomicUsize,
-    /// Places beyond a smaller limit that are still held.
-    owed: Mutex<usize>,
+    /// Held permits above a limit that has shrunk; they are discarded instead of returned.
+    excess: Mutex<usize>,
 }
 
 impl TransferLimit {
-    /// So many.
+    /// Creates a limit of `limit` permits.
     pub fn new(limit: usize) -> TransferLimit {
         let limit = limit.min(Semaphore::MAX_PERMITS);
         let semaphore = Arc::new(Semaphore::new(limit));
-        TransferLimit(Arc::new(Places { semaphore, limit: AtomicUsize::new(limit), owed: Mutex::new(0) }))
+        TransferLimit(Arc::new(TransferState {
+            semaphore,
+            limit: AtomicUsize::new(limit),
+            excess: Mutex::new(0),
+        }))
     }
 
-    /// Takes one, if there is one.
+    /// Takes a permit, if one is available.
     pub fn try_acquire(&self) -> Option<TransferPermit> {
         let permit = self.0.semaphore.clone().try_acquire_owned().ok()?;
-        Some(TransferPermit { permit: Some(permit), room: self.0.clone() })
+        Some(TransferPermit { permit: Some(permit), state: self.0.clone() })
     }
 
-    /// Waits for one.
+    /// Waits for a permit.
     pub async fn acquire(&self) -> Option<TransferPermit> {
-        // Nobody closes it.
+        // The semaphore is never closed, so this never fails.
         let permit = self.0.semaphore.clone().acquire_owned().await.ok()?;
-        Some(TransferPermit { permit: Some(permit), room: self.0.clone() })
+        Some(TransferPermit { permit: Some(permit), state: self.0.clone() })
     }
 
-    /// How many there may be.
+    /// How many permits may be held.
     pub fn limit(&self) -> usize {
         self.0.limit.load(Ordering::Relaxed)
     }
 
-    /// How many are held.
+    /// How many permits are held.
     pub fn in_use(&self) -> usize {
-        let owed = *self.0.owed.lock().unwrap_or_else(PoisonError::into_inner);
-        (self.limit() + owed).saturating_sub(self.0.semaphore.available_permits())
+        let excess = *self.0.excess.lock().unwrap_or_else(PoisonError::into_inner);
+        (self.limit() + excess).saturating_sub(self.0.semaphore.available_permits())
     }
 
-    /// Changes how many there may be. Those beyond a smaller limit stay until they are let go.
+    /// Changes the limit. Held permits above a smaller limit stay valid until they are returned.
     pub fn set_limit(&self, limit: usize) {
         let limit = limit.min(Semaphore::MAX_PERMITS);
-        let mut owed = self.0.owed.lock().unwrap_or_else(PoisonError::into_inner);
-        let before = self.0.limit.swap(limit, Ordering::Relaxed);
-        // What is more pays first for what is owed.
-        let more = limit.saturating_sub(before);
-        let paid = more.min(*owed);
-        self.0.semaphore.add_permits(more - paid);
-        *owed = *owed - paid + before.saturating_sub(limit);
-        *owed -= self.0.semaphore.forget_permits(*owed);
+        let mut excess = self.0.excess.lock().unwrap_or_else(PoisonError::into_inner);
+        let previous = self.0.limit.swap(limit, Ordering::Relaxed);
+        // A larger limit first covers held permits above the previous one.
+        let added = limit.saturating_sub(previous);
+        let covered = added.min(*excess);
+        self.0.semaphore.add_permits(added - covered);
+        *excess = *excess - covered + previous.saturating_sub(limit);
+        *excess -= self.0.semaphore.forget_permits(*excess);
     }
 }
 
-/// One place of a [`TransferLimit`]; returned when dropped.
+/// One permit of a [`TransferLimit`]; returned when dropped.
 #[derive(Debug)]
 pub struct TransferPermit {
     permit: Option<OwnedSemaphorePermit>,
-    room: Arc<Places>,
+    state: Arc<TransferState>,
 }
 
 impl Drop for TransferPermit {
     fn drop(&mut self) {
         let Some(permit) = self.permit.take() else { return };
-        let mut owed = self.room.owed.lock().unwrap_or_else(PoisonError::into_inner);
-        if *owed > 0 {
-            *owed -= 1;
+        let mut excess = self.state.excess.lock().unwrap_or_else(PoisonError::into_inner);
+        if *excess > 0 {
+            *excess -= 1;
             permit.forget();
         }
     }
 }
 
-/// A limit that several instances share: how many connections the process may hold to one upstream.
+/// A limit shared by several instances: how many connections the process may have to one upstream.
 pub trait SharedConnections: Send + Sync {
-    /// The right to one more connection to this address, returned when dropped. `None` when there is none left
+    /// Takes a permit for one more connection to this address, returned when dropped. `None` if none is left
     /// for this instance.
-    fn try_acquire(&self, dial: SocketAddr) -> Option<Box<dyn Send + Sync>>;
+    fn try_acquire(&self, address: SocketAddr) -> Option<Box<dyn Send + Sync>>;
 }
 
-/// The right to one connection to an upstream.
+/// The permit for one connection to an upstream.
 pub struct UpstreamPermit {
-    _own: QuotaPermit,
-    _shared: Option<Box<dyn Send + Sync>>,
+    _instance_permit: QuotaPermit,
+    _shared_permit: Option<Box<dyn Send + Sync>>,
 }
 
-/// All that an instance is handed. Two generations of one instance hold clones of the same: while one drains and
-/// its successor serves, both together stay within it.
+/// All limits of an instance. Generations of one instance share them by cloning: while one drains and its
+/// successor serves, both together stay within the limits.
 #[derive(Clone)]
 pub struct Budgets {
-    /// Connections of clients.
+    /// Client connections.
     pub clients: Quota,
     /// Connections to upstreams.
     pub upstreams: Quota,
-    /// Bodies that pass through without being held whole, both ways.
+    /// Bodies that are streamed instead of buffered, in both directions.
     pub transfers: TransferLimit,
-    /// What it shares with others, if anything.
+    /// The limit shared with other instances, if any.
     pub shared: Option<Arc<dyn SharedConnections>>,
 }
 
 impl Budgets {
-    /// So many connections on each side, and a transfer for each, shared with nobody.
+    /// The same limit for client connections, upstream connections and transfers, without a shared limit.
     pub fn with_connections(connections: usize) -> Budgets {
         Budgets::with_limits(connections, connections)
     }
 
-    /// So many connections on each side and so many transfers, shared with nobody.
+    /// A limit for client and upstream connections each, and one for transfers, without a shared limit.
     pub fn with_limits(connections: usize, transfers: usize) -> Budgets {
         Budgets {
             clients: Quota::new(connections),
@@ -204,7 +210,7 @@
         }
     }
 
-    /// What may be held.
+    /// The limits.
     pub fn limits(&self) -> ResourceCounts {
         ResourceCounts {
             clients: self.clients.limit(),
@@ -213,7 +219,7 @@
         }
     }
 
-    /// What is held.
+    /// The numbers in use.
     pub fn in_use(&self) -> ResourceCounts {
         ResourceCounts {
             clients: self.clients.in_use(),
@@ -222,21 +228,21 @@
         }
     }
 
-    /// Changes what may be held.
-    pub fn set_limits(&self, to: ResourceCounts) {
-        self.clients.set_limit(to.clients);
-        self.upstreams.set_limit(to.upstreams);
-        self.transfers.set_limit(to.transfers);
+    /// Changes the limits.
+    pub fn set_limits(&self, limits: ResourceCounts) {
+        self.clients.set_limit(limits.clients);
+        self.upstreams.set_limit(limits.upstreams);
+        self.transfers.set_limit(limits.transfers);
     }
 
-    /// The right to one more connection to this address.
-    pub fn upstream_permit(&self, dial: SocketAddr) -> Option<UpstreamPermit> {
-        let own = self.upstreams.try_acquire()?;
-        let shared = match &self.shared {
-            Some(shared) => Some(shared.try_acquire(dial)?),
+    /// Takes a permit for one more connection to this address, if one is available.
+    pub fn upstream_permit(&self, address: SocketAddr) -> Option<UpstreamPermit> {
+        let instance_permit = self.upstreams.try_acquire()?;
+        let shared_permit = match &self.shared {
+            Some(shared) => Some(shared.try_acquire(address)?),
             None => None,
         };
-        Some(UpstreamPermit { _own: own, _shared: shared })
+        Some(UpstreamPermit { _instance_permit: instance_permit, _shared_permit: shared_permit })
     }
 }
 
@@ -245,60 +251,60 @@
     use super::*;
 
     #[test]
-    fn no_more_is_given_than_there_is_and_all_comes_back() {
+    fn quota_gives_out_no_more_than_its_limit_and_gets_all_permits_back() {
         let quota = Quota::new(2);
         let (first, second) = (quota.try_acquire(), quota.try_acquire());
         assert!(first.is_some() && second.is_some() && quota.try_acquire().is_none());
         quota.set_limit(1);
         drop(first);
-        assert!(quota.try_acquire().is_none(), "one is held, and one is all there may be");
+        assert!(quota.try_acquire().is_none(), "one permit is held, and the limit is one");
         drop(second);
         assert_eq!(quota.in_use(), 0);
         assert!(quota.try_acquire().is_some());
     }
 
     #[test]
-    fn room_shrinks_and_grows_while_it_is_held() {
-        let room = TransferLimit::new(4);
-        let mut held: Vec<_> = (0..3).filter_map(|_| room.try_acquire()).collect();
-        room.set_limit(1);
-        assert_eq!((room.in_use(), room.limit()), (3, 1));
-        held.pop();
-        assert!(room.try_acquire().is_none(), "two are held, and one is all there may be");
-        room.set_limit(3);
-        assert!(room.try_acquire().is_some());
-        held.clear();
-        assert_eq!(room.in_use(), 0);
-        let all: Vec<_> = std::iter::from_fn(|| room.try_acquire()).collect();
+    fn transfer_limit_can_shrink_and_grow_while_permits_are_held() {
+        let transfers = TransferLimit::new(4);
+        let mut permits: Vec<_> = (0..3).filter_map(|_| transfers.try_acquire()).collect();
+        transfers.set_limit(1);
+        assert_eq!((transfers.in_use(), transfers.limit()), (3, 1));
+        permits.pop();
+        assert!(transfers.try_acquire().is_none(), "two permits are held, and the limit is one");
+        transfers.set_limit(3);
+        assert!(transfers.try_acquire().is_some());
+        permits.clear();
+        assert_eq!(transfers.in_use(), 0);
+        let all: Vec<_> = std::iter::from_fn(|| transfers.try_acquire()).collect();
         assert_eq!(all.len(), 3);
         let mut rng = oorandom::Rand64::new(6);
-        let (room, mut held) = (TransferLimit::new(20), Vec::new());
+        let (transfers, mut permits) = (TransferLimit::new(20), Vec::new());
         for _ in 0..20_000 {
             match rng.rand_range(0..5) {
-                0 => room.set_limit(rng.rand_range(0..40) as usize),
-                1 | 2 => drop(held.pop()),
+                0 => transfers.set_limit(rng.rand_range(0..40) as usize),
+                1 | 2 => drop(permits.pop()),
                 _ => {
-                    let before = held.len();
-                    held.extend(room.try_acquire());
-                    assert!(held.len() == before || held.len() <= room.limit());
+                    let before = permits.len();
+                    permits.extend(transfers.try_acquire());
+                    assert!(permits.len() == before || permits.len() <= transfers.limit());
                 }
             }
-            assert_eq!(room.in_use(), held.len());
+            assert_eq!(transfers.in_use(), permits.len());
         }
-        held.clear();
-        room.set_limit(7);
-        assert_eq!(std::iter::from_fn(|| room.try_acquire()).map(std::mem::forget).count(), 7);
+        permits.clear();
+        transfers.set_limit(7);
+        assert_eq!(std::iter::from_fn(|| transfers.try_acquire()).map(std::mem::forget).count(), 7);
     }
 
     #[test]
-    fn what_the_shared_limit_refuses_costs_nothing_of_its_own() {
-        struct None_;
-        impl SharedConnections for None_ {
+    fn connection_refused_by_the_shared_limit_uses_no_permit_of_the_instance() {
+        struct Exhausted;
+        impl SharedConnections for Exhausted {
             fn try_acquire(&self, _: SocketAddr) -> Option<Box<dyn Send + Sync>> {
                 None
             }
         }
-        let budgets = Budgets { shared: Some(Arc::new(None_)), ..Budgets::with_connections(4) };
+        let budgets = Budgets { shared: Some(Arc::new(Exhausted)), ..Budgets::with_connections(4) };
         assert!(budgets.upstream_permit(([127, 0, 0, 1], 1).into()).is_none());
         assert_eq!(budgets.upstreams.in_use(), 0);
     }
--- a/crates/sidecar/src/client.rs
+++ b/crates/sidecar/src/client.rs
@@ -1,5 +1,6 @@
-//! A client's stream: its calls are counted, nothing behind an open request hides that the client has left, and it is
-//! closed in two steps.
+//! The stream of a client connection. It tracks where requests begin and end, detects a disconnect even if
+//! pipelined bytes wait behind an open request, ends writes that stall, and closes without losing an answer
+//! that is on its way.
 
 use std::io::{self, Read};
 use std::pin::Pin;
@@ -19,83 +20,88 @@
 use crate::transfer::framing::Framing;
 use crate::transfer::limits::STREAM_IDLE_TIMEOUT;
 
-/// After the end of our writing we read on for this long, until the client closes as well: bytes that wait unread when
-/// a socket is closed reset it, and the client may lose an answer that was on its way.
-const READ_ON: Duration = Duration::from_millis(200);
-/// What comes then is thrown away; nobody honest sends more than this.
-const READ_ON_BYTES: usize = 256 << 10;
+/// After the write side is shut down, reading goes on for this long, or until the client closes as well.
+/// Closing a socket with unread bytes resets the connection, and the client may lose an answer that is on its
+/// way.
+const LINGERING_CLOSE_TIMEOUT: Duration = Duration::from_millis(200);
+/// Most bytes that are read and discarded during the lingering close; no honest client sends more.
+const MAX_LINGERING_CLOSE_BYTES: usize = 256 << 10;
 
-/// The kernel holds about twice as much of what a client has yet to read. Left to itself it takes megabytes at once, and
-/// then nothing for as long as a slow client needs for them: its pace would not show.
+/// Send buffer of the socket; the kernel holds about twice as much for a client that has yet to read it. At
+/// its own setting the kernel accepts megabytes at once and then nothing until a slow client has read them:
+/// the client's pace would not show.
 const SEND_BUFFER_BYTES: usize = 256 << 10;
 
-/// What comes behind an open request is kept here, up to as much as a body may have; the rest waits in the kernel. hyper
-/// would stop to read where anything waits in its own buffer, and never see that the client has left.
-const AHEAD_BYTES: usize = 64 << 10;
-/// Once that is full, the kernel is asked this often whether the client has left: a request whose client has left must not
-/// be sent on 0.3 s later.
-const LOOK: Duration = Duration::from_millis(100);
+/// Most bytes that are read and kept behind an open request, as many as a buffered body may have; the rest
+/// stays in the kernel. hyper stops reading while its own buffer holds pipelined bytes, and would not notice
+/// that the client disconnects.
+const MAX_READ_AHEAD_BYTES: usize = 64 << 10;
+/// While the read-ahead buffer is full, the kernel is asked this often whether the client has disconnected. A
+/// request must not be sent to an upstream later than 0.3 s after its client has disconnected.
+const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A client's stream.
+/// The stream of a client connection.
 pub struct Client {
-    /// Others may look whether the client is there; nobody else reads or writes.
+    /// Others may check whether the client is connected; only this stream reads and writes.
     stream: SharedStream,
-    /// What others may know of it, and what its bytes tell.
-    slot: Arc<ConnectionActivity>,
+    /// State of the connection for observers, updated from the bytes read and written.
+    activity: Arc<ConnectionActivity>,
     framing: Framing,
-    /// Since when the client has taken nothing of what waits for it.
-    stuck: Option<Pin<Box<Sleep>>>,
-    /// What has come behind the request that is open, and when the last of it did.
-    ahead: BytesMut,
-    ahead_at: Instant,
-    /// Reads that up to the end of the next request, which has begun so many bytes before.
-    next: Framing,
-    next_bytes: usize,
-    /// Once there is no room for more of that: when the kernel is asked next.
-    look: Option<Pin<Box<Sleep>>>,
-    /// Once our writing has ended: until when we read on, and how many bytes more.
-    closing: Option<(Pin<Box<Sleep>>, usize)>,
+    /// Runs while a write is blocked because the client takes no bytes.
+    write_timeout: Option<Pin<Box<Sleep>>>,
+    /// Bytes received behind the open request, and when the last of them arrived.
+    read_ahead: BytesMut,
+    read_ahead_at: Instant,
+    /// Tracks the request that begins with the first read-ahead byte, and how many bytes of it have been fed.
+    next_framing: Framing,
+    next_framed_bytes: usize,
+    /// Set while the read-ahead buffer is full: when to ask the kernel next whether the client has
+    /// disconnected.
+    disconnect_check: Option<Pin<Box<Sleep>>>,
+    /// Set once the write side is shut down: until when to read on, and how many more bytes at most.
+    lingering_close: Option<(Pin<Box<Sleep>>, usize)>,
 }
 
 impl Client {
-    /// Of a connection that was accepted.
-    pub fn new(stream: TcpStream, slot: Arc<ConnectionActivity>) -> Client {
-        // Without it a pace cannot be told; that is no reason not to serve.
+    /// Wraps the stream of an accepted connection.
+    pub fn new(stream: TcpStream, activity: Arc<ConnectionActivity>) -> Client {
+        // Without the smaller buffer the client's pace cannot be measured, but it can still be served.
         let _ = SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER_BYTES);
         let stream = Arc::new(Mutex::new(stream));
-        slot.belongs_to(ClientConnection::from_stream(&stream));
+        activity.belongs_to(ClientConnection::from_stream(&stream));
         Client {
             stream,
-            slot,
+            activity,
             framing: Framing::default(),
-            ahead: BytesMut::new(),
-            ahead_at: Instant::now(),
-            next: Framing::default(),
-            next_bytes: 0,
-            look: None,
-            stuck: None,
-            closing: None,
+            read_ahead: BytesMut::new(),
+            read_ahead_at: Instant::now(),
+            next_framing: Framing::default(),
+            next_framed_bytes: 0,
+            disconnect_check: None,
+            write_timeout: None,
+            lingering_close: None,
         }
     }
 
-    /// Whether a request has come whole that has no answer yet.
-    fn is_asked(&self) -> bool {
-        self.framing.complete_requests() > self.slot.answered()
+    /// Whether a complete request has been received that has no answer yet.
+    fn has_open_request(&self) -> bool {
+        self.framing.complete_requests() > self.activity.answered()
     }
 
-    /// Asks the socket itself for what has come, and gives that to be read; false where nothing has.
-    fn look_into(&mut self, buf: &mut ReadBuf<'_>) -> io::Result<bool> {
-        let mut room = [0; 4 << 10];
-        let most = room.len().min(buf.remaining());
-        let read = (&*SockRef::from(&*lock(&self.stream))).read(&mut room[..most]);
-        match read {
+    /// Reads from the socket directly, without waiting for the runtime's readiness. Returns whether anything
+    /// was read, the end of the stream included.
+    fn try_read_socket(&mut self, buf: &mut ReadBuf<'_>) -> io::Result<bool> {
+        let mut chunk = [0; 4 << 10];
+        let max_bytes = chunk.len().min(buf.remaining());
+        let result = (&*SockRef::from(&*lock(&self.stream))).read(&mut chunk[..max_bytes]);
+        match result {
             Ok(read) => {
                 io_counts::read(&Poll::Ready(Ok(())), read);
-                let read = &room[..read];
-                // The end of the stream is given as it is: nothing.
-                let fed = if read.is_empty() { 0 } else { came(&mut self.framing, &self.slot, read) };
+                let read = &chunk[..read];
+                // An empty read is the end of the stream; hyper sees it as such.
+                let fed = if read.is_empty() { 0 } else { feed(&mut self.framing, &self.activity, read) };
                 buf.put_slice(&read[..fed]);
-                self.keep_ahead(&read[fed..]);
+                self.push_read_ahead(&read[fed..]);
                 Ok(true)
             }
             Err(error) if matches!(error.kind(), io::ErrorKind::WouldBlock | io::ErrorKind::Interrupted) => {
@@ -105,83 +111,91 @@
         }
     }
 
-    /// Keeps what has come behind a request.
-    fn keep_ahead(&mut self, bytes: &[u8]) {
+    /// Keeps bytes received behind a request.
+    fn push_read_ahead(&mut self, bytes: &[u8]) {
         if !bytes.is_empty() {
-            self.ahead.extend_from_slice(bytes);
-            self.ahead_at = Instant::now();
-            self.look_ahead();
+            self.read_ahead.extend_from_slice(bytes);
+            self.read_ahead_at = Instant::now();
+            self.update_next_request();
         }
     }
 
-    /// Tells whether another request waits behind the open one: it was taken as well, and its connection must not be closed
-    /// before it is answered. One that is longer than what is kept may be whole in the kernel.
-    fn look_ahead(&mut self) {
-        if self.next.complete_requests() == 0 {
-            self.next_bytes += self.next.feed(&self.ahead[self.next_bytes..]);
+    /// Reports whether another complete request waits behind the open one: its connection must not be closed
+    /// before both are answered. A request longer than the read-ahead buffer counts as complete, since the
+    /// rest may be in the kernel.
+    fn update_next_request(&mut self) {
+        if self.next_framing.complete_requests() == 0 {
+            self.next_framed_bytes += self.next_framing.feed(&self.read_ahead[self.next_framed_bytes..]);
         }
-        let waits = self.next.complete_requests() > 0 || self.ahead.len() >= AHEAD_BYTES;
-        // Before the present one is whole, what is kept is still a part of it.
-        self.slot.set_next_request((waits && self.is_asked()).then_some(self.ahead_at));
+        let waits =
+            self.next_framing.complete_requests() > 0 || self.read_ahead.len() >= MAX_READ_AHEAD_BYTES;
+        // Until the current request is complete, the read-ahead bytes are still part of it.
+        self.activity.set_next_request((waits && self.has_open_request()).then_some(self.read_ahead_at));
     }
 
-    /// While a request is open: reads on, and comes back only when the client has left.
-    fn poll_left(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.slot.wake_when_answered(cx.waker());
-        let mut room = [0; 4 << 10];
-        while self.ahead.len() < AHEAD_BYTES {
-            let mut buffer = ReadBuf::new(&mut room);
+    /// While a request is open: reads ahead, and is ready only when the client has disconnected.
+    fn poll_disconnect(&mut self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        self.activity.wake_when_answered(cx.waker());
+        let mut chunk = [0; 4 << 10];
+        while self.read_ahead.len() < MAX_READ_AHEAD_BYTES {
+            let mut buffer = ReadBuf::new(&mut chunk);
             let result = Pin::new(&mut *lock(&self.stream)).poll_read(cx, &mut buffer);
             io_counts::read(&result, buffer.filled().len());
             ready!(result)?;
             if buffer.filled().is_empty() {
                 return Poll::Ready(Ok(()));
             }
-            self.keep_ahead(buffer.filled());
+            self.push_read_ahead(buffer.filled());
         }
         loop {
-            let look = self.look.get_or_insert_with(|| Box::pin(sleep(LOOK)));
-            ready!(look.as_mut().poll(cx));
-            self.look = None;
+            let check =
+                self.disconnect_check.get_or_insert_with(|| Box::pin(sleep(DISCONNECT_CHECK_INTERVAL)));
+            ready!(check.as_mut().poll(cx));
+            self.disconnect_check = None;
             let stream = lock(&self.stream);
             if let Some(error) = stream.take_error()? {
                 return Poll::Ready(Err(error));
             }
-            let asked = std::pin::pin!(stream.ready(Interest::READABLE)).poll(cx);
+            let readiness = std::pin::pin!(stream.ready(Interest::READABLE)).poll(cx);
             drop(stream);
-            if let Poll::Ready(known) = asked
-                && known?.is_read_closed()
+            if let Poll::Ready(ready) = readiness
+                && ready?.is_read_closed()
             {
                 return Poll::Ready(Ok(()));
             }
         }
     }
 
-    /// Ends with an error when the client has taken nothing for too long.
-    fn wrote(&mut self, cx: &mut Context<'_>, result: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
+    /// Records the result of a write, and turns it into an error if the client has taken no bytes for too
+    /// long.
+    fn check_write(
+        &mut self,
+        cx: &mut Context<'_>,
+        result: Poll<io::Result<usize>>,
+    ) -> Poll<io::Result<usize>> {
         io_counts::wrote(&result);
-        self.slot.set_write_blocked(result.is_pending());
+        self.activity.set_write_blocked(result.is_pending());
         if result.is_ready() {
-            self.stuck = None;
+            self.write_timeout = None;
             return result;
         }
-        let stuck = self.stuck.get_or_insert_with(|| Box::pin(sleep(STREAM_IDLE_TIMEOUT)));
-        match stuck.as_mut().poll(cx) {
+        let timeout = self.write_timeout.get_or_insert_with(|| Box::pin(sleep(STREAM_IDLE_TIMEOUT)));
+        match timeout.as_mut().poll(cx) {
             Poll::Ready(()) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
             Poll::Pending => Poll::Pending,
         }
     }
 }
 
-/// Nothing that is held under it can panic, and nobody holds it for longer than one call.
+/// Locks the stream. No code that holds the lock can panic or holds it for longer than one call.
 fn lock(stream: &SharedStream) -> MutexGuard<'_, TcpStream> {
     stream.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Takes in what came, up to the end of a request; how much that is.
-fn came(framing: &mut Framing, slot: &ConnectionActivity, bytes: &[u8]) -> usize {
+/// Feeds received bytes to the framing, up to the end of a request. Returns how many bytes that are.
+fn feed(framing: &mut Framing, activity: &ConnectionActivity, bytes: &[u8]) -> usize {
     let fed = framing.feed(bytes);
-    slot.came(framing.in_head(), framing.first_ambiguous_request());
+    activity.came(framing.in_head(), framing.first_ambiguous_request());
     fed
 }
 
@@ -192,20 +206,20 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let this = &mut *self;
-        if this.is_asked() {
-            // Whatever comes now is for later; that the client leaves is for now.
-            return this.poll_left(cx);
+        if this.has_open_request() {
+            // hyper gets the next bytes after the answer, but a disconnect at once.
+            return this.poll_disconnect(cx);
         }
-        if !this.ahead.is_empty() {
-            let room = this.ahead.len().min(buf.remaining());
-            let fed = came(&mut this.framing, &this.slot, &this.ahead[..room]);
-            buf.put_slice(&this.ahead[..fed]);
-            this.ahead.advance(fed);
-            (this.next, this.next_bytes) = (Framing::default(), 0);
-            this.look_ahead();
+        if !this.read_ahead.is_empty() {
+            let available = this.read_ahead.len().min(buf.remaining());
+            let fed = feed(&mut this.framing, &this.activity, &this.read_ahead[..available]);
+            buf.put_slice(&this.read_ahead[..fed]);
+            this.read_ahead.advance(fed);
+            (this.next_framing, this.next_framed_bytes) = (Framing::default(), 0);
+            this.update_next_request();
             return Poll::Ready(Ok(()));
         }
-        if this.slot.is_to_look() && this.look_into(buf)? {
+        if this.activity.is_to_look() && this.try_read_socket(buf)? {
             return Poll::Ready(Ok(()));
         }
         let before = buf.filled().len();
@@ -213,8 +227,8 @@
         let read = buf.filled().get(before..).unwrap_or_default();
         io_counts::read(&result, read.len());
         if !read.is_empty() {
-            let fed = came(&mut this.framing, &this.slot, read);
-            this.keep_ahead(&read[fed..]);
+            let fed = feed(&mut this.framing, &this.activity, read);
+            this.push_read_ahead(&read[fed..]);
             buf.set_filled(before + fed);
         }
         result
@@ -224,7 +238,7 @@
 impl AsyncWrite for Client {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut *lock(&self.stream)).poll_write(cx, buf);
-        self.wrote(cx, result)
+        self.check_write(cx, result)
     }
 
     fn poll_write_vectored(
@@ -233,7 +247,7 @@
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
         let result = Pin::new(&mut *lock(&self.stream)).poll_write_vectored(cx, bufs);
-        self.wrote(cx, result)
+        self.check_write(cx, result)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -246,23 +260,24 @@
 
     fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         let this = &mut *self;
-        if this.closing.is_none() {
+        if this.lingering_close.is_none() {
             ready!(Pin::new(&mut *lock(&this.stream)).poll_shutdown(cx))?;
-            this.closing = Some((Box::pin(sleep(READ_ON)), READ_ON_BYTES));
+            this.lingering_close =
+                Some((Box::pin(sleep(LINGERING_CLOSE_TIMEOUT)), MAX_LINGERING_CLOSE_BYTES));
         }
-        let Some((until, left)) = &mut this.closing else { return Poll::Ready(Ok(())) };
-        let mut room = [0; 4 << 10];
+        let Some((timeout, bytes_left)) = &mut this.lingering_close else { return Poll::Ready(Ok(())) };
+        let mut chunk = [0; 4 << 10];
         loop {
-            if until.as_mut().poll(cx).is_ready() || *left == 0 {
+            if timeout.as_mut().poll(cx).is_ready() || *bytes_left == 0 {
                 return Poll::Ready(Ok(()));
             }
-            let mut buffer = ReadBuf::new(&mut room);
+            let mut buffer = ReadBuf::new(&mut chunk);
             match Pin::new(&mut *lock(&this.stream)).poll_read(cx, &mut buffer) {
                 Poll::Pending => return Poll::Pending,
                 Poll::Ready(Ok(())) if !buffer.filled().is_empty() => {
-                    *left = left.saturating_sub(buffer.filled().len());
+                    *bytes_left = bytes_left.saturating_sub(buffer.filled().len());
                 }
-                // The client has closed, or reset.
+                // The client has closed or reset the connection.
                 Poll::Ready(_) => return Poll::Ready(Ok(())),
             }
         }
@@ -271,8 +286,8 @@
 
 impl Drop for Client {
     fn drop(&mut self) {
-        if self.slot.is_reset_on_close() {
-            // Where that cannot be had it is closed as usual.
+        if self.activity.is_reset_on_close() {
+            // If the option cannot be set, the connection is closed normally.
             let _ = SockRef::from(&*lock(&self.stream)).set_linger(Some(Duration::ZERO));
         }
     }
@@ -287,31 +302,31 @@
     use super::*;
 
     #[tokio::test]
-    async fn what_crosses_the_close_does_not_reset_the_answer() {
+    async fn unread_bytes_at_close_do_not_reset_the_answer() {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut peer = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         let mut client = Client::new(
             listener.accept().await.unwrap().0,
             Arc::new(ConnectionActivity::new(tokio::time::Instant::now())),
         );
-        // It waits unread when the stream is closed.
+        // These bytes are unread when the stream is closed.
         peer.write_all(&[b'x'; 1_000]).unwrap();
         client.write_all(b"answer").await.unwrap();
         let closing = tokio::spawn(async move {
             client.shutdown().await.unwrap();
             drop(client);
         });
-        let read = tokio::task::spawn_blocking(move || {
+        let answer = tokio::task::spawn_blocking(move || {
             std::thread::sleep(Duration::from_millis(20));
             let mut answer = Vec::new();
             peer.read_to_end(&mut answer).map(|_| answer)
         });
-        assert_eq!(read.await.unwrap().unwrap(), b"answer");
+        assert_eq!(answer.await.unwrap().unwrap(), b"answer");
         closing.await.unwrap();
     }
 
     #[tokio::test]
-    async fn who_does_not_close_is_not_waited_for_long() {
+    async fn shutdown_does_not_wait_long_for_a_client_that_keeps_its_side_open() {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let mut peer = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
         let mut client = Client::new(
--- a/crates/sidecar/src/client_disconnect.rs
+++ b/crates/sidecar/src/client_disconnect.rs
@@ -1,10 +1,14 @@
-//! Whether a client is still there, asked of its socket itself: the last look before the first byte of an attempt. Between a
-//! client's end and the driver's word of it lie the accept queue, the runtime's turn to the kernel, the client's connection, a
-//! channel and the tasks that are due before. A request and the end behind it are read one after the other, so that whoever
-//! left before anybody read the request is known to have left only after it was sent on. On a starved core, or while nobody
-//! accepts, that is any time later.
+//! The last check before the first byte of an attempt is written: whether the client is still connected and
+//! the upstream's connection usable, asked of the sockets themselves.
 //!
-//! The upstream's socket is asked in the same call: bytes that wait there would be read as the answer.
+//! The driver learns of a disconnect late: the event passes the accept queue, the runtime's poll of the
+//! kernel, the client's connection task, a channel and the tasks scheduled before. A request and the end of
+//! stream behind it are also read one after the other, so a client that disconnected before its request was
+//! read shows as disconnected only after the request was forwarded. On a starved core, or while nothing
+//! accepts connections, that delay is unbounded.
+//!
+//! The upstream's socket is checked in the same call, since bytes that wait there would be read as the
+//! answer.
 
 use std::io;
 use std::sync::{Arc, Mutex, PoisonError, Weak};
@@ -13,83 +17,89 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-const AT_ONCE: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
-const ENDS: PollFlags = PollFlags::RDHUP.union(PollFlags::HUP).union(PollFlags::ERR).union(PollFlags::NVAL);
+const NO_WAIT: Timespec = Timespec { tv_sec: 0, tv_nsec: 0 };
+const DISCONNECTED: PollFlags =
+    PollFlags::RDHUP.union(PollFlags::HUP).union(PollFlags::ERR).union(PollFlags::NVAL);
 
-/// A client's socket as its connection owns it.
+/// The socket of a client, owned by its connection.
 pub type SharedStream = Arc<Mutex<TcpStream>>;
 
-/// A client, as those who work for it know it. It keeps no socket open.
+/// A reference to a client's connection that does not keep its socket open.
 #[derive(Debug, Clone)]
 pub struct ClientConnection(Weak<Mutex<TcpStream>>);
 
 impl ClientConnection {
-    /// That of the client whose socket this is.
+    /// Refers to the client of this socket.
     pub fn from_stream(stream: &SharedStream) -> ClientConnection {
         ClientConnection(Arc::downgrade(stream))
     }
 }
 
-/// On what terms the first byte of an attempt may be written.
+/// The conditions under which the first byte of an attempt may be written.
 #[derive(Debug, Clone)]
 pub struct WriteConditions {
-    /// Who asks.
+    /// The client that must still be connected.
     pub client: ClientConnection,
-    /// Until when an answer is of use.
+    /// From this time on an answer is of no use.
     pub expires_at: Instant,
 }
 
-/// What was found right before the first byte.
+/// The result of the check before the first byte.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionCheck {
-    /// Nothing speaks against it.
+    /// The request may be written.
     Proceed,
-    /// The upstream has closed, or has sent what nobody asked for.
+    /// The upstream has closed the connection or sent bytes without a request.
     UpstreamUnusable,
-    /// Its time is up, or its client has left: closed, reset, or done with sending, whatever lies unread before that.
+    /// The request has expired, or its client has disconnected: closed or reset its connection or shut down
+    /// its write side, even if unread bytes precede that.
     RequestObsolete,
 }
 
-/// Looks at the upstream's socket and the client's in one call.
+/// Checks the upstream's socket and the client's in one call.
 ///
 /// # Errors
-/// The system cannot tell.
+/// Polling the sockets failed.
 pub fn check_before_write(
     upstream: &TcpStream,
-    terms: Option<&WriteConditions>,
+    conditions: Option<&WriteConditions>,
 ) -> io::Result<ConnectionCheck> {
-    let client = match terms {
+    let client = match conditions {
         None => None,
-        Some(terms) if Instant::now() >= terms.expires_at => return Ok(ConnectionCheck::RequestObsolete),
-        Some(terms) => match terms.client.0.upgrade() {
+        Some(conditions) if Instant::now() >= conditions.expires_at => {
+            return Ok(ConnectionCheck::RequestObsolete);
+        }
+        Some(conditions) => match conditions.client.0.upgrade() {
             Some(client) => Some(client),
             None => return Ok(ConnectionCheck::RequestObsolete),
         },
     };
     let client = client.as_ref().map(|client| client.lock().unwrap_or_else(PoisonError::into_inner));
-    let ours = PollFd::new(upstream, PollFlags::IN | PollFlags::RDHUP);
-    let (ours, theirs) = match &client {
+    let upstream_fd = PollFd::new(upstream, PollFlags::IN | PollFlags::RDHUP);
+    let (upstream_events, client_events) = match &client {
         None => {
-            let mut asked = [ours];
-            ask(&mut asked)?;
-            (asked[0].revents(), PollFlags::empty())
+            let mut fds = [upstream_fd];
+            poll_now(&mut fds)?;
+            (fds[0].revents(), PollFlags::empty())
         }
         Some(client) => {
-            let mut asked = [ours, PollFd::new(&**client, PollFlags::RDHUP)];
-            ask(&mut asked)?;
-            (asked[0].revents(), asked[1].revents())
+            let mut fds = [upstream_fd, PollFd::new(&**client, PollFlags::RDHUP)];
+            poll_now(&mut fds)?;
+            (fds[0].revents(), fds[1].revents())
         }
     };
-    Ok(match (theirs.intersects(ENDS), ours.intersects(ENDS | PollFlags::IN)) {
+    let client_disconnected = client_events.intersects(DISCONNECTED);
+    let upstream_unusable = upstream_events.intersects(DISCONNECTED | PollFlags::IN);
+    Ok(match (client_disconnected, upstream_unusable) {
         (true, _) => ConnectionCheck::RequestObsolete,
         (false, true) => ConnectionCheck::UpstreamUnusable,
         (false, false) => ConnectionCheck::Proceed,
     })
 }
 
-fn ask(asked: &mut [PollFd<'_>]) -> io::Result<()> {
+fn poll_now(fds: &mut [PollFd<'_>]) -> io::Result<()> {
     loop {
-        match poll(asked, Some(&AT_ONCE)) {
+        match poll(fds, Some(&NO_WAIT)) {
             Ok(_) => return Ok(()),
             Err(rustix::io::Errno::INTR) => {}
             Err(error) => return Err(error.into()),
--- a/crates/sidecar/src/client_disconnect/tests.rs
+++ b/crates/sidecar/src/client_disconnect/tests.rs
@@ -1,5 +1,5 @@
-//! Clients that leave in every way, with and without bytes that nobody has read before the end, beside an upstream's connection in
-//! each of its states.
+//! The check before a write, for clients that disconnect in every way, with and without unread bytes before
+//! that, and for each state of the upstream's connection.
 
 use std::io::Write;
 use std::net::{Shutdown, TcpListener};
@@ -9,8 +9,8 @@
 
 use super::*;
 
-/// A socket, and its other end.
-fn pair() -> (TcpStream, std::net::TcpStream) {
+/// A connected socket and its peer.
+fn connected_pair() -> (TcpStream, std::net::TcpStream) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let peer = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let (accepted, _) = listener.accept().unwrap();
@@ -18,29 +18,29 @@
     (TcpStream::from_std(accepted).unwrap(), peer)
 }
 
-fn terms(client: &SharedStream, left: Duration) -> WriteConditions {
-    WriteConditions { client: ClientConnection::from_stream(client), expires_at: Instant::now() + left }
+fn conditions(client: &SharedStream, time_left: Duration) -> WriteConditions {
+    WriteConditions { client: ClientConnection::from_stream(client), expires_at: Instant::now() + time_left }
 }
 
-const LONG: Duration = Duration::from_secs(60);
+const NOT_EXPIRED: Duration = Duration::from_secs(60);
 
 #[tokio::test]
-async fn who_has_left_is_known_whatever_lies_before_the_end() {
-    let (upstream, _peer) = pair();
+async fn request_is_obsolete_after_any_disconnect_with_or_without_unread_bytes() {
+    let (upstream, _peer) = connected_pair();
     for unread in [0, 1, 100_000] {
-        for leave in 0..3 {
-            let (stream, mut client) = pair();
+        for disconnect in 0..3 {
+            let (stream, mut client) = connected_pair();
             let stream = Arc::new(Mutex::new(stream));
-            let terms = terms(&stream, LONG);
+            let conditions = conditions(&stream, NOT_EXPIRED);
             client.set_nonblocking(true).unwrap();
-            // What does not go in stays out.
+            // Bytes that do not fit into the socket buffers are not sent.
             let _ = client.write(&vec![b'x'; unread]);
             assert_eq!(
-                check_before_write(&upstream, Some(&terms)).unwrap(),
+                check_before_write(&upstream, Some(&conditions)).unwrap(),
                 ConnectionCheck::Proceed,
-                "{unread} bytes are no end"
+                "{unread} unread bytes are no disconnect"
             );
-            let held = match leave {
+            let open_socket = match disconnect {
                 0 => {
                     drop(client);
                     None
@@ -56,44 +56,44 @@
                 }
             };
             assert_eq!(
-                check_before_write(&upstream, Some(&terms)).unwrap(),
+                check_before_write(&upstream, Some(&conditions)).unwrap(),
                 ConnectionCheck::RequestObsolete,
-                "{unread} bytes, way {leave}"
+                "{unread} unread bytes, disconnect {disconnect}"
             );
-            drop(held);
+            drop(open_socket);
         }
     }
 }
 
 #[tokio::test]
-async fn a_connection_that_is_closed_has_nobody_and_is_kept_open_by_nobody() {
-    let ((upstream, _peer), (stream, mut client)) = (pair(), pair());
+async fn write_conditions_do_not_keep_the_client_socket_open() {
+    let ((upstream, _peer), (stream, mut client)) = (connected_pair(), connected_pair());
     let stream = Arc::new(Mutex::new(stream));
-    let terms = terms(&stream, LONG);
+    let conditions = conditions(&stream, NOT_EXPIRED);
     drop(stream);
-    assert_eq!(check_before_write(&upstream, Some(&terms)).unwrap(), ConnectionCheck::RequestObsolete);
+    assert_eq!(check_before_write(&upstream, Some(&conditions)).unwrap(), ConnectionCheck::RequestObsolete);
     assert_eq!(std::io::Read::read(&mut client, &mut [0; 1]).unwrap(), 0);
 }
 
 #[tokio::test]
-async fn what_came_from_the_upstream_or_its_end_makes_its_connection_unusable_and_time_ends_it_all() {
-    let (stream, _client) = pair();
+async fn upstream_is_unusable_after_unrequested_bytes_or_close_and_expired_request_is_obsolete() {
+    let (stream, _client) = connected_pair();
     let stream = Arc::new(Mutex::new(stream));
-    let terms = [LONG, Duration::ZERO].map(|left| terms(&stream, left));
-    let (upstream, mut peer) = pair();
-    for asked in [None, Some(&terms[0])] {
-        assert_eq!(check_before_write(&upstream, asked).unwrap(), ConnectionCheck::Proceed);
+    let conditions = [NOT_EXPIRED, Duration::ZERO].map(|time_left| conditions(&stream, time_left));
+    let (upstream, mut peer) = connected_pair();
+    for checked in [None, Some(&conditions[0])] {
+        assert_eq!(check_before_write(&upstream, checked).unwrap(), ConnectionCheck::Proceed);
     }
     assert_eq!(
-        check_before_write(&upstream, Some(&terms[1])).unwrap(),
+        check_before_write(&upstream, Some(&conditions[1])).unwrap(),
         ConnectionCheck::RequestObsolete,
-        "its time is up"
+        "the request has expired"
     );
     peer.write_all(b"x").unwrap();
-    for asked in [None, Some(&terms[0])] {
-        assert_eq!(check_before_write(&upstream, asked).unwrap(), ConnectionCheck::UpstreamUnusable);
+    for checked in [None, Some(&conditions[0])] {
+        assert_eq!(check_before_write(&upstream, checked).unwrap(), ConnectionCheck::UpstreamUnusable);
     }
-    let (upstream, peer) = pair();
+    let (upstream, peer) = connected_pair();
     drop(peer);
     assert_eq!(check_before_write(&upstream, None).unwrap(), ConnectionCheck::UpstreamUnusable);
 }
--- a/crates/sidecar/src/connection_close.rs
+++ b/crates/sidecar/src/connection_close.rs
@@ -1,65 +1,65 @@
-//! What becomes of a client's connection when something wants it closed: one table for every reason. Pure.
+//! How a client connection is closed, by the reason for closing it and by its contents. Pure.
 //!
-//! | reason | holds nothing | a head | a body | a request | and more behind it |
+//! | reason | nothing | head | body | request | pipelined requests |
 //! | --- | --- | --- | --- | --- | --- |
-//! | idle for too long | shut | keep | after its answer | keep | keep |
-//! | its head takes too long | keep | drop | keep | keep | keep |
-//! | let go, being one of many that are quiet | shut | keep | keep | keep | keep |
-//! | a newcomer needs its place | drop | drop | drop | after its answer | keep |
-//! | the end has begun | shut | keep | after its answer | after its answer | keep |
-//! | the end is near | drop | drop | drop | keep | keep |
+//! | idle | shutdown | keep | close after answer | keep | keep |
+//! | head overdue | keep | close now | keep | keep | keep |
+//! | excess quiet | shutdown | keep | keep | keep | keep |
+//! | eviction | close now | close now | close now | close after answer | keep |
+//! | draining | shutdown | keep | close after answer | close after answer | keep |
+//! | shutdown imminent | close now | close now | close now | keep | keep |
 //!
-//! What it holds is asked for after one direct look into its socket: a request whose last byte is there has been taken,
-//! whether or not it has been read.
+//! The contents are determined after one direct read of the socket: a request whose last byte has reached the
+//! socket has been accepted, whether or not it was read before.
 
 /// Why a connection is to be closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloseReason {
-    /// Nothing has come for too long.
+    /// No traffic within the idle timeout.
     Idle,
-    /// A head that has begun does not end.
+    /// A request head has begun but was not completed in time.
     HeadOverdue,
-    /// It is one of many that have been answered and are quiet.
+    /// Too many connections that have carried requests are quiet.
     ExcessQuiet,
-    /// Somebody who has just connected needs its place.
+    /// A new connection needs the place of this one.
     Eviction,
-    /// The instance ends, or is emptied.
+    /// The instance drains or is being evacuated.
     Draining,
-    /// The instance ends in a moment: what is taken from now on could not be answered.
+    /// The instance is about to end: requests accepted from now on could not be answered.
     ShutdownImminent,
 }
 
-/// What a connection holds.
+/// Which part of a request a connection holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionContents {
-    /// Nothing that was begun.
+    /// No part of a request.
     Nothing,
-    /// A head that has begun.
+    /// An incomplete request head.
     Head,
-    /// A request whose body is still to come: not taken yet.
+    /// A request whose body is incomplete: not accepted yet.
     Body,
-    /// A request that was taken and has no answer, or one whose answer is not yet written to its last byte.
+    /// An accepted request whose answer has not been written completely.
     Request,
-    /// The same, with others pipelined behind it that were taken as well.
+    /// An accepted request with others pipelined behind it that were accepted as well.
     PipelinedRequests,
 }
 
-/// What becomes of it.
+/// How a connection is closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CloseAction {
-    /// It stays as it is.
+    /// The connection stays open.
     Keep,
-    /// We end our writing, and read on for a moment.
+    /// The write side is shut down, and reading goes on for a moment.
     Shutdown,
-    /// It is closed as it is: nobody could tell what it would have asked for.
+    /// The connection is closed at once: it is unknown which request would have come on it.
     CloseNow,
-    /// What it carries now is the last.
+    /// The connection is closed after the answer to its current request.
     CloseAfterAnswer,
 }
 
-/// What becomes of a connection that is to be closed for this reason and holds that.
-pub fn close_action(reason: CloseReason, holds: ConnectionContents) -> CloseAction {
-    match (reason, holds) {
+/// Looks up the action in the table of the module comment.
+pub fn close_action(reason: CloseReason, contents: ConnectionContents) -> CloseAction {
+    match (reason, contents) {
         (
             CloseReason::Idle | CloseReason::ExcessQuiet | CloseReason::Draining,
             ConnectionContents::Nothing,
@@ -91,7 +91,7 @@
         CloseReason::Draining,
         CloseReason::ShutdownImminent,
     ];
-    const HOLDS: [ConnectionContents; 5] = [
+    const CONTENTS: [ConnectionContents; 5] = [
         ConnectionContents::Nothing,
         ConnectionContents::Head,
         ConnectionContents::Body,
@@ -100,35 +100,38 @@
     ];
 
     #[test]
-    fn what_was_taken_is_answered_whatever_wants_its_connection() {
+    fn accepted_request_is_answered_for_every_close_reason() {
         for reason in REASONS {
-            let deed = close_action(reason, ConnectionContents::Request);
+            let action = close_action(reason, ConnectionContents::Request);
             assert!(
-                matches!(deed, CloseAction::Keep | CloseAction::CloseAfterAnswer),
-                "{reason:?}: {deed:?}"
+                matches!(action, CloseAction::Keep | CloseAction::CloseAfterAnswer),
+                "{reason:?}: {action:?}"
             );
             assert_eq!(
                 super::close_action(reason, ConnectionContents::PipelinedRequests),
                 CloseAction::Keep,
-                "{reason:?}: the others would be lost"
+                "{reason:?}: pipelined requests would be lost"
             );
         }
     }
 
     #[test]
-    fn only_a_newcomer_a_dead_head_or_the_very_end_ends_what_has_begun() {
-        for (reason, holds) in REASONS.into_iter().flat_map(|reason| HOLDS.map(|holds| (reason, holds))) {
-            let ends = matches!(close_action(reason, holds), CloseAction::Shutdown | CloseAction::CloseNow);
-            let begun = holds != ConnectionContents::Nothing;
-            if ends && begun {
+    fn begun_request_is_cut_off_only_by_eviction_an_overdue_head_or_imminent_shutdown() {
+        for (reason, contents) in
+            REASONS.into_iter().flat_map(|reason| CONTENTS.map(|contents| (reason, contents)))
+        {
+            let closes =
+                matches!(close_action(reason, contents), CloseAction::Shutdown | CloseAction::CloseNow);
+            let begun = contents != ConnectionContents::Nothing;
+            if closes && begun {
                 let allowed = matches!(
                     reason,
                     CloseReason::Eviction | CloseReason::HeadOverdue | CloseReason::ShutdownImminent
                 );
-                assert!(allowed, "{reason:?}, {holds:?}");
+                assert!(allowed, "{reason:?}, {contents:?}");
             }
             if !begun && reason != CloseReason::HeadOverdue {
-                assert!(ends, "{reason:?} closes what holds nothing");
+                assert!(closes, "{reason:?} must close a connection that holds nothing");
             }
         }
     }
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -1,4 +1,5 @@
-//! The client side: the listener, the requests of the application, and their answers.
+//! The client side: accepts client connections, validates requests, hands them to the driver and writes their
+//! answers.
 
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -41,219 +42,231 @@
 use crate::transfer::request_body::RequestBody;
 use crate::transfer::upload::Upload;
 
-/// Clients that connect while the sidecar starts or is busy wait here.
-const BACKLOG: u32 = 4096;
-/// Room for a head; hyper also reads bodies through it.
-const BUFFER_BYTES: usize = 32 << 10;
-/// A connection on which nothing comes for this long is closed. Clients hold on to theirs for good, and one that has
-/// said nothing is owed an end within 3 s; one that has been used may be closed after 2 s.
-const IDLE: Duration = Duration::from_millis(2_200);
-/// A connection is not closed for a newcomer before it has had no request open for this long: its last answer
-/// is on its way to the client, or its first request to the sidecar.
-const SETTLED: Duration = Duration::from_millis(100);
-/// Of the places this part is kept for connections that have been answered and are quiet. Some clients ask once and
-/// keep their connection for good, and the platform gives them all no more than a third of the descriptors: kept until
-/// they are idle for too long, those would be all that clients can have.
-const QUIET_PART: usize = 3;
-/// How often a connection that is to end is looked at while its client is in the middle of a head.
-const HALF_WAY: Duration = Duration::from_millis(50);
-/// A connection that has just been answered is not closed for that: its client may be about to use it again.
-const JUST_ANSWERED: Duration = Duration::from_millis(50);
-/// So many connections more may be closing to make room for others.
-const CLOSING: usize = 8;
-/// Ids of requests are no longer than this; they are kept while the request is open.
-const ID_BYTES: usize = 256;
-/// The wait after a failed accept: out of descriptors, a busy loop would starve those who could free some.
-const ACCEPT_BACK_OFF: Duration = Duration::from_millis(20);
-/// Who finds no room for a long body is asked to stay away for this long: transfers take seconds.
-const CROWDED_RETRY_MS: Millis = 500.0;
-/// A longer time-out is absurd.
-const MAX_TIMEOUT_MS: u64 = 600_000;
+/// Length of the kernel's accept queue, which holds new connections while the sidecar starts or is busy.
+const LISTEN_BACKLOG: u32 = 4096;
+/// hyper's read buffer for one connection: a request head must fit into it, and bodies are read through it.
+const READ_BUFFER_BYTES: usize = 32 << 10;
+/// A connection without traffic is closed after this time. Clients keep their connections open indefinitely.
+/// A connection that has never carried a request must be closed within 3 s; one that has may be closed after
+/// 2 s.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2_200);
+/// A connection is evicted for a new one only after this time without an open request. Before that its last
+/// answer may still be on its way to the client, or its first request on its way to the sidecar.
+const MIN_QUIET_BEFORE_EVICTION: Duration = Duration::from_millis(100);
+/// Quiet connections that have carried requests may occupy the connection limit divided by this. Some clients
+/// send one request and keep the connection open, and the platform grants all clients at most a third of the
+/// descriptors: without this bound such connections would use up that share until their idle timeout.
+const QUIET_CONNECTIONS_DIVISOR: usize = 3;
+/// How often a connection that is to be closed is rechecked while its client is in the middle of a request
+/// head.
+const PARTIAL_HEAD_RECHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// A connection answered less than this long ago is not closed as excess: its client may be about to use it
+/// again.
+const MIN_QUIET_BEFORE_TRIM: Duration = Duration::from_millis(50);
+/// New connections that may be accepted above the limit while evicted ones are still closing.
+const MAX_CONNECTIONS_ABOVE_LIMIT: usize = 8;
+/// Longest accepted `X-Request-ID`. The ids of open requests are kept in memory.
+const MAX_REQUEST_ID_BYTES: usize = 256;
+/// Wait after a failed accept, and before another eviction while no connection can be accepted. If the
+/// process is out of descriptors, a busy loop would starve the tasks that could free some.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// `Retry-After` of a request refused for the limit of concurrent transfers: transfers take seconds.
+const TRANSFER_LIMIT_RETRY_AFTER_MS: Millis = 500.0;
+/// Longest accepted `X-Timeout-Ms`.
+const MAX_REQUEST_TIMEOUT_MS: u64 = 600_000;
 
-/// What class and tenant names stand for.
+/// The class and tenant names that requests may use.
 pub struct RequestNames {
-    /// By class id.
+    /// Indexed by class id.
     pub classes: Vec<ClassForm>,
-    /// By tenant id.
+    /// Indexed by tenant id.
     pub tenants: Vec<String>,
 }
 
-/// What all client connections share. Counters only: the driver alone owns state.
+/// Shared by all client connections. It holds no request state: the driver alone owns that.
 pub struct Front {
-    /// Names in requests.
+    /// The class and tenant names that requests may use.
     pub names: RequestNames,
-    /// Whether clients are wanted.
-    pub life: watch::Receiver<Lifecycle>,
-    /// To the driver.
-    pub told: EventSink<ClientEvent>,
-    /// How many connections there may be.
+    /// Whether clients are accepted, and until when.
+    pub lifecycle: watch::Receiver<Lifecycle>,
+    /// Events for the driver.
+    pub events: EventSink<ClientEvent>,
+    /// Limit of client connections.
     pub connections: Quota,
-    /// Room for bodies that go on as they come.
+    /// Limit of bodies that are streamed instead of buffered.
     pub transfers: TransferLimit,
-    /// Whether it is ready, and what was counted.
+    /// Readiness and counters.
     pub metrics: Arc<Metrics>,
-    /// For what goes wrong.
+    /// Receives errors of the listener.
     pub log: Log,
-    /// Ids for the module: those of clients come from outside and might come twice.
-    next_id: AtomicU64,
+    /// The next request id for the decision module. Client-supplied ids may repeat, so they are not used for
+    /// this.
+    next_request_id: AtomicU64,
 }
 
 impl Front {
-    /// A front that has taken nothing yet.
+    /// Creates a front without connections.
     pub fn new(
         names: RequestNames,
-        life: watch::Receiver<Lifecycle>,
-        told: EventSink<ClientEvent>,
+        lifecycle: watch::Receiver<Lifecycle>,
+        events: EventSink<ClientEvent>,
         connections: Quota,
         transfers: TransferLimit,
         metrics: Arc<Metrics>,
         log: Log,
     ) -> Front {
-        // The module keeps timer 0 for itself and halves request ids into timers.
-        Front { names, life, told, connections, transfers, metrics, log, next_id: AtomicU64::new(2) }
+        // The decision module reserves timer 0 and derives timer ids by halving request ids.
+        let next_request_id = AtomicU64::new(2);
+        Front { names, lifecycle, events, connections, transfers, metrics, log, next_request_id }
     }
 }
 
-/// Listens. The address may be in use by connections of a predecessor that was killed.
+/// Opens a listener. Connections of a killed predecessor may still use the address.
 pub fn listen(address: std::net::SocketAddr) -> Result<TcpListener> {
     let socket = if address.is_ipv4() { TcpSocket::new_v4() } else { TcpSocket::new_v6() }?;
     socket.set_reuseaddr(true)?;
     socket.bind(address).with_context(|| format!("cannot listen on {address}"))?;
-    Ok(socket.listen(BACKLOG)?)
+    Ok(socket.listen(LISTEN_BACKLOG)?)
 }
 
-/// Serves from a socket that listens already.
+/// Wraps a socket that already listens.
 pub fn listener_from(socket: std::net::TcpListener) -> Result<TcpListener> {
-    TcpListener::from_std(socket).context("the listening socket is of no use")
+    TcpListener::from_std(socket).context("cannot use the given listening socket")
 }
 
-/// The open connections, and what is needed to choose one to close.
-struct Slots {
+/// The open connections, by their tasks.
+struct OpenConnections {
     epoch: Instant,
     by_task: HashMap<Id, Arc<ConnectionActivity>>,
 }
 
-impl Slots {
-    /// Has the connection closed that has longest been quiet: of those that hold nothing, or where there are none, of those
-    /// in the middle of a request. Which of its peers are honest a sidecar cannot know; one that waits for an answer is
-    /// never closed for another.
-    fn make_room(&self) -> bool {
+impl OpenConnections {
+    /// Has the longest quiet connection closed: preferably one that holds nothing, otherwise one in the
+    /// middle of a request. A connection that waits for an answer is never evicted. The sidecar cannot tell
+    /// honest clients from others. Returns whether there was a connection to evict.
+    fn evict_one(&self) -> bool {
         let now = Instant::now();
-        let asked = |slot: &&Arc<ConnectionActivity>| slot.making_room.load(Ordering::Relaxed);
-        let quiet = self.by_task.values().filter(|slot| !asked(slot));
-        let quiet = quiet.filter_map(|slot| Some((slot.quiet_since()?, slot)));
-        let settled = quiet.filter(|(since, _)| *since + SETTLED <= now);
-        // A client that writes slowly loses its request, one that is idle at most connects anew.
-        let first = settled.min_by_key(|(since, slot)| (slot.holds() != ConnectionContents::Nothing, *since));
-        let Some((_, slot)) = first else { return false };
-        slot.making_room.store(true, Ordering::Relaxed);
-        slot.make_room.notify_one();
+        let already_chosen =
+            |activity: &&Arc<ConnectionActivity>| activity.making_room.load(Ordering::Relaxed);
+        let candidates = self.by_task.values().filter(|activity| !already_chosen(activity));
+        let quiet = candidates.filter_map(|activity| Some((activity.quiet_since()?, activity)));
+        let evictable = quiet.filter(|(since, _)| *since + MIN_QUIET_BEFORE_EVICTION <= now);
+        // Evicting a slow writer costs its request; an idle client at most has to reconnect.
+        let chosen = evictable
+            .min_by_key(|(since, activity)| (activity.holds() != ConnectionContents::Nothing, *since));
+        let Some((_, activity)) = chosen else { return false };
+        activity.making_room.store(true, Ordering::Relaxed);
+        activity.make_room.notify_one();
         true
     }
 
-    /// Has those closed that have been answered and quiet for longest, beyond so many. When to look again, if one of
-    /// them has just been answered.
-    fn trim(&self, most: usize) -> Option<Instant> {
-        if self.by_task.len() <= most {
+    /// Has the longest quiet connections closed, of those that have carried requests, until `max_quiet` are
+    /// left. Returns when to trim again if some of them were answered too recently to be closed.
+    fn trim_quiet(&self, max_quiet: usize) -> Option<Instant> {
+        if self.by_task.len() <= max_quiet {
             return None;
         }
         let now = Instant::now();
-        let used = self.by_task.values().filter(|slot| slot.is_used());
+        let used = self.by_task.values().filter(|activity| activity.is_used());
         let mut quiet: Vec<(Instant, &Arc<ConnectionActivity>)> =
-            used.filter_map(|slot| Some((slot.quiet_since()?, slot))).collect();
-        let beyond = quiet.len().saturating_sub(most);
-        if beyond == 0 {
+            used.filter_map(|activity| Some((activity.quiet_since()?, activity))).collect();
+        let excess = quiet.len().saturating_sub(max_quiet);
+        if excess == 0 {
             return None;
         }
         quiet.sort_unstable_by_key(|(since, _)| *since);
-        let (old, new): (Vec<_>, Vec<_>) =
-            quiet.iter().take(beyond).partition(|(since, _)| *since + JUST_ANSWERED <= now);
-        old.iter().for_each(|(_, slot)| slot.let_go.notify_one());
-        new.first().map(|(since, _)| *since + JUST_ANSWERED)
+        let (closable, recent): (Vec<_>, Vec<_>) =
+            quiet.iter().take(excess).partition(|(since, _)| *since + MIN_QUIET_BEFORE_TRIM <= now);
+        closable.iter().for_each(|(_, activity)| activity.let_go.notify_one());
+        recent.first().map(|(since, _)| *since + MIN_QUIET_BEFORE_TRIM)
     }
 }
 
-/// Accepts clients until the end: when it is closing, none is open and none waits to be accepted. A client that
-/// comes when there are as many connections as may be takes the place of one that has no request open. Once nobody
-/// waits to be accepted any more the listener is let go and `let_go` told, however long what is open may take: who
-/// comes then is to be refused by the system, and not to wait.
-pub async fn serve(listener: Arc<TcpListener>, front: Arc<Front>, let_go: impl FnOnce()) {
-    let mut life = front.life.clone();
-    let mut slots = Slots { epoch: Instant::now(), by_task: HashMap::new() };
-    let mut connections = JoinSet::new();
-    let mut held = Some((listener, let_go));
+/// Accepts and serves clients until the lifecycle is closing, the accept queue is empty and all connections
+/// are closed. At the connection limit, a new connection replaces one without an open request. As soon as the
+/// closing instance finds the accept queue empty, it drops the listener and calls `on_listener_released`,
+/// even if open requests take longer: later clients are to be refused by the kernel instead of waiting in the
+/// queue.
+pub async fn serve(listener: Arc<TcpListener>, front: Arc<Front>, on_listener_released: impl FnOnce()) {
+    let mut lifecycle = front.lifecycle.clone();
+    let mut open = OpenConnections { epoch: Instant::now(), by_task: HashMap::new() };
+    let mut tasks = JoinSet::new();
+    let mut listening = Some((listener, on_listener_released));
     let mut trim_at: Option<Instant> = None;
     loop {
-        let now = *life.borrow_and_update();
-        let (closing, handed_over) = (now.is_closing(), now.stage() == Stage::HandedOver);
-        let accepting = held.is_some() && now.is_accepting();
+        let current = *lifecycle.borrow_and_update();
+        let (closing, handed_over) = (current.is_closing(), current.stage() == Stage::HandedOver);
+        let accepting = listening.is_some() && current.is_accepting();
         if handed_over {
-            release(&mut held);
+            release_listener(&mut listening);
         }
-        let room = front.connections.in_use() < front.connections.limit() + CLOSING;
+        let has_capacity =
+            front.connections.in_use() < front.connections.limit() + MAX_CONNECTIONS_ABOVE_LIMIT;
         tokio::select! {
             biased;
-            Some(ended) = connections.join_next_with_id() => forget(&mut slots, ended),
-            accepted = accept(held.as_ref().map(|(listener, _)| &**listener)), if room && accepting => match accepted {
-                Ok((stream, _)) => trim_at = take_in(stream, &front, &mut slots, &mut connections),
+            Some(ended) = tasks.join_next_with_id() => remove_ended(&mut open, ended),
+            accepted = accept(listening.as_ref().map(|(listener, _)| &**listener)),
+                if has_capacity && accepting => match accepted {
+                Ok((stream, _)) => trim_at = start_connection(stream, &front, &mut open, &mut tasks),
                 Err(error) => {
                     front.log.line(format!("cannot accept: {error}"));
-                    slots.make_room();
-                    sleep(ACCEPT_BACK_OFF).await;
+                    open.evict_one();
+                    sleep(ACCEPT_RETRY_DELAY).await;
                 }
             },
-            () = sleep_until(trim_at.unwrap_or(slots.epoch)), if trim_at.is_some() => {
-                trim_at = slots.trim(front.connections.limit() / QUIET_PART);
+            () = sleep_until(trim_at.unwrap_or(open.epoch)), if trim_at.is_some() => {
+                trim_at = open.trim_quiet(front.connections.limit() / QUIET_CONNECTIONS_DIVISOR);
             }
-            // All are busy, or closing already.
-            () = sleep(ACCEPT_BACK_OFF), if !room && accepting => drop(slots.make_room()),
-            // The socket itself is asked: the runtime may not have heard yet of who has just come.
-            () = std::future::ready(()), if closing && accepting && room => {
-                match held.as_ref().and_then(|(listener, _)| waiting(listener)) {
-                    Some(stream) => trim_at = take_in(stream, &front, &mut slots, &mut connections),
-                    None => release(&mut held),
+            // Every connection has an open request or is already closing.
+            () = sleep(ACCEPT_RETRY_DELAY), if !has_capacity && accepting => drop(open.evict_one()),
+            // Asks the socket directly: the runtime may not have been notified yet of the latest connections.
+            () = std::future::ready(()), if closing && accepting && has_capacity => {
+                match listening.as_ref().and_then(|(listener, _)| accept_pending(listener)) {
+                    Some(stream) => trim_at = start_connection(stream, &front, &mut open, &mut tasks),
+                    None => release_listener(&mut listening),
                 }
             }
-            () = std::future::ready(()), if closing && held.is_none() && connections.is_empty() => return,
-            changed = life.changed(), if !handed_over => if changed.is_err() { return },
+            () = std::future::ready(()), if closing && listening.is_none() && tasks.is_empty() => return,
+            changed = lifecycle.changed(), if !handed_over => if changed.is_err() { return },
         }
     }
 }
 
-/// Takes a connection in. When to trim the quiet ones next.
-fn take_in(
+/// Starts the task that serves a connection. Returns when to trim the quiet connections next.
+fn start_connection(
     stream: TcpStream,
     front: &Arc<Front>,
-    slots: &mut Slots,
-    connections: &mut JoinSet<()>,
+    open: &mut OpenConnections,
+    tasks: &mut JoinSet<()>,
 ) -> Option<Instant> {
-    // Another generation may have taken the last place since: then this one is a little over.
-    let place = front.connections.try_acquire_beyond(CLOSING);
-    let slot = Arc::new(ConnectionActivity::new(slots.epoch));
-    let (served, kept) = (front.clone(), slot.clone());
-    let task = connections.spawn(async move {
-        connection(stream, &served, &slot).await;
-        drop(place);
+    // Another generation may have taken the last permit meanwhile; then this connection slightly exceeds the
+    // limit.
+    let permit = front.connections.try_acquire_beyond(MAX_CONNECTIONS_ABOVE_LIMIT);
+    let activity = Arc::new(ConnectionActivity::new(open.epoch));
+    let (task_front, task_activity) = (front.clone(), activity.clone());
+    let task = tasks.spawn(async move {
+        serve_connection(stream, &task_front, &task_activity).await;
+        drop(permit);
     });
-    slots.by_task.insert(task.id(), kept);
+    open.by_task.insert(task.id(), activity);
     if front.connections.in_use() > front.connections.limit() {
-        slots.make_room();
+        open.evict_one();
     }
-    slots.trim(front.connections.limit() / QUIET_PART)
+    open.trim_quiet(front.connections.limit() / QUIET_CONNECTIONS_DIVISOR)
 }
 
-/// Who waits in the accept queue at this moment, if anyone does.
-fn waiting(listener: &TcpListener) -> Option<TcpStream> {
+/// Accepts a connection that is in the accept queue now, if there is one.
+fn accept_pending(listener: &TcpListener) -> Option<TcpStream> {
     let (socket, _) = SockRef::from(listener).accept().ok()?;
     socket.set_nonblocking(true).ok()?;
     TcpStream::from_std(socket.into()).ok()
 }
 
-/// Lets the listener go, and tells so.
-fn release<F: FnOnce()>(held: &mut Option<(Arc<TcpListener>, F)>) {
-    if let Some((listener, let_go)) = held.take() {
+/// Drops the listener and reports that.
+fn release_listener<F: FnOnce()>(listening: &mut Option<(Arc<TcpListener>, F)>) {
+    if let Some((listener, on_listener_released)) = listening.take() {
         drop(listener);
-        let_go();
+        on_listener_released();
     }
 }
 
@@ -264,40 +277,40 @@
     }
 }
 
-/// Strikes off a connection that has ended. One that has panicked must not take the others with it.
-fn forget(slots: &mut Slots, ended: Result<(Id, ()), tokio::task::JoinError>) {
+/// Removes a connection whose task has ended. A panic in one connection must not end the others.
+fn remove_ended(open: &mut OpenConnections, ended: Result<(Id, ()), tokio::task::JoinError>) {
     let id = match ended {
         Ok((id, ())) => id,
         Err(error) => error.id(),
     };
-    slots.by_task.remove(&id);
+    open.by_task.remove(&id);
 }
 
-/// Serves one client connection.
-async fn connection(stream: TcpStream, front: &Arc<Front>, slot: &Arc<ConnectionActivity>) {
+/// Serves one client connection until it is closed.
+async fn serve_connection(stream: TcpStream, front: &Arc<Front>, activity: &Arc<ConnectionActivity>) {
     let _ = stream.set_nodelay(true);
-    let mut life = front.life.clone();
-    let now = *life.borrow_and_update();
-    let heard = AtomicU64::new(0);
-    let accepted = Instant::now();
+    let mut lifecycle = front.lifecycle.clone();
+    let initial = *lifecycle.borrow_and_update();
+    let requests_received = AtomicU64::new(0);
+    let accepted_at = Instant::now();
     let service = service_fn(|request: Request<Incoming>| {
-        let number = heard.fetch_add(1, Ordering::Relaxed) + 1;
-        slot.used();
+        let request_number = requests_received.fetch_add(1, Ordering::Relaxed) + 1;
+        activity.used();
         let (front, version) = (front.clone(), request.version());
         async move {
-            let mut response = if slot.is_doubled(number) {
-                plain(StatusCode::BAD_REQUEST, "two framings")
+            let mut response = if activity.is_doubled(request_number) {
+                text_response(StatusCode::BAD_REQUEST, "two framings")
             } else {
-                handle(request, &front, slot).await
+                handle_request(request, &front, activity).await
             };
             if response.body().is_stream() {
-                response.body_mut().attach_connection(slot, version);
+                response.body_mut().attach_connection(activity, version);
             } else {
-                slot.free();
+                activity.free();
             }
-            // What is left of a request that was turned away must not be read as another.
+            // The unread rest of a rejected request must not be parsed as another request.
             if response.status().is_client_error()
-                || front.life.borrow().closes_after_answer(slot.next_request_at())
+                || front.lifecycle.borrow().closes_after_answer(activity.next_request_at())
             {
                 response.headers_mut().insert(header::CONNECTION, HeaderValue::from_static("close"));
             }
@@ -305,29 +318,33 @@
         }
     });
     let connection = http1::Builder::new()
-        .max_buf_size(BUFFER_BYTES)
-        .serve_connection(TokioIo::new(Client::new(stream, slot.clone())), service);
+        .max_buf_size(READ_BUFFER_BYTES)
+        .serve_connection(TokioIo::new(Client::new(stream, activity.clone())), service);
     let mut connection = std::pin::pin!(connection);
-    let mut ends_at = now.idle_close_at(accepted, false);
-    let (mut ending, mut end_is_near) = (false, false);
+    let mut drain_close_at = initial.idle_close_at(accepted_at, false);
+    let (mut shutting_down, mut imminent_end_handled) = (false, false);
     loop {
-        // By when something must have come. Looked at anew when it is due: what comes meanwhile only puts it off.
-        let due = match (slot.quiet_since(), slot.head_since()) {
-            (None, _) => Instant::now() + IDLE,
-            (Some(_), Some(began)) => began + HEAD_TIMEOUT,
-            (Some(quiet), None) => quiet + IDLE,
+        // Traffic only postpones this deadline, so it is recomputed when it is reached.
+        let inactivity_deadline = match (activity.quiet_since(), activity.head_since()) {
+            (None, _) => Instant::now() + IDLE_TIMEOUT,
+            (Some(_), Some(head_began)) => head_began + HEAD_TIMEOUT,
+            (Some(quiet_since), None) => quiet_since + IDLE_TIMEOUT,
         };
-        let answer_by = life.borrow().answers_due_by();
+        let answers_due_by = lifecycle.borrow().answers_due_by();
         let reason = tokio::select! {
-            // First read what has come, then look at the time: a request that waits in the socket when its
-            // idle connection is closed would have to be sent again.
+            // Reads before it checks the time: a request that waits in the socket of an idle connection when
+            // that is closed would have to be sent again.
             biased;
-            // Errors here are clients that left or wrote nonsense; hyper has answered those it can.
+            // Errors are clients that disconnected or sent malformed requests; hyper has answered them where
+            // possible.
             _ = connection.as_mut() => return,
-            changed = life.changed() => {
-                ends_at = match changed {
-                    Ok(()) => life.borrow_and_update().idle_close_at(accepted, heard.load(Ordering::Relaxed) > 0),
-                    Err(_) => Some(accepted),
+            changed = lifecycle.changed() => {
+                drain_close_at = match changed {
+                    Ok(()) => {
+                        let used = requests_received.load(Ordering::Relaxed) > 0;
+                        lifecycle.borrow_and_update().idle_close_at(accepted_at, used)
+                    }
+                    Err(_) => Some(accepted_at),
                 };
                 if changed.is_err() {
                     connection.as_mut().graceful_shutdown();
@@ -336,124 +353,143 @@
                 }
                 continue;
             }
-            () = sleep_until(answer_by.unwrap_or(accepted)), if answer_by.is_some() && !end_is_near => {
-                end_is_near = true;
+            () = sleep_until(answers_due_by.unwrap_or(accepted_at)),
+                if answers_due_by.is_some() && !imminent_end_handled => {
+                imminent_end_handled = true;
                 CloseReason::ShutdownImminent
             }
-            () = sleep_until(ends_at.unwrap_or(accepted)), if ends_at.is_some() => CloseReason::Draining,
-            () = sleep_until(due), if !ending => match (slot.quiet_since(), slot.head_since()) {
-                (Some(_), Some(began)) if began + HEAD_TIMEOUT <= Instant::now() => CloseReason::HeadOverdue,
-                (Some(quiet), None) if quiet + IDLE <= Instant::now() => CloseReason::Idle,
-                _ => continue,
-            },
-            () = slot.let_go.notified(), if !ending => CloseReason::ExcessQuiet,
-            () = slot.make_room.notified() => CloseReason::Eviction,
+            () = sleep_until(drain_close_at.unwrap_or(accepted_at)), if drain_close_at.is_some() => {
+                CloseReason::Draining
+            }
+            () = sleep_until(inactivity_deadline), if !shutting_down => {
+                match (activity.quiet_since(), activity.head_since()) {
+                    (Some(_), Some(head_began)) if head_began + HEAD_TIMEOUT <= Instant::now() => {
+                        CloseReason::HeadOverdue
+                    }
+                    (Some(quiet_since), None) if quiet_since + IDLE_TIMEOUT <= Instant::now() => {
+                        CloseReason::Idle
+                    }
+                    _ => continue,
+                }
+            }
+            () = activity.let_go.notified(), if !shutting_down => CloseReason::ExcessQuiet,
+            () = activity.make_room.notified() => CloseReason::Eviction,
         };
-        // Whatever is in the socket by now came first. A request that does is answered, and one that has begun is waited for.
-        let before = slot.reads();
-        slot.look();
+        // Bytes that are in the socket now arrived before the close was decided. A complete request among
+        // them is answered, and one that has begun is waited for.
+        let reads_before = activity.reads();
+        activity.look();
         if poll_fn(|cx| Poll::Ready(connection.as_mut().poll(cx).is_ready())).await {
             return;
         }
-        let came = slot.reads() != before;
-        let holds = match (slot.holds(), slot.next_request_at()) {
-            (ConnectionContents::Request, Some(next)) if !life.borrow().closes_after_answer(Some(next)) => {
+        let bytes_arrived = activity.reads() != reads_before;
+        let contents = match (activity.holds(), activity.next_request_at()) {
+            (ConnectionContents::Request, Some(next_at))
+                if !lifecycle.borrow().closes_after_answer(Some(next_at)) =>
+            {
                 ConnectionContents::PipelinedRequests
             }
-            (holds, _) => holds,
+            (contents, _) => contents,
         };
-        let deed = match connection_close::close_action(reason, holds) {
-            // Who has just spoken is neither idle nor quiet; the place of another is asked for next.
+        let action = match connection_close::close_action(reason, contents) {
+            // A client that has just sent bytes is neither idle nor quiet; another connection is evicted
+            // instead.
             CloseAction::Shutdown | CloseAction::CloseNow
-                if came && !matches!(reason, CloseReason::Draining | CloseReason::ShutdownImminent) =>
+                if bytes_arrived
+                    && !matches!(reason, CloseReason::Draining | CloseReason::ShutdownImminent) =>
             {
                 CloseAction::Keep
             }
-            deed => deed,
+            action => action,
         };
         let now = Instant::now();
-        match deed {
+        match action {
             CloseAction::Keep => {
-                // Who is in the middle of a head has the time that heads have; who has asked more than once is answered.
-                let over = holds != ConnectionContents::PipelinedRequests
-                    && slot.head_since().is_none_or(|began| began + HEAD_TIMEOUT <= now);
-                match (reason, over) {
+                // A client in the middle of a head gets the usual time for it; pipelined requests are
+                // answered.
+                let close_due = contents != ConnectionContents::PipelinedRequests
+                    && activity.head_since().is_none_or(|head_began| head_began + HEAD_TIMEOUT <= now);
+                match (reason, close_due) {
                     (CloseReason::Draining, true) => return,
-                    (CloseReason::Draining, false) => ends_at = Some(now + HALF_WAY),
-                    (CloseReason::Eviction, _) => slot.making_room.store(false, Ordering::Relaxed),
+                    (CloseReason::Draining, false) => {
+                        drain_close_at = Some(now + PARTIAL_HEAD_RECHECK_INTERVAL)
+                    }
+                    (CloseReason::Eviction, _) => activity.making_room.store(false, Ordering::Relaxed),
                     _ => {}
                 }
             }
             CloseAction::CloseNow => return,
             CloseAction::Shutdown | CloseAction::CloseAfterAnswer => {
                 if reason == CloseReason::Draining {
-                    ends_at = None;
+                    drain_close_at = None;
                 }
-                ending = true;
+                shutting_down = true;
                 connection.as_mut().graceful_shutdown();
             }
         }
     }
 }
 
-/// Tells the driver when the client goes away before its answer.
-struct Guard<'a> {
+/// Notifies the driver if the client disconnects before its answer: then hyper drops the request's future.
+struct DisconnectGuard<'a> {
     request: RequestId,
     front: &'a Front,
     answered: bool,
 }
 
-impl Drop for Guard<'_> {
+impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         if !self.answered {
-            self.front.told.tell(ClientEvent::Left(self.request));
+            self.front.events.tell(ClientEvent::Left(self.request));
         }
     }
 }
 
-/// What is wrong with a request.
-type Malformed = (StatusCode, &'static str);
+/// Status and reason with which a malformed request is rejected.
+type Rejection = (StatusCode, &'static str);
 
-async fn handle(
+async fn handle_request(
     request: Request<Incoming>,
     front: &Front,
-    slot: &ConnectionActivity,
+    activity: &ConnectionActivity,
 ) -> Response<AnswerBody> {
     if request.uri().path() == "/up" {
         let ready = front.metrics.ready.load(Ordering::Relaxed);
-        return match (request.method() == Method::GET, front.life.borrow().reports_up(), ready) {
-            (false, ..) => plain(StatusCode::METHOD_NOT_ALLOWED, "use GET"),
-            (true, true, true) => plain(StatusCode::OK, "up"),
-            (true, true, false) => plain(StatusCode::SERVICE_UNAVAILABLE, "no list of upstreams yet"),
-            (true, false, _) => plain(StatusCode::SERVICE_UNAVAILABLE, "evacuated"),
+        return match (request.method() == Method::GET, front.lifecycle.borrow().reports_up(), ready) {
+            (false, ..) => text_response(StatusCode::METHOD_NOT_ALLOWED, "use GET"),
+            (true, true, true) => text_response(StatusCode::OK, "up"),
+            (true, true, false) => text_response(StatusCode::SERVICE_UNAVAILABLE, "no list of upstreams yet"),
+            (true, false, _) => text_response(StatusCode::SERVICE_UNAVAILABLE, "evacuated"),
         };
     }
-    let Checked { class, tenant, time_left, id } = match check(&request, &front.names) {
-        Ok(checked) => checked,
-        Err((status, reason)) => return plain(status, reason),
+    let ValidatedHead { class, tenant, time_left, id } = match validate_head(&request, &front.names) {
+        Ok(validated) => validated,
+        Err((status, reason)) => return text_response(status, reason),
     };
     let (head, body) = request.into_parts();
-    let (began, stated) = (Instant::now(), body.size_hint().exact());
-    let body = match gather(body, began, stated).await {
-        Ok((first, None)) => RequestBody::Buffered(first),
-        Ok((first, Some(rest))) => match front.transfers.try_acquire() {
-            Some(room) => RequestBody::Upload(Arc::new(Upload::new(first, rest, stated, began, room))),
-            // Nothing has run, and there is no room to wait in.
-            None => return refused(CROWDED_RETRY_MS),
+    let (head_at, stated_length) = (Instant::now(), body.size_hint().exact());
+    let body = match buffer_body(body, head_at, stated_length).await {
+        Ok((buffered, None)) => RequestBody::Buffered(buffered),
+        Ok((buffered, Some(rest))) => match front.transfers.try_acquire() {
+            Some(permit) => {
+                RequestBody::Upload(Arc::new(Upload::new(buffered, rest, stated_length, head_at, permit)))
+            }
+            // Nothing has been executed, and there is no queue for uploads.
+            None => return refused_response(TRANSFER_LIMIT_RETRY_AFTER_MS),
         },
-        Err((status, reason)) => return plain(status, reason),
+        Err((status, reason)) => return text_response(status, reason),
     };
-    let at = Instant::now();
-    slot.busy();
-    // A client may name the whole URL; upstreams are asked for the path in any case.
+    let received_at = Instant::now();
+    activity.busy();
+    // A client may send an absolute URI; upstreams always get path and query only.
     let target = head.uri.path_and_query().cloned().map(Uri::from).unwrap_or_default();
-    let request = RequestId(front.next_id.fetch_add(1, Ordering::Relaxed));
+    let request = RequestId(front.next_request_id.fetch_add(1, Ordering::Relaxed));
     let (reply, answer) = oneshot::channel();
-    let (headers, client) = (end_to_end_headers(&head.headers), slot.client());
+    let (headers, client) = (end_to_end_headers(&head.headers), activity.client());
     let forward = ForwardedRequest { method: head.method, target, headers, body, client };
-    let arrival = RequestArrival { request, class, tenant, id, at, time_left, forward, reply };
-    let mut guard = Guard { request, front, answered: false };
-    front.told.tell(ClientEvent::Arrived(Box::new(arrival)));
+    let arrival = RequestArrival { request, class, tenant, id, at: received_at, time_left, forward, reply };
+    let mut guard = DisconnectGuard { request, front, answered: false };
+    front.events.tell(ClientEvent::Arrived(Box::new(arrival)));
     let answer = answer.await;
     guard.answered = true;
     match answer {
@@ -462,112 +498,118 @@
             *response.headers_mut() = headers;
             response
         }
-        Ok(FinalAnswer::Refused(retry_after)) => refused(retry_after),
-        Ok(FinalAnswer::Rejected(status)) => plain(status, "the request cannot be served"),
-        Ok(FinalAnswer::Failed) | Err(_) => plain(StatusCode::BAD_GATEWAY, "failed"),
+        Ok(FinalAnswer::Refused(retry_after)) => refused_response(retry_after),
+        Ok(FinalAnswer::Rejected(status)) => text_response(status, "the request cannot be served"),
+        Ok(FinalAnswer::Failed) | Err(_) => text_response(StatusCode::BAD_GATEWAY, "failed"),
     }
 }
 
-/// Reads a body until it is whole or longer than what is held, as long as it keeps the least rate: what has come, and
-/// where the rest of a longer one comes from.
-async fn gather(
+/// Reads a body until it is complete or exceeds the buffer limit, as long as it keeps the minimum rate.
+/// Returns the bytes read and, if the body is longer, the stream of its rest.
+async fn buffer_body(
     mut body: Incoming,
-    began: Instant,
-    stated: Option<u64>,
-) -> Result<(Bytes, Option<Incoming>), Malformed> {
-    let mut gathered = BodyBuffer::default();
+    head_at: Instant,
+    stated_length: Option<u64>,
+) -> Result<(Bytes, Option<Incoming>), Rejection> {
+    let mut buffer = BodyBuffer::default();
     while !body.is_end_stream() {
-        let reading = RequestState::Reading { head_at: began, bytes: gathered.length() as u64 };
-        match timeout_at(bound(reading).at, body.frame()).await {
+        let state = RequestState::Reading { head_at, bytes: buffer.length() as u64 };
+        match timeout_at(bound(state).at, body.frame()).await {
             Ok(Some(Ok(frame))) => {
-                // Trailers end with the connection that they came on.
+                // Trailers are not forwarded: they belong to the client's connection.
                 if let Ok(data) = frame.into_data() {
-                    gathered.push(data, stated);
+                    buffer.push(data, stated_length);
                 }
             }
             Ok(Some(Err(_))) => return Err((StatusCode::BAD_REQUEST, "the body is broken")),
             Ok(None) => break,
             Err(_) => return Err((StatusCode::REQUEST_TIMEOUT, "the body did not come")),
         }
-        if gathered.length() > MAX_BUFFERED_BODY_BYTES {
-            return Ok((gathered.take(), Some(body)));
+        if buffer.length() > MAX_BUFFERED_BODY_BYTES {
+            return Ok((buffer.take(), Some(body)));
         }
     }
-    Ok((gathered.take(), None))
+    Ok((buffer.take(), None))
 }
 
-/// What the head of a sound request says.
-struct Checked {
+/// The fields of a valid request head.
+struct ValidatedHead {
     class: ClassId,
     tenant: TenantId,
     time_left: Duration,
     id: Box<str>,
 }
 
-/// Reads the head of a request. What upstreams could not use, or might read otherwise, never goes on to them.
-fn check(request: &Request<Incoming>, names: &RequestNames) -> Result<Checked, Malformed> {
-    let bad = |reason| (StatusCode::BAD_REQUEST, reason);
-    let first = request.uri().path().trim_start_matches('/').split('/').next().unwrap_or_default();
-    let Some(class) = names.classes.iter().position(|form| form.name == first) else {
+/// Validates a request head. A request that upstreams could not use or might parse differently is never
+/// forwarded.
+fn validate_head(request: &Request<Incoming>, names: &RequestNames) -> Result<ValidatedHead, Rejection> {
+    let bad_request = |reason| (StatusCode::BAD_REQUEST, reason);
+    let class_name = request.uri().path().trim_start_matches('/').split('/').next().unwrap_or_default();
+    let Some(class) = names.classes.iter().position(|form| form.name == class_name) else {
         return Err((StatusCode::NOT_FOUND, "no such path"));
     };
     let target = request.uri().path_and_query().map_or("", |target| target.as_str());
     if !target.bytes().all(|byte| byte.is_ascii_graphic()) {
-        return Err(bad("the path is not plain text"));
+        return Err(bad_request("the path is not plain text"));
     }
     let headers = request.headers();
-    let length = match single(headers, "content-length")? {
-        Some(text) => number(text).ok_or(bad("Content-Length is not a number"))?,
+    let length = match single_value(headers, "content-length")? {
+        Some(text) => parse_decimal(text).ok_or(bad_request("Content-Length is not a number"))?,
         None => 0,
     };
     if length > MAX_BODY_BYTES {
         return Err((StatusCode::PAYLOAD_TOO_LARGE, "the body is too long"));
     }
-    match single(headers, "x-priority-class")? {
-        None => return Err(bad("X-Priority-Class is missing")),
-        Some(name) if name != first => return Err(bad("X-Priority-Class does not fit the path")),
+    match single_value(headers, "x-priority-class")? {
+        None => return Err(bad_request("X-Priority-Class is missing")),
+        Some(name) if name != class_name => {
+            return Err(bad_request("X-Priority-Class does not fit the path"));
+        }
         Some(_) => {}
     }
-    let key = single(headers, "idempotency-key")?;
+    let idempotency_key = single_value(headers, "idempotency-key")?;
     let form = &names.classes[class];
     match (request.method(), form.effect) {
         (&Method::GET, Effect::Idempotent) if !request.body().is_end_stream() => {
-            return Err(bad("GET has no body"));
+            return Err(bad_request("GET has no body"));
         }
         (&Method::GET, Effect::Idempotent) => {}
         (&Method::PUT, Effect::Idempotent) if form.put => {}
-        // Without its key upstreams could not drop a repeat.
-        (&Method::POST, Effect::IdempotentByKey { .. }) if key.is_none_or(str::is_empty) => {
-            return Err(bad("Idempotency-Key is missing"));
+        // Without the key, upstreams could not recognize a repeated request.
+        (&Method::POST, Effect::IdempotentByKey { .. }) if idempotency_key.is_none_or(str::is_empty) => {
+            return Err(bad_request("Idempotency-Key is missing"));
         }
-        // A key promises that a repeat is dropped; for this class it is not.
-        (&Method::POST, Effect::NonIdempotent) if key.is_some() => {
-            return Err(bad("the class takes no Idempotency-Key"));
+        // A key promises that a repeated request is not executed again, which does not hold for this class.
+        (&Method::POST, Effect::NonIdempotent) if idempotency_key.is_some() => {
+            return Err(bad_request("the class takes no Idempotency-Key"));
         }
         (&Method::POST, Effect::IdempotentByKey { .. } | Effect::NonIdempotent) => {}
         _ => return Err((StatusCode::METHOD_NOT_ALLOWED, "not the method of this class")),
     }
-    let id = single(headers, "x-request-id")?.filter(|id| !id.is_empty() && id.len() <= ID_BYTES);
-    let id = id.ok_or(bad("X-Request-ID is missing or too long"))?.into();
-    let time_left = single(headers, "x-timeout-ms")?.ok_or(bad("X-Timeout-Ms is missing"))?;
-    let time_left = number(time_left).filter(|ms| (1..=MAX_TIMEOUT_MS).contains(ms));
+    let id = single_value(headers, "x-request-id")?
+        .filter(|id| !id.is_empty() && id.len() <= MAX_REQUEST_ID_BYTES);
+    let id = id.ok_or(bad_request("X-Request-ID is missing or too long"))?.into();
+    let timeout = single_value(headers, "x-timeout-ms")?.ok_or(bad_request("X-Timeout-Ms is missing"))?;
+    let timeout_ms = parse_decimal(timeout).filter(|ms| (1..=MAX_REQUEST_TIMEOUT_MS).contains(ms));
     let time_left =
-        Duration::from_millis(time_left.ok_or(bad("X-Timeout-Ms is not a number of milliseconds"))?);
-    let tenant = match single(headers, "x-tenant-id")? {
+        Duration::from_millis(timeout_ms.ok_or(bad_request("X-Timeout-Ms is not a number of milliseconds"))?);
+    let tenant = match single_value(headers, "x-tenant-id")? {
         _ if names.tenants.is_empty() => 0,
-        None => return Err(bad("X-Tenant-Id is missing")),
-        Some(name) => names.tenants.iter().position(|n| n == name).ok_or(bad("unknown tenant"))?,
+        None => return Err(bad_request("X-Tenant-Id is missing")),
+        Some(name) => {
+            names.tenants.iter().position(|tenant| tenant == name).ok_or(bad_request("unknown tenant"))?
+        }
     };
-    Ok(Checked { class: ClassId(class), tenant: TenantId(tenant), time_left, id })
+    Ok(ValidatedHead { class: ClassId(class), tenant: TenantId(tenant), time_left, id })
 }
 
-/// A whole number in decimal digits and nothing else; `parse` alone would take a sign.
-fn number(text: &str) -> Option<u64> {
+/// Parses a number of decimal digits only; `parse` alone would accept a sign.
+fn parse_decimal(text: &str) -> Option<u64> {
     text.bytes().all(|byte| byte.is_ascii_digit()).then(|| text.parse().ok()).flatten()
 }
 
-/// The value of a header that must not come twice.
-fn single<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Malformed> {
+/// The value of a header that may occur only once.
+fn single_value<'a>(headers: &'a HeaderMap, name: &str) -> Result<Option<&'a str>, Rejection> {
     let mut values = headers.get_all(name).iter();
     let Some(value) = values.next() else { return Ok(None) };
     match (value.to_str(), values.next()) {
@@ -577,9 +619,9 @@
     }
 }
 
-/// Trying again is harmless, best after this long.
-fn refused(retry_after: Millis) -> Response<AnswerBody> {
-    let mut response = plain(StatusCode::SERVICE_UNAVAILABLE, "refused");
+/// The answer to a request that was not executed and may be retried, best after `retry_after`.
+fn refused_response(retry_after: Millis) -> Response<AnswerBody> {
+    let mut response = text_response(StatusCode::SERVICE_UNAVAILABLE, "refused");
     let seconds = HeaderValue::from_str(&format!("{:.3}", retry_after / 1_000.0));
     if let (Ok(seconds), true) = (seconds, retry_after > 0.0) {
         response.headers_mut().insert(header::RETRY_AFTER, seconds);
@@ -587,8 +629,8 @@
     response
 }
 
-fn plain(status: StatusCode, reason: &'static str) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::Buffered(Bytes::from_static(reason.as_bytes())));
+fn text_response(status: StatusCode, text: &'static str) -> Response<AnswerBody> {
+    let mut response = Response::new(AnswerBody::Buffered(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     response
--- a/crates/sidecar/src/front/tests.rs
+++ b/crates/sidecar/src/front/tests.rs
@@ -1,5 +1,6 @@
-//! A request that comes in the very moment in which its connection is to be closed. The runtime has one thread, and hears of
-//! the bytes only after the connection has heard that it is to close: so each of these crossings is played every time.
+//! Requests and connections that arrive at the moment in which their connection or the listener is to be
+//! closed. The runtime has one thread: it learns of the bytes only after the connection was told to close, so
+//! every run has the race.
 
 use std::io::{Read, Write};
 
@@ -9,20 +10,20 @@
 const REQUEST: &[u8] =
     b"GET /a HTTP/1.1\r\nHost: x\r\nX-Request-ID: 1\r\nX-Priority-Class: a\r\nX-Timeout-Ms: 5000\r\n\r\n";
 
-/// One client connection as it is served, and what may close it.
-struct Served {
+/// One client connection that is being served, with the handles that can close it.
+struct ServedConnection {
     client: std::net::TcpStream,
-    slot: Arc<ConnectionActivity>,
-    life: watch::Sender<Lifecycle>,
+    activity: Arc<ConnectionActivity>,
+    lifecycle: watch::Sender<Lifecycle>,
     _task: tokio::task::JoinHandle<()>,
 }
 
-/// A front that refuses whatever comes, and its life.
-fn refusing() -> (Arc<Front>, watch::Sender<Lifecycle>) {
-    let (life, lives) = watch::channel(Lifecycle::new(false, Instant::now()));
+/// A front that refuses every request, and its lifecycle.
+fn refusing_front() -> (Arc<Front>, watch::Sender<Lifecycle>) {
+    let (lifecycle, lifecycle_receiver) = watch::channel(Lifecycle::new(false, Instant::now()));
     let form = ClassForm { name: "a".to_owned(), effect: Effect::Idempotent, put: false };
-    let told = EventSink::to(|message| {
-        if let ClientEvent::Arrived(arrival) = message {
+    let events = EventSink::to(|event| {
+        if let ClientEvent::Arrived(arrival) = event {
             let _ = arrival.reply.send(FinalAnswer::Refused(0.0));
         }
         true
@@ -30,44 +31,44 @@
     let budgets = crate::budget::Budgets::with_connections(8);
     let front = Front::new(
         RequestNames { classes: vec![form], tenants: Vec::new() },
-        lives,
-        told,
+        lifecycle_receiver,
+        events,
         budgets.clients.clone(),
         budgets.transfers.clone(),
         Arc::new(Metrics::new(std::iter::once("a"))),
         Log::process(),
     );
-    (Arc::new(front), life)
+    (Arc::new(front), lifecycle)
 }
 
 fn connect(listener: &TcpListener) -> std::net::TcpStream {
-    let address = listener.local_addr().expect("an address");
-    let client = std::net::TcpStream::connect(address).expect("it connects");
-    client.set_nonblocking(true).expect("it can wait for nothing");
+    let address = listener.local_addr().expect("listener has no address");
+    let client = std::net::TcpStream::connect(address).expect("cannot connect");
+    client.set_nonblocking(true).expect("cannot make the socket non-blocking");
     client
 }
 
-/// A connection to a front that refuses whatever comes.
-async fn serve_one() -> Served {
-    let (front, life) = refusing();
-    let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
+/// Serves one connection to a front that refuses every request.
+async fn serve_one() -> ServedConnection {
+    let (front, lifecycle) = refusing_front();
+    let listener = TcpListener::bind("127.0.0.1:0").await.expect("cannot bind");
     let client = connect(&listener);
-    let (stream, _) = listener.accept().await.expect("it comes");
-    let slot = Arc::new(ConnectionActivity::new(Instant::now()));
-    let kept = slot.clone();
-    let task = tokio::spawn(async move { connection(stream, &front, &kept).await });
-    Served { client, slot, life, _task: task }
+    let (stream, _) = listener.accept().await.expect("cannot accept");
+    let activity = Arc::new(ConnectionActivity::new(Instant::now()));
+    let task_activity = activity.clone();
+    let task = tokio::spawn(async move { serve_connection(stream, &front, &task_activity).await });
+    ServedConnection { client, activity, lifecycle, _task: task }
 }
 
-/// Reads until there is an answer or the end; what came.
-async fn read(client: &mut std::net::TcpStream) -> String {
-    let (mut text, mut room) = (String::new(), [0; 4_096]);
+/// Reads until a complete answer or the end of the stream, and returns what was read.
+async fn read_answer(client: &mut std::net::TcpStream) -> String {
+    let (mut text, mut chunk) = (String::new(), [0; 4_096]);
     let start = Instant::now();
     while start.elapsed() < Duration::from_secs(30) {
-        match client.read(&mut room) {
+        match client.read(&mut chunk) {
             Ok(0) => break,
             Ok(read) => {
-                text.push_str(&String::from_utf8_lossy(&room[..read]));
+                text.push_str(&String::from_utf8_lossy(&chunk[..read]));
                 if text.ends_with("refused") {
                     break;
                 }
@@ -81,78 +82,79 @@
     text
 }
 
-/// Something that wants the connection closed.
-type Reason = fn(&Served);
+/// Makes something ask for the connection to be closed.
+type CloseTrigger = fn(&ServedConnection);
 
-/// Guards against closing a connection on a request that is whole in its socket: it was taken, and its client would have to
-/// send it again, at the end to a listener that is gone.
+/// Guards against closing a connection whose socket already holds a complete request. Its client would have
+/// to send the request again, and at the end of the process to a listener that no longer exists.
 #[tokio::test]
-async fn a_request_that_crosses_the_close_of_its_connection_is_answered() {
-    let reasons: [(&str, Reason); 3] = [
-        ("a newcomer needs its place", |served| served.slot.make_room.notify_one()),
-        ("it is one of many that are quiet", |served| served.slot.let_go.notify_one()),
-        ("the end has begun", |served| {
-            served.life.send_modify(|life| {
+async fn request_that_arrives_while_its_connection_is_closed_is_answered() {
+    let triggers: [(&str, CloseTrigger); 3] = [
+        ("eviction", |served| served.activity.make_room.notify_one()),
+        ("excess quiet connection", |served| served.activity.let_go.notify_one()),
+        ("drain", |served| {
+            served.lifecycle.send_modify(|lifecycle| {
                 let (linger, max_duration) = (Duration::from_secs(20), Duration::from_secs(30));
-                life.request(LifecycleRequest::Drain(Drain::Close { linger, max_duration }), Instant::now());
+                lifecycle
+                    .request(LifecycleRequest::Drain(Drain::Close { linger, max_duration }), Instant::now());
             });
         }),
     ];
-    for (reason, close) in reasons {
+    for (reason, close) in triggers {
         for used in [true, false] {
             let mut served = serve_one().await;
-            // Until it waits for a request, and has been told of all that came before.
+            // Until the connection waits for a request and has been notified of all earlier events.
             sleep(Duration::from_millis(20)).await;
             if used {
-                served.client.write_all(REQUEST).expect("it is written");
-                assert!(read(&mut served.client).await.starts_with("HTTP/1.1 503"), "{reason}");
+                served.client.write_all(REQUEST).expect("cannot write the request");
+                assert!(read_answer(&mut served.client).await.starts_with("HTTP/1.1 503"), "{reason}");
             }
-            // In one turn: the kernel has the whole request before the connection hears of the rest.
-            served.client.write_all(REQUEST).expect("it is written");
+            // No await in between: the kernel has the complete request before the connection runs again.
+            served.client.write_all(REQUEST).expect("cannot write the request");
             close(&served);
-            let answer = read(&mut served.client).await;
+            let answer = read_answer(&mut served.client).await;
             assert!(answer.starts_with("HTTP/1.1 503"), "{reason}, used {used}: {answer:?}");
         }
     }
 }
 
-/// The same reasons where nothing crosses: it is closed all the same.
+/// The counterpart without a request: the connection is closed.
 #[tokio::test]
-async fn a_quiet_connection_is_closed_when_it_is_to_be() {
-    for close in
-        [(|served| served.slot.make_room.notify_one()) as Reason, |served| served.slot.let_go.notify_one()]
-    {
+async fn quiet_connection_is_closed_on_eviction_or_as_excess() {
+    for close in [(|served| served.activity.make_room.notify_one()) as CloseTrigger, |served| {
+        served.activity.let_go.notify_one()
+    }] {
         let mut served = serve_one().await;
         sleep(Duration::from_millis(20)).await;
         close(&served);
-        assert_eq!(read(&mut served.client).await, "");
+        assert_eq!(read_answer(&mut served.client).await, "");
     }
 }
 
-/// Guards against letting the listener go while somebody waits in its queue of whom the runtime has not heard: a new
-/// connection that is closed with no answer.
+/// Guards against dropping the listener while its accept queue holds connections that the runtime has not
+/// been notified of: they would be closed without an answer.
 #[tokio::test]
-async fn who_comes_as_the_listener_is_let_go_is_answered() {
-    let (front, life) = refusing();
-    let listener = Arc::new(TcpListener::bind("127.0.0.1:0").await.expect("a port"));
-    let (at, let_go) = (listener.clone(), Arc::new(std::sync::atomic::AtomicBool::new(false)));
-    let told = let_go.clone();
-    tokio::spawn(serve(listener, front, move || told.store(true, Ordering::Relaxed)));
-    let wish = LifecycleRequest::Drain(Drain::Close {
+async fn connection_in_the_accept_queue_when_the_listener_is_released_is_answered() {
+    let (front, lifecycle) = refusing_front();
+    let listener = Arc::new(TcpListener::bind("127.0.0.1:0").await.expect("cannot bind"));
+    let (shared_listener, released) = (listener.clone(), Arc::new(std::sync::atomic::AtomicBool::new(false)));
+    let set_released = released.clone();
+    tokio::spawn(serve(listener, front, move || set_released.store(true, Ordering::Relaxed)));
+    let drain = LifecycleRequest::Drain(Drain::Close {
         linger: Duration::from_secs(20),
         max_duration: Duration::from_secs(30),
     });
-    life.send_modify(|life| assert!(life.request(wish, Instant::now())));
-    // Until it waits for clients, and has been told of all that came before.
+    lifecycle.send_modify(|lifecycle| assert!(lifecycle.request(drain, Instant::now())));
+    // Until the front waits for clients and has been notified of all earlier events.
     sleep(Duration::from_millis(20)).await;
-    // In one turn: the kernel has accepted the client, and then no more are wanted.
-    let mut clients = [connect(&at), connect(&at), connect(&at)];
-    drop(at);
-    clients.iter_mut().for_each(|client| client.write_all(REQUEST).expect("it is written"));
-    life.send_modify(|life| assert!(life.advance(Instant::now() + Duration::from_secs(25))));
+    // No await in between: the kernel has accepted the clients before the front stops accepting.
+    let mut clients = [connect(&shared_listener), connect(&shared_listener), connect(&shared_listener)];
+    drop(shared_listener);
+    clients.iter_mut().for_each(|client| client.write_all(REQUEST).expect("cannot write the request"));
+    lifecycle.send_modify(|lifecycle| assert!(lifecycle.advance(Instant::now() + Duration::from_secs(25))));
     for client in &mut clients {
-        let answer = read(client).await;
+        let answer = read_answer(client).await;
         assert!(answer.starts_with("HTTP/1.1 503"), "{answer:?}");
     }
-    assert!(let_go.load(Ordering::Relaxed));
+    assert!(released.load(Ordering::Relaxed));
 }
--- a/crates/sidecar/src/headers.rs
+++ b/crates/sidecar/src/headers.rs
@@ -1,10 +1,10 @@
-//! Which headers belong to a message and which to the connection it came on (RFC 9110, 7.6.1).
+//! Separates end-to-end headers from those of one connection (RFC 9110, 7.6.1).
 
 use hyper::header::{self, HeaderMap, HeaderName};
 
-/// The headers that are not about one connection or its framing.
+/// The headers that are forwarded: those that don't concern one connection or its framing.
 pub fn end_to_end_headers(headers: &HeaderMap) -> HeaderMap {
-    const OF_CONNECTION: [HeaderName; 9] = [
+    const HOP_BY_HOP: [HeaderName; 9] = [
         header::CONNECTION,
         header::TE,
         header::TRAILER,
@@ -15,18 +15,18 @@
         header::PROXY_AUTHENTICATE,
         header::PROXY_AUTHORIZATION,
     ];
-    let named: Vec<String> = headers
+    let named_by_connection: Vec<String> = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(',').map(|name| name.trim().to_ascii_lowercase()))
         .collect();
-    let mut kept = HeaderMap::with_capacity(headers.len());
+    let mut forwarded = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        let of_connection = OF_CONNECTION.contains(name) || name == "keep-alive";
-        if !of_connection && !named.iter().any(|n| n == name.as_str()) {
-            kept.append(name, value.clone());
+        let hop_by_hop = HOP_BY_HOP.contains(name) || name == "keep-alive";
+        if !hop_by_hop && !named_by_connection.iter().any(|named| named == name.as_str()) {
+            forwarded.append(name, value.clone());
         }
     }
-    kept
+    forwarded
 }
--- a/crates/sidecar/src/lifecycle.rs
+++ b/crates/sidecar/src/lifecycle.rs
@@ -1,111 +1,122 @@
-//! What an instance does with clients, from its start to its end: one value, changed by one function, and asked by
-//! everyone who needs to know. Pure: time is an argument.
+//! The lifecycle of an instance towards its clients, from start to end: a state machine that every part
+//! consults. Pure: the time is an argument.
 //!
-//! | stage | open | evacuate | rejoin | close | hand over | its time is up |
+//! | stage | open | evacuate | rejoin | close | hand over | time passes |
 //! | --- | --- | --- | --- | --- | --- | --- |
-//! | standby | serving, or evacuating | keeps it for later | undoes that | leaving | handed over | - |
-//! | serving | - | evacuating | - | leaving | handed over | - |
-//! | evacuating | - | - | serving | leaving | handed over | - |
-//! | leaving | - | remembers it | refused | - | handed over | closing |
-//! | closing | - | remembers it | refused | - | handed over | - |
-//! | handed over | - | remembers it | refused | - | - | - |
+//! | standby | serving, or evacuating | stored until open | revokes evacuate | draining | handed over | - |
+//! | serving | - | evacuating | - | draining | handed over | - |
+//! | evacuating | - | - | serving | draining | handed over | - |
+//! | draining | - | stored | refused | - | handed over | closing |
+//! | closing | - | stored | refused | - | handed over | - |
+//! | handed over | - | stored | refused | - | - | - |
 //!
-//! An end is final, and what the first one allowed in time holds. What was evacuated says no at `/up` until it has
-//! rejoined, also while it ends.
+//! The last three stages are final, and the time limit of the first drain stays in force. An evacuated
+//! instance answers 503 at `/up` until it has rejoined, also while it drains.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Once evacuation has begun, a connection with nothing open may carry one more request for this long: its client may be
-/// about to send one. 4 s after the call nothing may be held that was asked for within the last 2 s.
+/// After an evacuation has begun, an idle connection may carry one more request for this long, since its
+/// client may be about to send one. 4 s after the call, no connection may be open that has carried a request
+/// within the last 2 s.
 pub const EVACUATION_LINGER: Duration = Duration::from_millis(1_200);
-/// When the end begins, a connection that has carried nothing may be about to: one that is younger than this still
-/// gets an answer, so that nobody is accepted and dropped.
-const ABOUT_TO: Duration = Duration::from_millis(500);
+/// When an instance closes, a connection that has never carried a request may be about to. Until it is this
+/// old it still gets an answer, so that no connection is accepted and then dropped.
+const UNUSED_CONNECTION_GRACE: Duration = Duration::from_millis(500);
 
-/// The last answers take this long to their clients.
-const LAST_ANSWERS: Duration = Duration::from_millis(40);
+/// Time for the last answers to reach their clients.
+const FINAL_ANSWERS_MARGIN: Duration = Duration::from_millis(40);
 
-/// What an instance does with clients.
+/// The stage of an instance towards its clients.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Stage {
-    /// Not accepting yet: whoever comes is for a predecessor that listens on the same socket.
+    /// Not accepting yet: a predecessor that listens on the same socket accepts the clients.
     Standby,
     /// Serving.
     Serving,
-    /// Emptied by the operators: `/up` says no, every answer closes its connection, and it may serve again.
+    /// Evacuated by the operators: `/up` answers 503, every answer closes its connection, and the instance
+    /// may rejoin.
     Evacuating,
-    /// The end has begun: still accepting, but every answer closes its connection.
+    /// Still accepting, but every answer closes its connection.
     Draining,
-    /// No client comes any more: only what is open is finished.
+    /// Accepting only what is in the accept queue, then finishing open requests.
     Closing,
-    /// The same, and whoever still comes is for a successor that listens on the same socket.
+    /// Finishing open requests; a successor that listens on the same socket accepts the clients.
     HandedOver,
 }
 
 /// How an instance is to end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Drain {
-    /// Clients still come for this long, by connections that were on their way; then it finishes what is open.
+    /// The listener is closed: accept connections that are on their way for a while, then finish open
+    /// requests.
     Close {
-        /// For how long.
+        /// How long connections are still accepted.
         linger: Duration,
-        /// It ends after this long in all, whatever is open.
+        /// Time limit for the whole drain, whatever is open.
         max_duration: Duration,
     },
-    /// A successor listens on the same socket: it takes no new connection from now on and finishes what is open.
+    /// A successor listens on the same socket: accept no more connections, and finish open requests.
     HandOver {
-        /// For how long a connection with nothing open may carry one more request.
+        /// How long an idle connection may carry one more request.
         linger: Duration,
-        /// It ends after this long, whatever is open.
+        /// Time limit for the whole drain, whatever is open.
         max_duration: Duration,
     },
 }
 
-/// What is wanted of an instance.
+/// A requested change of the lifecycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LifecycleRequest {
-    /// Accept clients, unless the end has begun.
+    /// Accept clients, unless the instance is ending.
     Open,
     /// Send clients away.
     Evacuate,
-    /// Take them again, unless the end has begun.
+    /// Accept clients again after an evacuation, unless the instance is ending.
     Rejoin,
     /// End.
     Drain(Drain),
 }
 
-/// The life of an instance as it stands.
+/// The current state of an instance's lifecycle.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Lifecycle {
     stage: Stage,
-    /// Since when the present stage has lasted.
-    since: Instant,
-    /// Whether the operators have emptied it.
+    /// When the current stage began.
+    stage_since: Instant,
+    /// Whether the operators have evacuated the instance.
     evacuated: bool,
-    /// For how long a connection with nothing open is kept once the socket has a successor.
-    linger: Duration,
-    /// When the present stage of the end is over, and when all of it must be.
-    next: Option<Instant>,
-    overdue: Option<Instant>,
+    /// How long an idle connection is kept after a handover.
+    handover_linger: Duration,
+    /// When draining becomes closing.
+    closing_at: Option<Instant>,
+    /// When the instance must have ended, whatever is open.
+    end_by: Option<Instant>,
 }
 
 impl Lifecycle {
-    /// One that begins now: in standby, or serving.
+    /// Begins in standby, or serving.
     pub fn new(standby: bool, now: Instant) -> Lifecycle {
         let stage = if standby { Stage::Standby } else { Stage::Serving };
-        Lifecycle { stage, since: now, evacuated: false, linger: Duration::ZERO, next: None, overdue: None }
+        Lifecycle {
+            stage,
+            stage_since: now,
+            evacuated: false,
+            handover_linger: Duration::ZERO,
+            closing_at: None,
+            end_by: None,
+        }
     }
 
-    /// What it does.
+    /// The current stage.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// Takes in a wish; whether it is granted. What changes nothing is granted, too.
-    pub fn request(&mut self, wish: LifecycleRequest, now: Instant) -> bool {
-        match (self.stage, wish) {
+    /// Applies a request. Returns whether it is granted, which includes requests that change nothing.
+    pub fn request(&mut self, request: LifecycleRequest, now: Instant) -> bool {
+        match (self.stage, request) {
             (Stage::Standby, LifecycleRequest::Open) => {
                 self.enter(if self.evacuated { Stage::Evacuating } else { Stage::Serving }, now);
             }
@@ -126,105 +137,113 @@
                 LifecycleRequest::Drain(Drain::Close { linger, max_duration }),
             ) => {
                 self.enter(Stage::Draining, now);
-                (self.next, self.overdue) = (Some(now + linger.min(max_duration)), Some(now + max_duration));
+                (self.closing_at, self.end_by) =
+                    (Some(now + linger.min(max_duration)), Some(now + max_duration));
             }
             (Stage::HandedOver, LifecycleRequest::Drain(_)) => {}
             (_, LifecycleRequest::Drain(Drain::HandOver { linger, max_duration })) => {
                 self.enter(Stage::HandedOver, now);
-                self.linger = linger;
-                self.overdue = Some(self.overdue.unwrap_or(now + max_duration));
+                self.handover_linger = linger;
+                self.end_by = Some(self.end_by.unwrap_or(now + max_duration));
             }
             (Stage::Draining | Stage::Closing, LifecycleRequest::Drain(Drain::Close { .. })) => {}
         }
         true
     }
 
-    /// Its driver has failed: who still comes is for a successor.
+    /// Ends the lifecycle after the driver has failed: a successor accepts the clients that still come.
     pub fn fail(&mut self, now: Instant) {
         if self.stage != Stage::HandedOver {
             self.enter(Stage::HandedOver, now);
         }
-        self.linger = Duration::ZERO;
+        self.handover_linger = Duration::ZERO;
     }
 
     fn enter(&mut self, stage: Stage, now: Instant) {
-        (self.stage, self.since, self.next) = (stage, now, None);
+        (self.stage, self.stage_since, self.closing_at) = (stage, now, None);
     }
 
-    /// When it is to be told the time again.
+    /// When the lifecycle next depends on the time: [`Lifecycle::advance`] and [`Lifecycle::is_overdue`] are
+    /// due then.
     pub fn next_deadline(&self) -> Option<Instant> {
-        self.next.into_iter().chain(self.overdue).min()
+        self.closing_at.into_iter().chain(self.end_by).min()
     }
 
-    /// Lets time pass; whether anything has changed.
+    /// Enters closing once the linger time of a drain has passed. Returns whether the stage has changed.
     pub fn advance(&mut self, now: Instant) -> bool {
-        let due = self.stage == Stage::Draining && self.next.is_some_and(|next| next <= now);
+        let due = self.stage == Stage::Draining && self.closing_at.is_some_and(|at| at <= now);
         if due {
             self.enter(Stage::Closing, now);
         }
         due
     }
 
-    /// Whether it must be over by now, whatever is open.
+    /// Whether the instance must have ended by now, whatever is open.
     pub fn is_overdue(&self, now: Instant) -> bool {
-        self.overdue.is_some_and(|overdue| overdue <= now)
+        self.end_by.is_some_and(|end_by| end_by <= now)
     }
 
-    /// By when whatever is taken must be answered, where there is such a time.
+    /// When every accepted request must have its answer; `None` before a drain.
     pub fn answers_due_by(&self) -> Option<Instant> {
-        self.overdue.map(|overdue| overdue.checked_sub(LAST_ANSWERS).unwrap_or(overdue))
+        self.end_by.map(|end_by| end_by.checked_sub(FINAL_ANSWERS_MARGIN).unwrap_or(end_by))
     }
 
-    /// Whether the end has begun.
+    /// Whether the instance drains, closes or is handed over.
     pub fn is_ending(&self) -> bool {
         matches!(self.stage, Stage::Draining | Stage::Closing | Stage::HandedOver)
     }
 
-    /// Whether it accepts connections.
+    /// Whether the instance accepts connections.
     pub fn is_accepting(&self) -> bool {
         !matches!(self.stage, Stage::Standby | Stage::HandedOver)
     }
 
-    /// Whether no client is to come any more: who still waits to be accepted is, and that is all.
+    /// Whether the listener is to be released, once the accept queue is empty.
     pub fn is_closing(&self) -> bool {
         matches!(self.stage, Stage::Closing | Stage::HandedOver)
     }
 
-    /// Whether `/up` may say yes, as far as this is concerned.
+    /// Whether `/up` may answer 200, as far as the lifecycle is concerned.
     pub fn reports_up(&self) -> bool {
         !self.evacuated
     }
 
-    /// Whether an answer closes its connection, where the next request on it had come whole by then, if one had. What has
-    /// come is answered first; in an evacuation only what came while a connection with nothing open might still carry it.
+    /// Whether an answer closes its connection. `next_request_at` is when the pipelined request behind it was
+    /// complete, if there is one. Pipelined requests are answered first; in an evacuation only those that
+    /// came within [`EVACUATION_LINGER`].
     pub fn closes_after_answer(&self, next_request_at: Option<Instant>) -> bool {
         match self.stage {
             Stage::Standby | Stage::Serving => false,
-            Stage::Evacuating => next_request_at.is_none_or(|at| at > self.since + EVACUATION_LINGER),
+            Stage::Evacuating => next_request_at.is_none_or(|at| at > self.stage_since + EVACUATION_LINGER),
             Stage::Draining | Stage::Closing | Stage::HandedOver => next_request_at.is_none(),
         }
     }
 
-    /// When a connection is closed on which nothing is open; never where there is no time. `used` if it has carried a
-    /// request before.
-    pub fn idle_close_at(&self, accepted: Instant, used: bool) -> Option<Instant> {
+    /// When a connection without an open request is closed; `None` if the lifecycle sets no time. `used` is
+    /// whether the connection has carried a request.
+    pub fn idle_close_at(&self, accepted_at: Instant, used: bool) -> Option<Instant> {
         match self.stage {
             Stage::Standby | Stage::Serving => None,
-            Stage::Evacuating => Some(self.since.max(accepted) + EVACUATION_LINGER),
-            // It gets its one answer while clients may still come.
-            Stage::Draining => used.then_some(self.since),
-            Stage::Closing if used => Some(self.since),
-            Stage::Closing => Some((accepted + ABOUT_TO).min(self.last_call()).max(self.since)),
-            Stage::HandedOver if used => Some(self.since + self.linger),
-            Stage::HandedOver => Some((accepted + ABOUT_TO).max(self.since + self.linger)),
+            Stage::Evacuating => Some(self.stage_since.max(accepted_at) + EVACUATION_LINGER),
+            // An unused connection gets its one answer while clients may still connect.
+            Stage::Draining => used.then_some(self.stage_since),
+            Stage::Closing if used => Some(self.stage_since),
+            Stage::Closing => Some(
+                (accepted_at + UNUSED_CONNECTION_GRACE).min(self.unused_close_by()).max(self.stage_since),
+            ),
+            Stage::HandedOver if used => Some(self.stage_since + self.handover_linger),
+            Stage::HandedOver => {
+                Some((accepted_at + UNUSED_CONNECTION_GRACE).max(self.stage_since + self.handover_linger))
+            }
         }
     }
 
-    /// Until when a connection that holds nothing may wait for a request: later than this none could be answered before all
-    /// is over, and what is in a socket then was taken and is lost.
-    fn last_call(&self) -> Instant {
-        let none = self.since + ABOUT_TO;
-        self.overdue.and_then(|overdue| overdue.checked_sub(LAST_ANSWERS * 3)).unwrap_or(none)
+    /// When a closing instance closes unused connections at the latest. A request that came later could not
+    /// be answered before the end, and a request that is in the socket then has been accepted and would be
+    /// lost.
+    fn unused_close_by(&self) -> Instant {
+        let without_limit = self.stage_since + UNUSED_CONNECTION_GRACE;
+        self.end_by.and_then(|end_by| end_by.checked_sub(FINAL_ANSWERS_MARGIN * 3)).unwrap_or(without_limit)
     }
 }
 
@@ -242,135 +261,155 @@
     });
 
     #[test]
-    fn evacuation_is_undone_by_rejoining_and_by_nothing_else() {
+    fn evacuation_is_undone_by_rejoin_and_not_by_open() {
         let now = Instant::now();
-        let mut life = Lifecycle::new(false, now);
+        let mut lifecycle = Lifecycle::new(false, now);
         assert!(
-            life.request(LifecycleRequest::Rejoin, now)
-                && life.reports_up()
-                && !life.closes_after_answer(None)
+            lifecycle.request(LifecycleRequest::Rejoin, now)
+                && lifecycle.reports_up()
+                && !lifecycle.closes_after_answer(None)
         );
         assert!(
-            life.request(LifecycleRequest::Evacuate, now) && life.request(LifecycleRequest::Evacuate, now)
+            lifecycle.request(LifecycleRequest::Evacuate, now)
+                && lifecycle.request(LifecycleRequest::Evacuate, now)
         );
-        assert!(!life.reports_up() && life.is_accepting() && life.closes_after_answer(None));
-        assert!(life.request(LifecycleRequest::Open, now) && !life.reports_up(), "opening is no rejoining");
-        assert!(life.request(LifecycleRequest::Rejoin, now));
+        assert!(!lifecycle.reports_up() && lifecycle.is_accepting() && lifecycle.closes_after_answer(None));
+        assert!(
+            lifecycle.request(LifecycleRequest::Open, now) && !lifecycle.reports_up(),
+            "open must not undo an evacuation"
+        );
+        assert!(lifecycle.request(LifecycleRequest::Rejoin, now));
         assert_eq!(
-            (life.stage(), life.reports_up(), life.idle_close_at(now, true)),
+            (lifecycle.stage(), lifecycle.reports_up(), lifecycle.idle_close_at(now, true)),
             (Stage::Serving, true, None)
         );
     }
 
     #[test]
-    fn who_is_evacuated_before_it_opens_opens_evacuated() {
+    fn instance_evacuated_in_standby_opens_evacuated_unless_it_has_rejoined() {
         let now = Instant::now();
-        let mut life = Lifecycle::new(true, now);
-        life.request(LifecycleRequest::Evacuate, now);
-        assert!(!life.is_accepting() && !life.reports_up());
-        life.request(LifecycleRequest::Open, now);
-        assert_eq!(life.stage(), Stage::Evacuating);
-        let mut life = Lifecycle::new(true, now);
-        life.request(LifecycleRequest::Evacuate, now);
-        life.request(LifecycleRequest::Rejoin, now);
-        life.request(LifecycleRequest::Open, now);
-        assert_eq!(life.stage(), Stage::Serving);
+        let mut lifecycle = Lifecycle::new(true, now);
+        lifecycle.request(LifecycleRequest::Evacuate, now);
+        assert!(!lifecycle.is_accepting() && !lifecycle.reports_up());
+        lifecycle.request(LifecycleRequest::Open, now);
+        assert_eq!(lifecycle.stage(), Stage::Evacuating);
+        let mut lifecycle = Lifecycle::new(true, now);
+        lifecycle.request(LifecycleRequest::Evacuate, now);
+        lifecycle.request(LifecycleRequest::Rejoin, now);
+        lifecycle.request(LifecycleRequest::Open, now);
+        assert_eq!(lifecycle.stage(), Stage::Serving);
     }
 
     #[test]
-    fn an_end_is_final_and_its_time_is_the_first_ones() {
+    fn drain_is_final_and_keeps_the_time_limit_of_the_first_request() {
         let start = Instant::now();
         let later = start + Duration::from_secs(1);
-        let mut life = Lifecycle::new(false, start);
-        life.request(LifecycleRequest::Evacuate, start);
-        assert!(life.request(CLOSE, start));
+        let mut lifecycle = Lifecycle::new(false, start);
+        lifecycle.request(LifecycleRequest::Evacuate, start);
+        assert!(lifecycle.request(CLOSE, start));
+        assert!(
+            !lifecycle.request(LifecycleRequest::Rejoin, start)
+                && lifecycle.request(LifecycleRequest::Open, start)
+                && lifecycle.request(CLOSE, later)
+        );
+        assert!(!lifecycle.reports_up(), "a drain must not undo the evacuation");
+        assert_eq!(lifecycle.next_deadline(), Some(start + Duration::from_millis(550)));
         assert!(
-            !life.request(LifecycleRequest::Rejoin, start)
-                && life.request(LifecycleRequest::Open, start)
-                && life.request(CLOSE, later)
+            !lifecycle.advance(start)
+                && lifecycle.advance(later)
+                && lifecycle.is_closing()
+                && lifecycle.is_accepting()
         );
-        assert!(!life.reports_up(), "it was evacuated and stays so");
-        assert_eq!(life.next_deadline(), Some(start + Duration::from_millis(550)));
-        assert!(!life.advance(start) && life.advance(later) && life.is_closing() && life.is_accepting());
-        assert!(life.request(HAND_OVER, later) && !life.is_accepting());
-        assert!(!life.is_overdue(later) && life.is_overdue(start + Duration::from_secs(3)));
+        assert!(lifecycle.request(HAND_OVER, later) && !lifecycle.is_accepting());
+        assert!(!lifecycle.is_overdue(later) && lifecycle.is_overdue(start + Duration::from_secs(3)));
     }
 
-    /// Pipelined requests are answered before their connection is closed, but for those that keep coming after an evacuation.
+    /// Pipelined requests are answered before their connection is closed, except those that came too late
+    /// after an evacuation.
     #[test]
-    fn an_answer_closes_its_connection_only_if_no_taken_request_is_behind_it() {
+    fn answer_closes_its_connection_only_without_a_pipelined_request_behind_it() {
         let now = Instant::now();
-        let before = Some(now);
+        let early = Some(now);
         let late = Some(now + EVACUATION_LINGER + Duration::from_millis(1));
-        let mut life = Lifecycle::new(false, now);
-        assert!([None, before, late].into_iter().all(|next| !life.closes_after_answer(next)), "serving");
-        life.request(LifecycleRequest::Evacuate, now);
-        assert_eq!([None, before, late].map(|next| life.closes_after_answer(next)), [true, false, true]);
-        for end in [CLOSE, HAND_OVER] {
-            let mut life = life;
-            life.request(end, now);
-            assert_eq!([None, before, late].map(|next| life.closes_after_answer(next)), [true, false, false]);
+        let mut lifecycle = Lifecycle::new(false, now);
+        assert!([None, early, late].into_iter().all(|next| !lifecycle.closes_after_answer(next)), "serving");
+        lifecycle.request(LifecycleRequest::Evacuate, now);
+        assert_eq!([None, early, late].map(|next| lifecycle.closes_after_answer(next)), [true, false, true]);
+        for drain in [CLOSE, HAND_OVER] {
+            let mut lifecycle = lifecycle;
+            lifecycle.request(drain, now);
+            assert_eq!(
+                [None, early, late].map(|next| lifecycle.closes_after_answer(next)),
+                [true, false, false]
+            );
         }
     }
 
-    /// Where deadlines are short the end comes before a silent connection has had its time: it is closed while an answer
-    /// could still be given.
+    /// With short deadlines the drain ends before an unused connection has had its grace period. It must be
+    /// closed while a request on it could still be answered.
     #[test]
-    fn a_silent_connection_is_closed_before_what_it_says_could_not_be_answered() {
+    fn unused_connection_is_closed_while_a_request_on_it_could_still_be_answered() {
         let start = Instant::now();
         let max_duration = Duration::from_millis(60 + 640);
-        let mut life = Lifecycle::new(false, start);
-        life.request(
+        let mut lifecycle = Lifecycle::new(false, start);
+        lifecycle.request(
             LifecycleRequest::Drain(Drain::Close { linger: Duration::from_millis(550), max_duration }),
             start,
         );
-        let closing = start + Duration::from_millis(550);
-        assert!(life.advance(closing));
-        let until = life.idle_close_at(closing, false).expect("it is closed at some time");
-        assert!(until < life.answers_due_by().expect("there is an end"), "an answer still has its time");
-        assert!(until >= closing);
+        let closing_at = start + Duration::from_millis(550);
+        assert!(lifecycle.advance(closing_at));
+        let close_at = lifecycle.idle_close_at(closing_at, false).expect("no close time");
+        assert!(
+            close_at < lifecycle.answers_due_by().expect("no time limit"),
+            "no time is left for an answer"
+        );
+        assert!(close_at >= closing_at);
     }
 
-    /// Any order of wishes and of time passing.
+    /// Random sequences of requests and of time passing.
     #[test]
-    fn no_order_of_events_leads_out_of_an_end_or_leaves_a_connection_for_good() {
+    fn no_event_sequence_leaves_a_final_stage_or_keeps_an_idle_connection_open() {
         let mut rng = oorandom::Rand64::new(11);
         for _ in 0..20_000 {
             let start = Instant::now();
             let mut now = start;
-            let mut life = Lifecycle::new(rng.rand_range(0..2) == 0, now);
+            let mut lifecycle = Lifecycle::new(rng.rand_range(0..2) == 0, now);
             for _ in 0..rng.rand_range(1..12) {
                 now += Duration::from_millis(rng.rand_range(0..900));
-                let before = life;
+                let before = lifecycle;
                 match rng.rand_range(0..7) {
-                    0 => assert!(life.request(LifecycleRequest::Open, now)),
-                    1 => assert!(life.request(LifecycleRequest::Evacuate, now) && !life.reports_up()),
-                    2 => assert_eq!(life.request(LifecycleRequest::Rejoin, now), !before.is_ending()),
-                    3 if rng.rand_range(0..3) == 0 => assert!(life.request(CLOSE, now) && life.is_ending()),
+                    0 => assert!(lifecycle.request(LifecycleRequest::Open, now)),
+                    1 => {
+                        assert!(lifecycle.request(LifecycleRequest::Evacuate, now) && !lifecycle.reports_up())
+                    }
+                    2 => assert_eq!(lifecycle.request(LifecycleRequest::Rejoin, now), !before.is_ending()),
+                    3 if rng.rand_range(0..3) == 0 => {
+                        assert!(lifecycle.request(CLOSE, now) && lifecycle.is_ending())
+                    }
                     4 if rng.rand_range(0..3) == 0 => {
-                        assert!(life.request(HAND_OVER, now) && !life.is_accepting());
+                        assert!(lifecycle.request(HAND_OVER, now) && !lifecycle.is_accepting());
                     }
-                    _ => assert_eq!(life.advance(now), life != before),
+                    _ => assert_eq!(lifecycle.advance(now), lifecycle != before),
                 }
-                assert!(life.is_ending() || !before.is_ending(), "an end is final");
-                assert!(life.stage() == Stage::HandedOver || before.stage() != Stage::HandedOver);
+                assert!(lifecycle.is_ending() || !before.is_ending(), "a drain is final");
+                assert!(lifecycle.stage() == Stage::HandedOver || before.stage() != Stage::HandedOver);
                 assert!(
-                    !life.reports_up() || before.reports_up() || !before.is_ending(),
-                    "who ended evacuated stays so"
+                    !lifecycle.reports_up() || before.reports_up() || !before.is_ending(),
+                    "an instance that drains evacuated stays evacuated"
                 );
-                assert_eq!(life.is_ending(), life.overdue.is_some(), "every end has its time");
-                assert!(life.overdue.is_none_or(|at| at <= now + Duration::from_secs(3)));
-                if let Some(first) = before.overdue {
-                    assert_eq!(life.overdue, Some(first));
+                assert_eq!(lifecycle.is_ending(), lifecycle.end_by.is_some(), "every drain has a time limit");
+                assert!(lifecycle.end_by.is_none_or(|at| at <= now + Duration::from_secs(3)));
+                if let Some(first) = before.end_by {
+                    assert_eq!(lifecycle.end_by, Some(first));
                 }
-                // Whatever is idle is closed within a stated time, but for one that carries its first request.
+                // Every idle connection is closed within a stated time, except an unused one during a drain.
                 let age = Duration::from_millis(rng.rand_range(0..5_000));
-                let (accepted, used) = (now.checked_sub(age).unwrap_or(start), rng.rand_range(0..2) == 0);
-                let until = life.idle_close_at(accepted, used);
-                match life.stage() {
-                    Stage::Standby | Stage::Serving => assert_eq!(until, None),
-                    Stage::Draining if !used => assert_eq!(until, None),
-                    _ => assert!(until.is_some_and(|until| until <= now + EVACUATION_LINGER)),
+                let (accepted_at, used) = (now.checked_sub(age).unwrap_or(start), rng.rand_range(0..2) == 0);
+                let close_at = lifecycle.idle_close_at(accepted_at, used);
+                match lifecycle.stage() {
+                    Stage::Standby | Stage::Serving => assert_eq!(close_at, None),
+                    Stage::Draining if !used => assert_eq!(close_at, None),
+                    _ => assert!(close_at.is_some_and(|at| at <= now + EVACUATION_LINGER)),
                 }
             }
         }
--- a/crates/sidecar/src/metered_stream.rs
+++ b/crates/sidecar/src/metered_stream.rs
@@ -1,5 +1,6 @@
-//! A stream to an upstream that knows what has crossed it: how much of a request was written, read off its very bytes, which
-//! tells whether it can have arrived, and whether an answer has begun, which tells what belongs to which request.
+//! The stream of a connection to an upstream, with a meter of its bytes. The meter knows how much of a
+//! request was written, and so whether the upstream can have received it, and whether an answer has begun,
+//! and so to which request received bytes belong.
 
 use std::io;
 use std::pin::Pin;
@@ -22,112 +23,114 @@
 use crate::transfer::limits::STREAM_IDLE_TIMEOUT;
 use crate::transfer::stall_timeout::StallTimeout;
 
-/// What has crossed a connection. hyper owns the stream, so this is shared with it.
+/// The byte counts and exchange state of a connection. hyper owns the stream, so they are shared with it.
 pub struct Meter {
-    began_at: Instant,
-    written: AtomicU64,
-    read: AtomicU64,
-    /// Whether a request has begun to be written that has no whole answer yet.
-    asked: AtomicBool,
-    /// Whether bytes of its answer have come, and who waits for that.
-    answering: AtomicBool,
-    began: Notify,
-    /// When bytes were last read, in microseconds from the start of the connection.
-    read_at: AtomicU64,
+    opened_at: Instant,
+    bytes_written: AtomicU64,
+    bytes_read: AtomicU64,
+    /// Whether a request has begun to be written whose answer is not complete.
+    request_open: AtomicBool,
+    /// Whether bytes of its answer have been received, and the notification of that.
+    answer_started: AtomicBool,
+    answer_start: Notify,
+    /// When bytes were last read, in microseconds after the connection was opened.
+    last_read_micros: AtomicU64,
     /// Whether the socket is to be reset when it is closed.
-    abortive: AtomicBool,
-    /// The exchange under way.
+    reset_on_close: AtomicBool,
+    /// The current exchange.
     exchange: Mutex<Exchange>,
 }
 
-/// What is known of the exchange under way.
+/// The current exchange of a request and its answer.
 #[derive(Default)]
 struct Exchange {
-    /// How many bytes of its request the kernel has taken, and where that request ends: the same bytes tell.
-    taken: u64,
+    /// Bytes of the request that the kernel has accepted, and their framing, which finds the end of the
+    /// request.
+    request_bytes_written: u64,
     framing: Framing,
-    /// On what terms its first byte is written, and whether they were over by then.
-    terms: Option<WriteConditions>,
-    unwanted: bool,
-    /// Where an attempt is counted and the gaps in its answer are told; a probe is neither.
-    told: Option<(Arc<Metrics>, Arc<StallTimeout>)>,
+    /// The conditions for writing the first byte, and whether the request was obsolete by then.
+    conditions: Option<WriteConditions>,
+    obsolete: bool,
+    /// Where an attempt and the gaps in its answer are recorded; `None` for a probe.
+    recorders: Option<(Arc<Metrics>, Arc<StallTimeout>)>,
 }
 
 impl Default for Meter {
     fn default() -> Meter {
         Meter {
-            began_at: Instant::now(),
-            written: AtomicU64::new(0),
-            read: AtomicU64::new(0),
-            asked: AtomicBool::new(false),
-            answering: AtomicBool::new(false),
-            began: Notify::new(),
-            read_at: AtomicU64::new(0),
-            abortive: AtomicBool::new(false),
+            opened_at: Instant::now(),
+            bytes_written: AtomicU64::new(0),
+            bytes_read: AtomicU64::new(0),
+            request_open: AtomicBool::new(false),
+            answer_started: AtomicBool::new(false),
+            answer_start: Notify::new(),
+            last_read_micros: AtomicU64::new(0),
+            reset_on_close: AtomicBool::new(false),
             exchange: Mutex::default(),
         }
     }
 }
 
 impl Meter {
-    /// Bytes that the kernel has taken so far.
+    /// Bytes that the kernel has accepted so far.
     pub fn bytes_written(&self) -> u64 {
-        self.written.load(Ordering::Relaxed)
+        self.bytes_written.load(Ordering::Relaxed)
     }
 
-    /// Bytes that were read so far.
+    /// Bytes read so far.
     pub fn bytes_read(&self) -> u64 {
-        self.read.load(Ordering::Relaxed)
+        self.bytes_read.load(Ordering::Relaxed)
     }
 
-    /// Comes back once the first byte of an answer has been read.
+    /// Waits until the first byte of an answer has been read.
     pub async fn wait_for_answer_start(&self) {
-        while !self.answering.load(Ordering::Relaxed) {
-            self.began.notified().await;
+        while !self.answer_started.load(Ordering::Relaxed) {
+            self.answer_start.notified().await;
         }
     }
 
-    /// The head of the answer itself has come.
+    /// Records that the final answer has begun.
     pub fn mark_answer_started(&self) {
-        if !self.answering.swap(true, Ordering::Relaxed) {
-            self.began.notify_one();
+        if !self.answer_started.swap(true, Ordering::Relaxed) {
+            self.answer_start.notify_one();
         }
     }
 
-    /// Whether an answer has begun that is not whole.
+    /// Whether an answer has begun that is not complete.
     pub fn is_answer_started(&self) -> bool {
-        self.answering.load(Ordering::Relaxed)
+        self.answer_started.load(Ordering::Relaxed)
     }
 
-    /// What came was no more than a notice that the answer is still to come.
+    /// Records that the bytes received were an interim (1xx) answer: the final answer has not begun.
     pub fn mark_interim_answer(&self) {
-        self.answering.store(false, Ordering::Relaxed);
+        self.answer_started.store(false, Ordering::Relaxed);
     }
 
-    /// The answer is whole: what comes before the next request is written belongs to none.
+    /// Records that the answer is complete: bytes that arrive before the next request is written belong to no
+    /// request.
     pub fn mark_answer_complete(&self) {
-        self.asked.store(false, Ordering::Relaxed);
-        self.answering.store(false, Ordering::Relaxed);
+        self.request_open.store(false, Ordering::Relaxed);
+        self.answer_started.store(false, Ordering::Relaxed);
     }
 
-    /// An exchange begins. What an earlier one left is forgotten.
+    /// Begins an exchange and discards the state of the previous one.
     pub fn begin_exchange(
         &self,
-        told: Option<(Arc<Metrics>, Arc<StallTimeout>)>,
-        terms: Option<WriteConditions>,
+        recorders: Option<(Arc<Metrics>, Arc<StallTimeout>)>,
+        conditions: Option<WriteConditions>,
     ) {
-        *lock(&self.exchange) = Exchange { told, terms, ..Exchange::default() };
+        *lock(&self.exchange) = Exchange { recorders, conditions, ..Exchange::default() };
     }
 
-    /// Whether its request was not written since nobody wanted it any more.
+    /// Whether the request was not written because it had expired or its client had disconnected.
     pub fn is_request_obsolete(&self) -> bool {
-        lock(&self.exchange).unwanted
+        lock(&self.exchange).obsolete
     }
 
-    /// How much of its request was written.
+    /// How much of the request was written.
     pub fn request_written(&self) -> Written {
         let exchange = lock(&self.exchange);
-        match exchange.taken {
+        match exchange.request_bytes_written {
             _ if exchange.framing.complete_requests() > 0 || exchange.framing.is_untracked() => {
                 Written::Whole
             }
@@ -136,28 +139,28 @@
         }
     }
 
-    /// How many bytes of its request were written.
+    /// The number of bytes of the request that were written.
     pub fn request_bytes_written(&self) -> u64 {
-        lock(&self.exchange).taken
+        lock(&self.exchange).request_bytes_written
     }
 
-    /// Has the socket reset when it is closed: what the kernel holds back is thrown away with it, and never arrives after
-    /// the next attempt has begun.
+    /// Has the socket reset when it is closed. The kernel then discards unsent bytes, so that they cannot
+    /// reach the upstream after the next attempt has begun.
     pub fn reset_on_close(&self) {
-        self.abortive.store(true, Ordering::Relaxed);
+        self.reset_on_close.store(true, Ordering::Relaxed);
     }
 
     /// When bytes were last read.
     pub fn last_read_at(&self) -> Instant {
-        self.began_at + Duration::from_micros(self.read_at.load(Ordering::Relaxed))
+        self.opened_at + Duration::from_micros(self.last_read_micros.load(Ordering::Relaxed))
     }
 
-    /// The kernel has taken so many bytes of these.
+    /// Records that the kernel has accepted the first `bytes` bytes of `parts`.
     fn count_written(&self, parts: &[io::IoSlice<'_>], mut bytes: usize) {
-        self.written.fetch_add(bytes as u64, Ordering::Relaxed);
+        self.bytes_written.fetch_add(bytes as u64, Ordering::Relaxed);
         let mut exchange = lock(&self.exchange);
-        let before = exchange.framing.complete_requests();
-        exchange.taken += bytes as u64;
+        let complete_before = exchange.framing.complete_requests();
+        exchange.request_bytes_written += bytes as u64;
         for part in parts {
             let mut rest = part.get(..bytes.min(part.len())).unwrap_or_default();
             bytes -= rest.len();
@@ -166,80 +169,87 @@
                 rest = rest.get(fed..).unwrap_or_default();
             }
         }
-        if before == 0
+        if complete_before == 0
             && exchange.framing.complete_requests() > 0
-            && let Some((metrics, _)) = &exchange.told
+            && let Some((metrics, _)) = &exchange.recorders
         {
             metrics.sends.fetch_add(1, Ordering::Release);
         }
     }
 
+    /// Records bytes read; an error if no request is open.
     fn count_read(&self, bytes: usize) -> io::Result<()> {
         if bytes == 0 {
             return Ok(());
         }
-        if !self.asked.load(Ordering::Relaxed) {
-            return Err(io::Error::new(io::ErrorKind::InvalidData, "bytes that no request asked for"));
+        if !self.request_open.load(Ordering::Relaxed) {
+            return Err(io::Error::new(
+                io::ErrorKind::InvalidData,
+                "the upstream sent bytes without a request",
+            ));
         }
-        self.read.fetch_add(bytes as u64, Ordering::Relaxed);
-        let now = u64::try_from(self.began_at.elapsed().as_micros()).unwrap_or(u64::MAX);
-        let before = self.read_at.swap(now, Ordering::Relaxed);
+        self.bytes_read.fetch_add(bytes as u64, Ordering::Relaxed);
+        let now = u64::try_from(self.opened_at.elapsed().as_micros()).unwrap_or(u64::MAX);
+        let last_read = self.last_read_micros.swap(now, Ordering::Relaxed);
         if self.is_answer_started()
-            && let Some((_, patience)) = &lock(&self.exchange).told
+            && let Some((_, stall_timeout)) = &lock(&self.exchange).recorders
         {
-            patience.record_gap(Duration::from_micros(now.saturating_sub(before)));
+            stall_timeout.record_gap(Duration::from_micros(now.saturating_sub(last_read)));
         }
         self.mark_answer_started();
         Ok(())
     }
 }
 
-/// Nothing that is held under it can panic.
+/// Locks a mutex. No code that holds the lock can panic.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// A TCP stream with a meter.
+/// A TCP stream to an upstream with a meter.
 pub struct MeteredStream {
     stream: TcpStream,
     meter: Arc<Meter>,
-    /// Since when the upstream has taken nothing of what waits for it.
-    stuck: Option<Pin<Box<Sleep>>>,
+    /// Runs while a write is blocked because the upstream takes no bytes.
+    write_timeout: Option<Pin<Box<Sleep>>>,
 }
 
 impl MeteredStream {
-    /// Wraps a stream; the counts start at 0.
+    /// Wraps a stream; its counts start at 0.
     pub fn new(stream: TcpStream) -> (MeteredStream, Arc<Meter>) {
         let meter = Arc::new(Meter::default());
-        (MeteredStream { stream, meter: meter.clone(), stuck: None }, meter)
+        (MeteredStream { stream, meter: meter.clone(), write_timeout: None }, meter)
     }
 
-    /// Before the first byte of a request goes out: bytes that wait in the socket now would be read as its answer, one that the
-    /// upstream has closed would swallow it, and its client may have left. The sockets themselves are asked, since the runtime
-    /// hears of what came only when it next turns to the kernel.
-    fn begin(&self) -> io::Result<()> {
-        if self.meter.asked.load(Ordering::Relaxed) {
+    /// Checks the connection before the first byte of a request is written. Bytes that wait in the socket
+    /// would be read as its answer, a connection closed by the upstream would lose it, and its client may
+    /// have disconnected. The check asks the sockets themselves, since the runtime learns of new events only
+    /// when it next polls the kernel.
+    fn check_before_request(&self) -> io::Result<()> {
+        if self.meter.request_open.load(Ordering::Relaxed) {
             return Ok(());
         }
         io_counts::read(&Poll::Ready(Ok(())), 0);
         let mut exchange = lock(&self.meter.exchange);
-        match client_disconnect::check_before_write(&self.stream, exchange.terms.as_ref())? {
+        match client_disconnect::check_before_write(&self.stream, exchange.conditions.as_ref())? {
             ConnectionCheck::Proceed => {
-                self.meter.asked.store(true, Ordering::Relaxed);
+                self.meter.request_open.store(true, Ordering::Relaxed);
                 Ok(())
             }
             ConnectionCheck::RequestObsolete => {
-                exchange.unwanted = true;
-                Err(io::Error::other("nobody wants it any more"))
-            }
-            ConnectionCheck::UpstreamUnusable => {
-                Err(io::Error::new(io::ErrorKind::NotConnected, "the idle connection is of no more use"))
+                exchange.obsolete = true;
+                Err(io::Error::other("the request has expired or its client has disconnected"))
             }
+            ConnectionCheck::UpstreamUnusable => Err(io::Error::new(
+                io::ErrorKind::NotConnected,
+                "the upstream has closed the idle connection or sent bytes on it",
+            )),
         }
     }
 
-    /// Ends with an error when the upstream has taken nothing for too long.
-    fn count(
+    /// Records the result of a write, and turns it into an error if the upstream has taken no bytes for too
+    /// long.
+    fn check_write(
         &mut self,
         cx: &mut Context<'_>,
         parts: &[io::IoSlice<'_>],
@@ -250,11 +260,11 @@
             self.meter.count_written(parts, bytes);
         }
         if result.is_ready() {
-            self.stuck = None;
+            self.write_timeout = None;
             return result;
         }
-        let stuck = self.stuck.get_or_insert_with(|| Box::pin(sleep(STREAM_IDLE_TIMEOUT)));
-        match stuck.as_mut().poll(cx) {
+        let timeout = self.write_timeout.get_or_insert_with(|| Box::pin(sleep(STREAM_IDLE_TIMEOUT)));
+        match timeout.as_mut().poll(cx) {
             Poll::Ready(()) => Poll::Ready(Err(io::ErrorKind::TimedOut.into())),
             Poll::Pending => Poll::Pending,
         }
@@ -263,8 +273,8 @@
 
 impl Drop for MeteredStream {
     fn drop(&mut self) {
-        if self.meter.abortive.load(Ordering::Relaxed) {
-            // Where that cannot be had it is closed as usual.
+        if self.meter.reset_on_close.load(Ordering::Relaxed) {
+            // If the option cannot be set, the connection is closed normally.
             let _ = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
         }
     }
@@ -286,9 +296,9 @@
 
 impl AsyncWrite for MeteredStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        self.begin()?;
+        self.check_before_request()?;
         let result = Pin::new(&mut self.stream).poll_write(cx, buf);
-        self.count(cx, &[io::IoSlice::new(buf)], result)
+        self.check_write(cx, &[io::IoSlice::new(buf)], result)
     }
 
     fn poll_write_vectored(
@@ -296,9 +306,9 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.begin()?;
+        self.check_before_request()?;
         let result = Pin::new(&mut self.stream).poll_write_vectored(cx, bufs);
-        self.count(cx, bufs, result)
+        self.check_write(cx, bufs, result)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -322,33 +332,33 @@
 
     use super::*;
 
-    async fn pair() -> (MeteredStream, Arc<Meter>, std::net::TcpStream) {
+    async fn metered_pair() -> (MeteredStream, Arc<Meter>, std::net::TcpStream) {
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let stream = TcpStream::connect(listener.local_addr().unwrap()).await.unwrap();
-        let (counted, meter) = MeteredStream::new(stream);
-        (counted, meter, listener.accept().unwrap().0)
+        let (metered, meter) = MeteredStream::new(stream);
+        (metered, meter, listener.accept().unwrap().0)
     }
 
     #[tokio::test]
-    async fn nothing_is_written_behind_bytes_that_no_one_asked_for() {
-        let (mut counted, meter, mut upstream) = pair().await;
-        counted.write_all(b"first").await.unwrap();
+    async fn request_is_not_written_after_unrequested_bytes_have_arrived() {
+        let (mut metered, meter, mut upstream) = metered_pair().await;
+        metered.write_all(b"first").await.unwrap();
         upstream.write_all(b"answer").unwrap();
-        counted.read_exact(&mut [0; 6]).await.unwrap();
+        metered.read_exact(&mut [0; 6]).await.unwrap();
         meter.mark_answer_complete();
-        // The runtime has not turned to the kernel since: only the socket itself can tell.
+        // The runtime has not polled the kernel since: only the socket itself shows these bytes.
         upstream.write_all(b"more").unwrap();
         let written = meter.bytes_written();
-        assert!(counted.write_all(b"second").await.is_err());
+        assert!(metered.write_all(b"second").await.is_err());
         assert_eq!(meter.bytes_written(), written);
-        assert!(counted.read(&mut [0; 4]).await.is_err(), "nor is it read as an answer");
+        assert!(metered.read(&mut [0; 4]).await.is_err(), "the bytes must not be read as an answer");
     }
 
     #[tokio::test]
-    async fn nothing_is_written_to_a_connection_that_the_other_side_has_closed() {
-        let (mut counted, meter, upstream) = pair().await;
+    async fn request_is_not_written_to_a_connection_closed_by_the_upstream() {
+        let (mut metered, meter, upstream) = metered_pair().await;
         drop(upstream);
-        assert!(counted.write_all(b"first").await.is_err());
+        assert!(metered.write_all(b"first").await.is_err());
         assert_eq!(meter.bytes_written(), 0);
     }
 }
--- a/crates/sidecar/src/request_bound.rs
+++ b/crates/sidecar/src/request_bound.rs
@@ -1,17 +1,19 @@
-//! Which bound ends an accepted request, and with which answer, in each state that it can be in. The front, the driver, the
-//! attempts and the streams all ask here. Pure: times are arguments.
+//! The time bound of an accepted request in each of its states, and the answer its client gets when it is
+//! reached. The front, the driver, the attempts and the streams all use these bounds. Pure: times are
+//! arguments.
 //!
-//! | state | bound | what its client gets |
+//! | state | bound | answer to the client |
 //! | --- | --- | --- |
-//! | reading | the least rate of a body | 408 |
-//! | queued, no attempt is out | its deadline, less [`FINAL_ANSWER_MARGIN`] | 502 |
+//! | reading | the minimum rate of a body | 408 |
+//! | queued, no attempt in flight | the deadline less [`FINAL_ANSWER_MARGIN`] | 502 |
 //! | connecting | the connect timeout, or the attempt timeout if that is sooner | another attempt, or 502 |
-//! | sent, answer begun, answer held | the attempt timeout, at most the deadline less [`ATTEMPT_MARGIN`] | another attempt, or 502 |
-//! | answer streaming, perhaps short | [`STREAM_GRACE`] after its deadline, while it makes no progress | an answer that is visibly not whole |
-//! | answer streaming, long | [`STREAM_IDLE_TIMEOUT`] without a byte | an answer that is visibly not whole |
-//! | closing, the process ends | the end of the process, less [`FINAL_ANSWER_MARGIN`] | 502 |
+//! | sent, answer begun or held back | the attempt timeout, at most the deadline less [`ATTEMPT_MARGIN`] | another attempt, or 502 |
+//! | streaming, the answer may be short | [`STREAM_GRACE`] after the deadline, if it makes no progress | a visibly truncated answer |
+//! | streaming, the answer is long | [`STREAM_IDLE_TIMEOUT`] without a byte | a visibly truncated answer |
+//! | closing, the process ends | the end of the process less [`FINAL_ANSWER_MARGIN`] | 502 |
 //!
-//! Two bounds can apply at once: while an attempt is out, that of the queued request stands behind it.
+//! Two bounds can apply at once: while an attempt is in flight, the bound of the queued request applies as
+//! well.
 
 use std::time::Duration;
 
@@ -19,135 +21,136 @@
 
 use crate::transfer::limits::{MAX_BUFFERED_BODY_BYTES, STREAM_IDLE_TIMEOUT, body_due_by};
 
-/// Attempts end this much before the deadline: the final answer must reach the client in time. An answer takes a fraction of
-/// a millisecond to it; the rest is for a turn of the driver in which much else is to be done.
+/// Attempts end this much before the deadline, so that the final answer reaches the client in time. An answer
+/// takes a fraction of a millisecond to the client; the rest covers a busy turn of the driver.
 pub const ATTEMPT_MARGIN: Duration = Duration::from_millis(3);
-/// What the decision module has not ended by this much before the deadline, the driver does.
+/// The driver fails a request this much before the deadline if the decision module has not ended it by then.
 pub const FINAL_ANSWER_MARGIN: Duration = Duration::from_micros(1_500);
-/// An answer that is later than this is lost; one that is late by less earns nothing.
+/// An answer that is later than this after its deadline counts as lost; one that is late by less has no
+/// worth.
 pub const LATE_ANSWER_LIMIT: Duration = Duration::from_millis(500);
-/// An answer under way may go on for this long after its deadline without progress. Half of [`LATE_ANSWER_LIMIT`]: the other
-/// half is for a process that gets little of its processor.
+/// A streamed answer may go on for this long after its deadline without progress. This is half of
+/// [`LATE_ANSWER_LIMIT`]; the other half is for a process that gets little processor time.
 pub const STREAM_GRACE: Duration = Duration::from_millis(250);
-/// After its deadline, an answer of unknown length has to have made progress at this rate. Bytes a second.
+/// After its deadline, a streamed answer of unknown length must have progressed at this rate on average.
 pub const MIN_STREAM_BYTES_PER_SECOND: u64 = 4 << 10;
 
-/// By when the final answer to one request is due.
+/// When the final answer to a request is due.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Deadline {
-    taken_at: Instant,
+    received_at: Instant,
     at: Instant,
 }
 
 impl Deadline {
-    /// Of a request whose last byte came at `taken_at` and whose client waits for `timeout` from then on, in a process that
-    /// ends by `process_ends` if it ends at all.
-    pub fn new(taken_at: Instant, timeout: Duration, process_ends: Option<Instant>) -> Deadline {
-        let deadline = Deadline { taken_at, at: taken_at + timeout };
+    /// The deadline of a request whose last byte was received at `received_at` and whose client waits for
+    /// `timeout` from then on. If the process is to end by `process_ends`, the deadline is no later.
+    pub fn new(received_at: Instant, timeout: Duration, process_ends: Option<Instant>) -> Deadline {
+        let deadline = Deadline { received_at, at: received_at + timeout };
         process_ends.map_or(deadline, |ends| deadline.capped_at(ends))
     }
 
-    /// The same where the process ends by then.
+    /// The same deadline, but no later than the end of the process.
     pub fn capped_at(&self, process_ends: Instant) -> Deadline {
-        Deadline { at: self.at.min(process_ends).max(self.taken_at), ..*self }
+        Deadline { at: self.at.min(process_ends).max(self.received_at), ..*self }
     }
 
-    /// The moment itself.
+    /// The time of the deadline.
     pub fn at(&self) -> Instant {
         self.at
     }
 
-    /// By when every attempt has to have ended.
+    /// When every attempt must have ended.
     pub fn attempts_due_by(&self) -> Instant {
-        self.less(ATTEMPT_MARGIN)
+        self.minus(ATTEMPT_MARGIN)
     }
 
-    fn less(&self, margin: Duration) -> Instant {
-        self.at.checked_sub(margin).map_or(self.taken_at, |at| at.max(self.taken_at))
+    fn minus(&self, margin: Duration) -> Instant {
+        self.at.checked_sub(margin).map_or(self.received_at, |at| at.max(self.received_at))
     }
 }
 
-/// The times of one attempt.
+/// The time limits of one attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptTimes {
-    /// By when it has to have its connection.
+    /// When the attempt must have a connection.
     pub connect_by: Instant,
-    /// When it times out.
+    /// When the attempt times out.
     pub times_out_at: Instant,
 }
 
-/// How far an answer has come that is passed on while it arrives.
+/// The progress of an answer that is streamed to its client.
 #[derive(Debug, Clone, Copy)]
 pub struct StreamProgress {
-    /// When its client stops waiting for a short answer.
+    /// When the client stops waiting if the answer is short.
     pub deadline: Instant,
-    /// Since when nothing has come.
+    /// When the stream began to wait for more bytes from the upstream.
     pub waiting_since: Instant,
-    /// How long answers pause at most, as far as is known.
+    /// The estimated longest pause of answers.
     pub longest_pause: Duration,
-    /// Bytes that were passed on.
+    /// Bytes forwarded to the client.
     pub forwarded_bytes: u64,
-    /// Its length, if the upstream has stated one.
+    /// The length stated by the upstream, if any.
     pub length: Option<u64>,
 }
 
 impl StreamProgress {
-    /// Whether it may turn out so short that its client expects all of it by the deadline.
+    /// Whether the answer may be so short that its client expects all of it by the deadline.
     fn may_be_short(&self) -> bool {
         self.length.unwrap_or(self.forwarded_bytes) <= MAX_BUFFERED_BODY_BYTES as u64
     }
 }
 
-/// What an accepted request waits for.
+/// The state of an accepted request, by what it waits for.
 #[derive(Debug, Clone, Copy)]
 pub enum RequestState {
-    /// The rest of its body: its head came then, and so many bytes since.
+    /// Waits for the rest of its body.
     Reading {
-        /// When its head was whole.
+        /// When its head was complete.
         head_at: Instant,
-        /// Bytes of its body so far.
+        /// Bytes of its body received so far.
         bytes: u64,
     },
-    /// A decision, a probe or the end of an attempt.
+    /// Waits for a decision, a probe or the end of an attempt.
     Queued(Deadline),
-    /// A connection to an upstream.
+    /// Waits for a connection to an upstream.
     Connecting(AttemptTimes),
-    /// The answer of an upstream, or the rest of one of which nothing was passed on.
+    /// Waits for an upstream's answer, or for the rest of one of which nothing has been forwarded.
     Sent(AttemptTimes),
-    /// The rest of an answer that is passed on as it comes.
+    /// Waits for the rest of an answer that is being streamed.
     Streaming(StreamProgress),
 }
 
-/// What a client gets when the bound is reached.
+/// The client's answer when the bound is reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndsWith {
-    /// 408, and a close: the request was never whole.
+    /// 408 and a closed connection: the request was never complete.
     RequestTimeout,
-    /// The answer of another attempt where its class allows one and there is time, else 502.
+    /// The answer of another attempt if the class allows one and there is time, otherwise 502.
     AnotherAttempt,
     /// 502.
     BadGateway,
-    /// An answer that is visibly not whole.
+    /// A visibly truncated answer.
     TruncatedAnswer,
 }
 
-/// When a state ends at the latest, and with what.
+/// The time bound of a state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Bound {
-    /// When.
+    /// When the state ends at the latest.
     pub at: Instant,
-    /// With what.
+    /// The client's answer if it ends then.
     pub ends_with: EndsWith,
 }
 
-/// The bound of a state.
+/// The bound of a state, as in the table of the module comment.
 pub fn bound(state: RequestState) -> Bound {
     match state {
         RequestState::Reading { head_at, bytes } => {
             Bound { at: body_due_by(head_at, bytes), ends_with: EndsWith::RequestTimeout }
         }
         RequestState::Queued(deadline) => {
-            Bound { at: deadline.less(FINAL_ANSWER_MARGIN), ends_with: EndsWith::BadGateway }
+            Bound { at: deadline.minus(FINAL_ANSWER_MARGIN), ends_with: EndsWith::BadGateway }
         }
         RequestState::Connecting(times) => {
             Bound { at: times.connect_by.min(times.times_out_at), ends_with: EndsWith::AnotherAttempt }
@@ -159,20 +162,20 @@
     }
 }
 
-/// A long answer ends when nothing comes for too long. One that may be short is of no use to anyone long after its deadline,
-/// unless it is still making progress and so may turn out long.
+/// A long answer ends after an idle timeout. An answer that may be short is of no use long after its
+/// deadline, unless it still makes progress and so may turn out to be long.
 fn stream_ends_at(progress: &StreamProgress) -> Instant {
-    let idle = progress.waiting_since + STREAM_IDLE_TIMEOUT;
+    let idle_timeout_at = progress.waiting_since + STREAM_IDLE_TIMEOUT;
     if !progress.may_be_short() {
-        return idle;
+        return idle_timeout_at;
     }
-    let paused = progress.waiting_since + progress.longest_pause;
-    let earned = Duration::from_micros(
+    let pause_ends_at = progress.waiting_since + progress.longest_pause;
+    let earned_time = Duration::from_micros(
         progress.forwarded_bytes.saturating_mul(1_000_000) / MIN_STREAM_BYTES_PER_SECOND,
     );
-    let allowed = progress.deadline + STREAM_GRACE;
-    // What pauses longer than answers do has stopped; what crawls has to keep its rate.
-    idle.min(allowed.max(paused.min(allowed + earned)))
+    let grace_ends_at = progress.deadline + STREAM_GRACE;
+    // An answer that pauses for longer than answers do has stopped; a slow one must keep the minimum rate.
+    idle_timeout_at.min(grace_ends_at.max(pause_ends_at.min(grace_ends_at + earned_time)))
 }
 
 #[cfg(test)]
--- a/crates/sidecar/src/request_bound/tests.rs
+++ b/crates/sidecar/src/request_bound/tests.rs
@@ -1,4 +1,4 @@
-//! The table of the module comment, line by line, and that every accepted request ends in time.
+//! Each line of the table in the module comment, and that every accepted request ends in time.
 
 use super::*;
 
@@ -7,65 +7,70 @@
 }
 
 const TIMEOUT: Duration = Duration::from_millis(600);
-const STATED: Option<u64> = Some(200_000);
+const STATED_LENGTH: Option<u64> = Some(200_000);
 
-/// The bound of a state, in time after the request was taken.
-fn after(start: Instant, state: RequestState) -> (Duration, EndsWith) {
+/// The bound of a state, as the time since the request was received.
+fn bound_after(start: Instant, state: RequestState) -> (Duration, EndsWith) {
     let Bound { at, ends_with } = bound(state);
     (at.saturating_duration_since(start), ends_with)
 }
 
-fn progress(start: Instant, waiting_since: u64, passed_bytes: u64, length: Option<u64>) -> RequestState {
+fn streaming(
+    start: Instant,
+    waiting_since_ms: u64,
+    forwarded_bytes: u64,
+    length: Option<u64>,
+) -> RequestState {
     RequestState::Streaming(StreamProgress {
         deadline: start + TIMEOUT,
-        waiting_since: start + ms(waiting_since),
+        waiting_since: start + ms(waiting_since_ms),
         longest_pause: ms(150),
-        forwarded_bytes: passed_bytes,
+        forwarded_bytes,
         length,
     })
 }
 
 #[test]
-fn every_state_has_its_bound_and_its_answer() {
+fn every_state_has_the_bound_and_answer_of_the_table() {
     let start = Instant::now();
     let deadline = Deadline::new(start, TIMEOUT, None);
-    let ending = Deadline::new(start, TIMEOUT, Some(start + ms(200)));
-    let attempt = |connect: u64, until: u64| AttemptTimes {
-        connect_by: start + ms(connect),
-        times_out_at: start + ms(until),
+    let deadline_capped = Deadline::new(start, TIMEOUT, Some(start + ms(200)));
+    let attempt = |connect_by_ms: u64, times_out_at_ms: u64| AttemptTimes {
+        connect_by: start + ms(connect_by_ms),
+        times_out_at: start + ms(times_out_at_ms),
     };
-    let almost = |millis: u64| ms(millis) - FINAL_ANSWER_MARGIN;
+    let less_margin = |millis: u64| ms(millis) - FINAL_ANSWER_MARGIN;
     let table = [
         (RequestState::Reading { head_at: start, bytes: 0 }, ms(2_300), EndsWith::RequestTimeout),
         (RequestState::Reading { head_at: start, bytes: 32 << 10 }, ms(3_300), EndsWith::RequestTimeout),
-        (RequestState::Queued(deadline), almost(600), EndsWith::BadGateway),
-        (RequestState::Queued(ending), almost(200), EndsWith::BadGateway),
+        (RequestState::Queued(deadline), less_margin(600), EndsWith::BadGateway),
+        (RequestState::Queued(deadline_capped), less_margin(200), EndsWith::BadGateway),
         (RequestState::Connecting(attempt(100, 400)), ms(100), EndsWith::AnotherAttempt),
         (RequestState::Connecting(attempt(500, 400)), ms(400), EndsWith::AnotherAttempt),
         (RequestState::Sent(attempt(100, 400)), ms(400), EndsWith::AnotherAttempt),
         // A short answer that stops before or after its deadline ends soon after it.
-        (progress(start, 100, 1_000, None), ms(850), EndsWith::TruncatedAnswer),
-        (progress(start, 590, 1_000, None), ms(850), EndsWith::TruncatedAnswer),
-        // One that goes on has the time that its bytes have earned, and is given up when it pauses for too long.
-        (progress(start, 840, 32 << 10, None), ms(990), EndsWith::TruncatedAnswer),
-        (progress(start, 9_000, 32 << 10, None), ms(8_850), EndsWith::TruncatedAnswer),
-        (progress(start, 9_000, 100, None), ms(874), EndsWith::TruncatedAnswer),
-        // A long one is timed by its first bytes alone.
-        (progress(start, 100, 70_000, None), ms(10_100), EndsWith::TruncatedAnswer),
-        (progress(start, 100, 0, STATED), ms(10_100), EndsWith::TruncatedAnswer),
+        (streaming(start, 100, 1_000, None), ms(850), EndsWith::TruncatedAnswer),
+        (streaming(start, 590, 1_000, None), ms(850), EndsWith::TruncatedAnswer),
+        // An answer that goes on has the time its bytes have earned, and ends when it pauses for too long.
+        (streaming(start, 840, 32 << 10, None), ms(990), EndsWith::TruncatedAnswer),
+        (streaming(start, 9_000, 32 << 10, None), ms(8_850), EndsWith::TruncatedAnswer),
+        (streaming(start, 9_000, 100, None), ms(874), EndsWith::TruncatedAnswer),
+        // A long answer only has the idle timeout: its client is timed by its first bytes alone.
+        (streaming(start, 100, 70_000, None), ms(10_100), EndsWith::TruncatedAnswer),
+        (streaming(start, 100, 0, STATED_LENGTH), ms(10_100), EndsWith::TruncatedAnswer),
     ];
-    for (state, at, ends_with) in table {
-        let (found, answer) = after(start, state);
-        assert_eq!((found.as_millis(), answer), (at.as_millis(), ends_with), "{state:?}");
+    for (state, expected_at, expected_end) in table {
+        let (at, ends_with) = bound_after(start, state);
+        assert_eq!((at.as_millis(), ends_with), (expected_at.as_millis(), expected_end), "{state:?}");
     }
 }
 
 #[test]
-fn no_deadline_lies_before_the_request_was_taken() {
+fn no_deadline_is_before_the_request_was_received() {
     let start = Instant::now();
     for timeout in [Duration::ZERO, ms(1), ms(2), TIMEOUT] {
-        for ends in [None, Some(start), Some(start + ms(1))] {
-            let deadline = Deadline::new(start, timeout, ends);
+        for process_ends in [None, Some(start), Some(start + ms(1))] {
+            let deadline = Deadline::new(start, timeout, process_ends);
             assert!(deadline.attempts_due_by() >= start && deadline.attempts_due_by() <= deadline.at());
             assert!(bound(RequestState::Queued(deadline)).at >= deadline.attempts_due_by());
             assert!(deadline.at() <= start + timeout);
@@ -73,22 +78,23 @@
     }
 }
 
-/// What is taken ends within the limit of the users whatever it waits for, unless a long answer is under way, which is timed
-/// by its first bytes: and with time to spare for a process that gets a twentieth of a core, whose turns are short.
+/// Every accepted request ends within the limit for late answers, whatever it waits for, except a long answer
+/// that is being streamed, since that is timed by its first bytes. The margin is enough for a process that
+/// gets a twentieth of a core.
 #[test]
-fn whatever_is_not_known_to_be_long_ends_within_the_limit_of_late_answers() {
+fn request_without_a_known_long_answer_ends_within_the_late_answer_limit() {
     const TURN: Duration = Duration::from_millis(5);
-    const STARVED: u32 = 20;
+    const SLOWDOWN: u32 = 20;
     let start = Instant::now();
     let limit = start + TIMEOUT + LATE_ANSWER_LIMIT;
     let deadline = Deadline::new(start, TIMEOUT, None);
-    assert!(bound(RequestState::Queued(deadline)).at + TURN * STARVED < limit);
+    assert!(bound(RequestState::Queued(deadline)).at + TURN * SLOWDOWN < limit);
     let mut rng = oorandom::Rand64::new(9);
     for _ in 0..20_000 {
-        let waiting_since = rng.rand_range(0..600);
-        let passed = rng.rand_range(0..(MAX_BUFFERED_BODY_BYTES as u64 + 1));
-        let (at, _) = after(start, progress(start, waiting_since, passed, None));
-        // Nothing has come since before the deadline.
-        assert!(start + at + TURN * STARVED < limit, "{waiting_since} {passed}: {at:?}");
+        let waiting_since_ms = rng.rand_range(0..600);
+        let forwarded = rng.rand_range(0..(MAX_BUFFERED_BODY_BYTES as u64 + 1));
+        let (at, _) = bound_after(start, streaming(start, waiting_since_ms, forwarded, None));
+        // No byte has come since before the deadline.
+        assert!(start + at + TURN * SLOWDOWN < limit, "{waiting_since_ms} {forwarded}: {at:?}");
     }
 }
