--- a/crates/sidecar/src/transfer/answer.rs
+++ b/crates/sidecar/src/transfer/answer.rs
@@ -1,5 +1,5 @@
-//! An answer's body on its way to a client: held whole, or pulled piece by piece out of the upstream's connection by the
-//! client's.
+//! The body of an answer on its way to a client: either buffered, or streamed piece by piece from the
+//! upstream's connection as the client's connection polls for it.
 
 use std::fmt;
 use std::pin::Pin;
@@ -23,14 +23,14 @@
 /// An answer's body.
 #[derive(Debug)]
 pub enum AnswerBody {
-    /// All of it.
+    /// The whole body.
     Buffered(Bytes),
-    /// As it comes.
+    /// A body that is forwarded as it arrives.
     Stream(Box<AnswerStream>),
 }
 
 impl AnswerBody {
-    /// How long it is, where that is known.
+    /// The length, if it is known.
     pub fn length(&self) -> Option<u64> {
         match self {
             AnswerBody::Buffered(bytes) => u64::try_from(bytes.len()).ok(),
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Its bytes, if it is held whole.
+    /// The bytes of a buffered body.
     pub fn buffered(&self) -> Option<&Bytes> {
         match self {
             AnswerBody::Buffered(bytes) => Some(bytes),
@@ -46,176 +46,169 @@
         }
     }
 
-    /// Keeps a client's connection from counting as free until it is through. A client of HTTP/1.0 can tell the end of an
-    /// answer of unknown length only by the end of its connection.
-    pub fn attach_connection(&mut self, slot: &Arc<ConnectionActivity>, version: Version) {
+    /// Attaches the client's connection to a streamed body, so that it counts as busy until the end of the
+    /// stream. An HTTP/1.0 client recognizes the end of an answer of unknown length only by the end of its
+    /// connection.
+    pub fn attach_connection(&mut self, client_connection: &Arc<ConnectionActivity>, version: Version) {
         if let AnswerBody::Stream(stream) = self {
-            stream.slot = Some(slot.clone());
+            stream.client_connection = Some(client_connection.clone());
             stream.delimited_by_close = version == Version::HTTP_10 && stream.length.is_none();
         }
     }
 
-    /// Whether it is a stream.
+    /// Whether the body is streamed.
     pub fn is_stream(&self) -> bool {
         matches!(self, AnswerBody::Stream(_))
     }
 }
 
-/// Why a body ended before its end. What it says goes nowhere: hyper ends the client's connection.
+/// Why an answer is truncated. The text is not shown anywhere: hyper closes the client's connection.
 #[derive(Debug, thiserror::Error)]
 pub enum StreamError {
-    /// The upstream's connection broke, or its framing did.
-    #[error("the upstream broke off: {0}")]
+    /// The upstream's connection failed, or its framing was malformed.
+    #[error("reading the answer from the upstream failed: {0}")]
     Upstream(#[from] hyper::Error),
-    /// Nothing came for too long.
-    #[error("the upstream stopped")]
+    /// No bytes arrived within the time bound of the stream.
+    #[error("the upstream's answer stalled")]
     Stalled,
-    /// It went on beyond what any answer holds.
+    /// The answer exceeds [`MAX_BODY_BYTES`].
     #[error("the answer is too long")]
     TooLong,
 }
 
-/// Told how a stream has ended, with its connection if that can be used again.
+/// Called with the outcome of a stream, and with its upstream connection if that can be reused.
 pub type EndCallback = Box<dyn FnOnce(RequestOutcome, Option<Connection>) + Send>;
 
-/// An answer that goes on as it comes. Its end is told when it is dropped, whole or not.
+/// An answer that is forwarded as it arrives. Its end callback is called when it is dropped, complete or not.
 pub struct AnswerStream {
-    first: Option<Bytes>,
+    first_bytes: Option<Bytes>,
     rest: Incoming,
-    /// As the upstream stated it.
+    /// The length stated by the upstream.
     length: Option<u64>,
-    passed: u64,
-    connection: Option<Connection>,
-    end: Option<EndCallback>,
-    /// When its client stops waiting for a short answer.
+    forwarded_bytes: u64,
+    upstream_connection: Option<Connection>,
+    on_end: Option<EndCallback>,
+    /// When the client stops waiting if the answer is short.
     deadline: Instant,
-    learnt: StreamEstimates,
-    /// Since when it has waited for the upstream, while it does.
+    estimates: StreamEstimates,
+    /// Set while the stream waits for bytes from the upstream.
     waiting_since: Option<Instant>,
-    timer: Pin<Box<Sleep>>,
-    ended: bool,
-    torn: bool,
-    /// Why it is to be torn, once what went before has been written.
-    tearing: Option<StreamError>,
-    slot: Option<Arc<ConnectionActivity>>,
+    timeout: Pin<Box<Sleep>>,
+    reached_end: bool,
+    truncated: bool,
+    /// Set once the answer must be truncated, until the bytes before that have been written.
+    pending_error: Option<StreamError>,
+    client_connection: Option<Arc<ConnectionActivity>>,
     delimited_by_close: bool,
-    _room: TransferPermit,
+    _permit: TransferPermit,
 }
 
-/// What the answers of an instance have taught, and what is learnt from this one.
+/// Estimates from the answers of an instance, which this answer updates.
 #[derive(Clone)]
 pub struct StreamEstimates {
-    /// How long answers pause.
+    /// How long answers may pause.
     pub stall_timeout: Arc<StallTimeout>,
-    /// How long those turn out that state no length.
+    /// Whether answers without a stated length are long.
     pub lengths: Arc<AnswerLengths>,
 }
 
-/// What a stream is made of.
+/// The parts from which an [`AnswerStream`] is made.
 pub struct StreamParts {
-    /// Bytes that have been read already.
+    /// Bytes of the body that have been read already.
     pub first: Bytes,
-    /// Where the others come from.
+    /// The rest of the body.
     pub rest: Incoming,
-    /// How many there are in all, if the upstream has stated it.
+    /// The length of the whole body, if the upstream has stated it.
     pub length: Option<u64>,
-    /// The connection that they come on.
+    /// The upstream's connection.
     pub connection: Connection,
-    /// Called at its end.
+    /// Called at the end of the stream.
     pub on_end: EndCallback,
-    /// The room that it takes.
+    /// Held until the end of the stream.
     pub permit: TransferPermit,
-    /// When its client stops waiting for a short answer.
+    /// When the client stops waiting if the answer is short.
     pub deadline: Instant,
-    /// What was learnt from others.
+    /// Estimates from earlier answers.
     pub estimates: StreamEstimates,
 }
 
 impl AnswerStream {
-    /// One that has just begun.
+    /// Begins to stream an answer.
     pub fn new(parts: StreamParts) -> AnswerStream {
-        let StreamParts {
-            first,
-            rest,
-            length,
-            connection,
-            on_end: end,
-            permit: room,
-            deadline,
-            estimates: learnt,
-        } = parts;
+        let StreamParts { first, rest, length, connection, on_end, permit, deadline, estimates } = parts;
         AnswerStream {
-            first: Some(first).filter(|first| !first.is_empty()),
+            first_bytes: Some(first).filter(|first| !first.is_empty()),
             rest,
             length,
-            passed: 0,
-            connection: Some(connection),
-            end: Some(end),
+            forwarded_bytes: 0,
+            upstream_connection: Some(connection),
+            on_end: Some(on_end),
             deadline,
-            learnt,
+            estimates,
             waiting_since: None,
-            timer: Box::pin(sleep_until(deadline)),
-            ended: false,
-            torn: false,
-            tearing: None,
-            slot: None,
+            timeout: Box::pin(sleep_until(deadline)),
+            reached_end: false,
+            truncated: false,
+            pending_error: None,
+            client_connection: None,
             delimited_by_close: false,
-            _room: room,
+            _permit: permit,
         }
     }
 
-    fn pass(&mut self, data: Bytes, cx: &Context<'_>) -> Poll<Option<Result<Frame<Bytes>, StreamError>>> {
-        self.passed = self.passed.saturating_add(data.len() as u64);
-        if self.passed > MAX_BODY_BYTES {
-            return self.tear_later(StreamError::TooLong, cx);
+    fn forward(&mut self, data: Bytes, cx: &Context<'_>) -> Poll<Option<Result<Frame<Bytes>, StreamError>>> {
+        self.forwarded_bytes = self.forwarded_bytes.saturating_add(data.len() as u64);
+        if self.forwarded_bytes > MAX_BODY_BYTES {
+            return self.truncate_later(StreamError::TooLong, cx);
         }
         self.waiting_since = None;
         Poll::Ready(Some(Ok(Frame::data(data))))
     }
 
-    /// Tears the answer at the next poll. hyper throws away what it has not written when a body fails: where nothing of the
-    /// answer had been, a client would take its connection for an idle one that was closed, and send the request again.
-    fn tear_later(
+    /// Truncates the answer at the next poll. When a body fails, hyper discards what it has not written. If
+    /// that were the whole answer, the client would take the connection for an idle one that was closed, and
+    /// send the request again.
+    fn truncate_later(
         &mut self,
-        why: StreamError,
+        error: StreamError,
         cx: &Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, StreamError>>> {
-        self.tearing = Some(why);
+        self.pending_error = Some(error);
         cx.waker().wake_by_ref();
         Poll::Pending
     }
 
-    fn tear(&mut self, why: StreamError) -> Poll<Option<Result<Frame<Bytes>, StreamError>>> {
-        self.torn = true;
-        if let Some(slot) = self.slot.as_ref().filter(|_| self.delimited_by_close) {
-            slot.reset_on_close();
+    fn truncate(&mut self, error: StreamError) -> Poll<Option<Result<Frame<Bytes>, StreamError>>> {
+        self.truncated = true;
+        if let Some(client_connection) = self.client_connection.as_ref().filter(|_| self.delimited_by_close) {
+            client_connection.reset_on_close();
         }
-        Poll::Ready(Some(Err(why)))
+        Poll::Ready(Some(Err(error)))
     }
 
-    /// Nothing has come: whether that has lasted for too long.
-    fn poll_overdue(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+    /// Called while no bytes are available; ready once the time bound of the stream has passed.
+    fn poll_timeout(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         if self.waiting_since.is_none() {
             let now = Instant::now();
             self.waiting_since = Some(now);
             let ends_at = bound(RequestState::Streaming(self.progress(now))).at;
-            self.timer.as_mut().reset(ends_at);
+            self.timeout.as_mut().reset(ends_at);
         }
-        self.timer.as_mut().poll(cx)
+        self.timeout.as_mut().poll(cx)
     }
 
     fn progress(&self, waiting_since: Instant) -> StreamProgress {
         StreamProgress {
             deadline: self.deadline,
             waiting_since,
-            longest_pause: self.learnt.stall_timeout.estimate(),
-            forwarded_bytes: self.passed,
+            longest_pause: self.estimates.stall_timeout.estimate(),
+            forwarded_bytes: self.forwarded_bytes,
             length: self.length,
         }
     }
 
-    fn is_whole(&self) -> bool {
-        !self.torn && (self.ended || self.length == Some(self.passed))
+    fn is_complete(&self) -> bool {
+        !self.truncated && (self.reached_end || self.length == Some(self.forwarded_bytes))
     }
 }
 
@@ -228,27 +221,29 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, StreamError>>> {
         let this = &mut *self;
-        if let Some(why) = this.tearing.take() {
-            return this.tear(why);
+        if let Some(error) = this.pending_error.take() {
+            return this.truncate(error);
         }
-        if let Some(first) = this.first.take() {
-            return this.pass(first, cx);
+        if let Some(first_bytes) = this.first_bytes.take() {
+            return this.forward(first_bytes, cx);
         }
         loop {
             match Pin::new(&mut this.rest).poll_frame(cx) {
-                // Trailers end with the connection that they came on.
+                // Trailers are not forwarded: they belong to the upstream's connection.
                 Poll::Ready(Some(Ok(frame))) => match frame.into_data() {
                     Ok(data) if data.is_empty() => {}
-                    Ok(data) => return this.pass(data, cx),
+                    Ok(data) => return this.forward(data, cx),
                     Err(_) => {}
                 },
-                Poll::Ready(Some(Err(error))) => return this.tear_later(StreamError::Upstream(error), cx),
+                Poll::Ready(Some(Err(error))) => {
+                    return this.truncate_later(StreamError::Upstream(error), cx);
+                }
                 Poll::Ready(None) => {
-                    this.ended = true;
+                    this.reached_end = true;
                     return Poll::Ready(None);
                 }
-                Poll::Pending if this.poll_overdue(cx).is_ready() => {
-                    return this.tear_later(StreamError::Stalled, cx);
+                Poll::Pending if this.poll_timeout(cx).is_ready() => {
+                    return this.truncate_later(StreamError::Stalled, cx);
                 }
                 Poll::Pending => return Poll::Pending,
             }
@@ -256,44 +251,45 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.first.is_none() && self.length == Some(self.passed)
+        self.first_bytes.is_none() && self.length == Some(self.forwarded_bytes)
     }
 
     fn size_hint(&self) -> SizeHint {
-        self.length
-            .map_or_else(SizeHint::default, |length| SizeHint::with_exact(length.saturating_sub(self.passed)))
+        self.length.map_or_else(SizeHint::default, |length| {
+            SizeHint::with_exact(length.saturating_sub(self.forwarded_bytes))
+        })
     }
 }
 
 impl Drop for AnswerStream {
     fn drop(&mut self) {
-        let whole = self.is_whole();
-        let is_long = self.passed > MAX_BUFFERED_BODY_BYTES as u64;
-        if self.length.is_none() && (whole || is_long) {
-            self.learnt.lengths.record(is_long);
+        let complete = self.is_complete();
+        let is_long = self.forwarded_bytes > MAX_BUFFERED_BODY_BYTES as u64;
+        if self.length.is_none() && (complete || is_long) {
+            self.estimates.lengths.record(is_long);
         }
-        let came = match (whole, self.torn) {
+        let outcome = match (complete, self.truncated) {
             (true, _) => RequestOutcome::Served,
             (false, true) => RequestOutcome::Failed,
             (false, false) => RequestOutcome::Left,
         };
-        if let Some(slot) = self.slot.take() {
-            slot.free();
+        if let Some(client_connection) = self.client_connection.take() {
+            client_connection.free();
         }
-        // One that is not whole is closed as it is.
-        let connection = self.connection.take().filter(|_| whole);
+        // The connection of an incomplete answer is closed.
+        let connection = self.upstream_connection.take().filter(|_| complete);
         if let Some(connection) = &connection {
             connection.meter.mark_answer_complete();
         }
-        if let Some(end) = self.end.take() {
-            end(came, connection);
+        if let Some(on_end) = self.on_end.take() {
+            on_end(outcome, connection);
         }
     }
 }
 
 impl fmt::Debug for AnswerStream {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "Stream({} of {:?} bytes)", self.passed, self.length)
+        write!(f, "Stream({} of {:?} bytes)", self.forwarded_bytes, self.length)
     }
 }
 
--- a/crates/sidecar/src/transfer/body_buffer.rs
+++ b/crates/sidecar/src/transfer/body_buffer.rs
@@ -1,38 +1,43 @@
-//! The pieces of a body that is held whole.
+//! The buffer of a body that is read as a whole.
 
 use bytes::{Bytes, BytesMut};
 
 use super::limits::MAX_BUFFERED_BODY_BYTES;
 
-/// The pieces of a body that is held whole. One that comes in one piece is not copied.
+/// Collects the pieces of a body. A body that arrives in one piece is not copied.
 #[derive(Default)]
 pub struct BodyBuffer {
-    first: Bytes,
-    more: BytesMut,
+    first_piece: Bytes,
+    joined: BytesMut,
 }
 
 impl BodyBuffer {
-    /// How many bytes there are.
+    /// The number of buffered bytes.
     pub fn length(&self) -> usize {
-        self.first.len() + self.more.len()
+        self.first_piece.len() + self.joined.len()
     }
 
-    /// Adds a piece of a body of this length, where that is known.
+    /// Appends a piece of a body. `length` is the length of the whole body, if it is known.
     pub fn push(&mut self, data: Bytes, length: Option<u64>) {
-        if self.first.is_empty() && self.more.is_empty() {
-            self.first = data;
+        if self.first_piece.is_empty() && self.joined.is_empty() {
+            self.first_piece = data;
             return;
         }
-        if self.more.is_empty() {
-            let whole = length.and_then(|length| usize::try_from(length).ok()).unwrap_or(0);
-            self.more.reserve(whole.min(MAX_BUFFERED_BODY_BYTES).max(self.first.len() + data.len()));
-            self.more.extend_from_slice(&std::mem::take(&mut self.first));
+        if self.joined.is_empty() {
+            let body_length = length.and_then(|length| usize::try_from(length).ok()).unwrap_or(0);
+            self.joined
+                .reserve(body_length.min(MAX_BUFFERED_BODY_BYTES).max(self.first_piece.len() + data.len()));
+            self.joined.extend_from_slice(&std::mem::take(&mut self.first_piece));
         }
-        self.more.extend_from_slice(&data);
+        self.joined.extend_from_slice(&data);
     }
 
-    /// All of them; none are left.
+    /// Returns all buffered bytes and leaves the buffer empty.
     pub fn take(&mut self) -> Bytes {
-        if self.more.is_empty() { std::mem::take(&mut self.first) } else { self.more.split().freeze() }
+        if self.joined.is_empty() {
+            std::mem::take(&mut self.first_piece)
+        } else {
+            self.joined.split().freeze()
+        }
     }
 }
--- a/crates/sidecar/src/transfer/limits.rs
+++ b/crates/sidecar/src/transfer/limits.rs
@@ -1,41 +1,46 @@
-//! How much a body may hold and how long it may take. Pure: times and counts are arguments.
+//! Size and time limits of bodies and heads. Pure: times and counts are arguments.
 
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Bodies up to this are held whole: checked before they go on, and fit to be sent again.
+/// Bodies up to this size are buffered: they are checked before they are forwarded, and can be sent again.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 << 10;
-/// Longer bodies are not carried, either way: the platform's are of 32 MB at most.
+/// Longest body in either direction; the platform's bodies have at most 32 MB.
 pub const MAX_BODY_BYTES: u64 = 32 << 20;
-/// A head must be whole this long after its first byte, or after its connection began: honest clients take up to 2 s, and
-/// one that never ends it is owed an end within 3 s.
+/// A request head must be complete this long after its first byte, or after its connection began. Honest
+/// clients take up to 2 s, and a connection whose head never ends must be closed within 3 s.
 pub const HEAD_TIMEOUT: Duration = Duration::from_millis(2_700);
-/// A body must be whole this long after its head,
-const BODY: Duration = Duration::from_millis(2_300);
-/// and as long as its bytes take at this rate a second: half of what the slowest honest client sends.
+/// A body must be complete this long after its head, plus the time that its bytes take at
+/// [`MIN_BODY_BYTES_PER_SECOND`].
+const BODY_BASE_TIMEOUT: Duration = Duration::from_millis(2_300);
+/// Minimum rate of a body: half of what the slowest honest client sends.
 pub const MIN_BODY_BYTES_PER_SECOND: u64 = 32 << 10;
-/// A transfer under way in which nothing moves for this long has ended.
+/// A stream that makes no progress for this long has ended.
 pub const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// When a body that has come so far must be whole, or have brought more.
+
+/// When a body of which `bytes` have been received must be complete or have brought more.
 pub fn body_due_by(head_at: Instant, bytes: u64) -> Instant {
-    head_at + BODY + Duration::from_micros(bytes.saturating_mul(1_000_000) / MIN_BODY_BYTES_PER_SECOND)
+    head_at
+        + BODY_BASE_TIMEOUT
+        + Duration::from_micros(bytes.saturating_mul(1_000_000) / MIN_BODY_BYTES_PER_SECOND)
 }
 
-/// What to do with an answer's body, by its stated length.
+/// How an answer's body is handled, by its stated length.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BodyHandling {
-    /// It is read whole before any of it goes on.
+    /// The whole body is read before any of it is forwarded.
     Buffer,
-    /// It goes on as it comes.
+    /// The body is forwarded as it arrives.
     Stream,
-    /// Its length is not known: it is read until it is whole, too long to hold or too long on its way.
+    /// The length is not stated: the body is read until it is complete, exceeds the buffer limit, or has
+    /// taken too long.
     UnknownLength,
-    /// It is longer than any is.
+    /// The body exceeds [`MAX_BODY_BYTES`].
     TooLong,
 }
 
-/// The plan for an answer that states such a length, if it states one.
+/// How to handle the body of an answer with this stated length.
 pub fn body_handling(length: Option<u64>) -> BodyHandling {
     match length {
         None => BodyHandling::UnknownLength,
@@ -50,13 +55,13 @@
     use super::*;
 
     #[test]
-    fn the_slowest_honest_client_has_its_time_and_a_dribbler_does_not() {
+    fn slowest_honest_client_is_in_time_and_slower_bodies_time_out() {
         let start = Instant::now();
-        let by_rate = |rate: u64| {
-            // Looked at every 10 ms: when it is out, or has sent 4 MB.
+        // After how many milliseconds a body sent at this rate times out; `None` if 4 MB are sent before.
+        let timed_out_after_ms = |bytes_per_second: u64| {
             let mut ms = 0;
             loop {
-                let sent = rate * ms / 1_000;
+                let sent = bytes_per_second * ms / 1_000;
                 if sent >= 4_000_000 {
                     return None;
                 }
@@ -66,14 +71,14 @@
                 ms += 10;
             }
         };
-        assert_eq!(by_rate(64_000), None);
-        assert_eq!(by_rate(33 << 10), None);
-        assert!(by_rate(20).is_some_and(|out| out < 2_900), "one byte at a time");
-        assert!(by_rate(0).is_some_and(|out| out < 2_400));
+        assert_eq!(timed_out_after_ms(64_000), None);
+        assert_eq!(timed_out_after_ms(33 << 10), None);
+        assert!(timed_out_after_ms(20).is_some_and(|ms| ms < 2_900), "20 bytes a second");
+        assert!(timed_out_after_ms(0).is_some_and(|ms| ms < 2_400));
     }
 
     #[test]
-    fn what_is_short_is_held_and_what_is_absurd_is_not_carried() {
+    fn short_bodies_are_buffered_and_bodies_over_the_limit_are_rejected() {
         let bounds =
             [(0, BodyHandling::Buffer), (65_536, BodyHandling::Buffer), (65_537, BodyHandling::Stream)];
         for (length, expected) in bounds
--- a/crates/sidecar/src/transfer/mod.rs
+++ b/crates/sidecar/src/transfer/mod.rs
@@ -1,4 +1,5 @@
-//! Bodies that are not held whole: how much there may be, how long it may take, and how it passes through.
+//! Request and answer bodies: how they are framed, buffered, held back and streamed, and their size and time
+//! limits.
 
 pub mod answer;
 pub mod answer_hold;
--- a/crates/sidecar/src/transfer/request_body.rs
+++ b/crates/sidecar/src/transfer/request_body.rs
@@ -1,4 +1,4 @@
-//! A request's body: as it is kept for all attempts, and as one attempt writes it.
+//! A request's body: as shared by all attempts, and as written by one attempt.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -14,14 +14,14 @@
 /// The body of a request.
 #[derive(Debug, Clone)]
 pub enum RequestBody {
-    /// All of it.
+    /// The whole body.
     Buffered(Bytes),
-    /// What has come so far, and where the rest comes from.
+    /// The first bytes, and the stream of the rest.
     Upload(Arc<Upload>),
 }
 
 impl RequestBody {
-    /// How long it is, where that is known.
+    /// The length, if it is known.
     pub fn length(&self) -> Option<u64> {
         match self {
             RequestBody::Buffered(bytes) => u64::try_from(bytes.len()).ok(),
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The upload, if it is one.
+    /// The upload, if the body is streamed.
     pub fn upload(&self) -> Option<&Arc<Upload>> {
         match self {
             RequestBody::Buffered(_) => None,
@@ -38,16 +38,16 @@
     }
 }
 
-/// What an attempt writes.
+/// The body that one attempt writes.
 pub enum AttemptBody {
-    /// All of it at once.
+    /// The whole body.
     Buffered(Full<Bytes>),
-    /// As it comes.
+    /// A body that is forwarded while it arrives.
     Stream(UploadStream),
 }
 
 impl AttemptBody {
-    /// One without a body.
+    /// An empty body.
     pub fn empty() -> AttemptBody {
         AttemptBody::Buffered(Full::new(Bytes::new()))
     }
--- a/crates/sidecar/src/transfer/stall_timeout.rs
+++ b/crates/sidecar/src/transfer/stall_timeout.rs
@@ -1,33 +1,38 @@
-//! How long an answer that has begun may bring nothing before it is taken to have ended unwhole. Learnt from the gaps in
-//! those that went on. Pure but for its cells: what is told changes it, and it is told nothing of the time.
+//! The stall timeout: how long an answer that has begun may bring no bytes before it is taken to be
+//! truncated. It is estimated from the gaps in answers that went on after them. Pure except for its atomic
+//! cells; it never reads the time.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-/// Never less: it is made before it is sent, and its bytes follow each other.
-const LEAST: Duration = Duration::from_millis(30);
-/// Never more, and what is waited in order to learn: honest servers pause for up to 2 s.
+/// Smallest stall timeout. An answer is generated before it is sent, so its bytes follow each other quickly.
+const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(30);
+/// Largest stall timeout, also used to measure longer gaps: honest servers pause for up to 2 s.
 pub const MAX_STALL_TIMEOUT: Duration = Duration::from_millis(2_100);
-/// Before anything is known.
-const FIRST: Duration = Duration::from_millis(75);
-/// As many times the longest gap of late.
-const TIMES: u32 = 2;
-/// One answer in so many is waited for as long as any, whatever was learnt: else patience could never grow again.
-const TRY_OUT: u64 = 8;
-/// With each whole answer what was learnt fades by this share.
-const FADE: u64 = 128;
+/// Gap that is assumed before any answer was observed.
+const INITIAL_GAP: Duration = Duration::from_millis(75);
+/// The stall timeout is the longest recent gap times this.
+const GAP_MULTIPLE: u32 = 2;
+/// One answer in this many gets [`MAX_STALL_TIMEOUT`]; without that, gaps longer than the timeout would never
+/// be observed and the estimate could not grow.
+const EXPLORATION_INTERVAL: u64 = 8;
+/// Each complete answer lowers the longest gap by one part in this many.
+const GAP_DECAY_DIVISOR: u64 = 128;
 
-/// What was learnt, shared by all attempts of an instance.
+/// The estimate shared by all attempts of an instance.
 #[derive(Debug)]
 pub struct StallTimeout {
-    /// The longest gap of late that went on, in microseconds.
-    gap: AtomicU64,
-    asked: AtomicU64,
+    /// The longest recent gap after which an answer went on, in microseconds.
+    longest_gap_micros: AtomicU64,
+    timeouts_given: AtomicU64,
 }
 
 impl Default for StallTimeout {
     fn default() -> StallTimeout {
-        StallTimeout { gap: AtomicU64::new(micros(FIRST)), asked: AtomicU64::new(0) }
+        StallTimeout {
+            longest_gap_micros: AtomicU64::new(micros(INITIAL_GAP)),
+            timeouts_given: AtomicU64::new(0),
+        }
     }
 }
 
@@ -36,29 +41,32 @@
 }
 
 impl StallTimeout {
-    /// How long the next answer that stops is waited for.
+    /// The stall timeout of the next answer.
     pub fn next_timeout(&self) -> Duration {
-        if self.asked.fetch_add(1, Ordering::Relaxed) % TRY_OUT == TRY_OUT - 1 {
+        if self.timeouts_given.fetch_add(1, Ordering::Relaxed) % EXPLORATION_INTERVAL
+            == EXPLORATION_INTERVAL - 1
+        {
             return MAX_STALL_TIMEOUT;
         }
         self.estimate()
     }
 
-    /// What was learnt of how long answers pause, without trying out whether it is still true.
+    /// The estimated stall timeout, without exploration.
     pub fn estimate(&self) -> Duration {
-        (Duration::from_micros(self.gap.load(Ordering::Relaxed)) * TIMES).clamp(LEAST, MAX_STALL_TIMEOUT)
+        let longest_gap = Duration::from_micros(self.longest_gap_micros.load(Ordering::Relaxed));
+        (longest_gap * GAP_MULTIPLE).clamp(MIN_STALL_TIMEOUT, MAX_STALL_TIMEOUT)
     }
 
-    /// An answer went on after it had brought nothing for this long.
+    /// Records that an answer went on after a gap.
     pub fn record_gap(&self, gap: Duration) {
-        self.gap.fetch_max(micros(gap.min(MAX_STALL_TIMEOUT)), Ordering::Relaxed);
+        self.longest_gap_micros.fetch_max(micros(gap.min(MAX_STALL_TIMEOUT)), Ordering::Relaxed);
     }
 
-    /// An answer came whole.
+    /// Records a complete answer.
     pub fn record_complete_answer(&self) {
-        let gap = self.gap.load(Ordering::Relaxed);
-        // A gap that is told meanwhile may be lost; another will come.
-        self.gap.store(gap - gap / FADE, Ordering::Relaxed);
+        let gap = self.longest_gap_micros.load(Ordering::Relaxed);
+        // A gap recorded between the load and the store may be lost; others will follow.
+        self.longest_gap_micros.store(gap - gap / GAP_DECAY_DIVISOR, Ordering::Relaxed);
     }
 }
 
@@ -66,33 +74,38 @@
 mod tests {
     use super::*;
 
-    /// The limits of so many answers, of which each went on after this gap if it was waited for that long.
-    fn after(patience: &StallTimeout, answers: usize, gap: Duration) -> usize {
-        let mut cut = 0;
+    /// Lets answers pass that each pause once for `gap`, and returns how many of them the stall timeout cut
+    /// off.
+    fn cut_off_answers(timeout: &StallTimeout, answers: usize, gap: Duration) -> usize {
+        let mut cut_off = 0;
         for _ in 0..answers {
-            if patience.next_timeout() < gap {
-                cut += 1;
+            if timeout.next_timeout() < gap {
+                cut_off += 1;
                 continue;
             }
-            patience.record_gap(gap);
-            patience.record_complete_answer();
+            timeout.record_gap(gap);
+            timeout.record_complete_answer();
         }
-        cut
+        cut_off
     }
 
     #[test]
-    fn it_falls_where_answers_do_not_pause_and_grows_where_they_do() {
-        let patience = StallTimeout::default();
-        after(&patience, 2_000, Duration::from_micros(300));
-        let limits: Vec<Duration> = (0..8).map(|_| patience.next_timeout()).collect();
-        assert_eq!(limits.iter().filter(|limit| **limit == LEAST).count(), 7);
-        assert_eq!(limits.iter().filter(|limit| **limit == MAX_STALL_TIMEOUT).count(), 1);
-        // Servers begin to pause for longer than it waits: few are cut before it knows.
-        let cut = after(&patience, 1_000, Duration::from_millis(400));
-        assert!(cut <= 8, "{cut} answers were cut");
-        let cut = after(&patience, 1_000, Duration::from_millis(1_900));
-        assert!(cut <= 8, "{cut} answers were cut");
-        after(&patience, 3_000, Duration::from_micros(300));
-        assert!((0..8).filter(|_| patience.next_timeout() == LEAST).count() == 7, "and it falls again");
+    fn timeout_falls_while_answers_do_not_pause_and_grows_when_they_do() {
+        let timeout = StallTimeout::default();
+        cut_off_answers(&timeout, 2_000, Duration::from_micros(300));
+        let timeouts: Vec<Duration> = (0..8).map(|_| timeout.next_timeout()).collect();
+        assert_eq!(timeouts.iter().filter(|timeout| **timeout == MIN_STALL_TIMEOUT).count(), 7);
+        assert_eq!(timeouts.iter().filter(|timeout| **timeout == MAX_STALL_TIMEOUT).count(), 1);
+        // Servers begin to pause for longer than the timeout: few answers are cut off before the estimate has
+        // grown.
+        let cut_off = cut_off_answers(&timeout, 1_000, Duration::from_millis(400));
+        assert!(cut_off <= 8, "{cut_off} answers were cut off");
+        let cut_off = cut_off_answers(&timeout, 1_000, Duration::from_millis(1_900));
+        assert!(cut_off <= 8, "{cut_off} answers were cut off");
+        cut_off_answers(&timeout, 3_000, Duration::from_micros(300));
+        assert!(
+            (0..8).filter(|_| timeout.next_timeout() == MIN_STALL_TIMEOUT).count() == 7,
+            "the timeout falls again"
+        );
     }
 }
--- a/crates/sidecar/src/transfer/upload.rs
+++ b/crates/sidecar/src/transfer/upload.rs
@@ -1,7 +1,8 @@
-//! A request's body that goes on while it comes: its first bytes, which are kept, and the rest, which passes once.
+//! A request body that is forwarded while it arrives. Its first bytes are kept; the rest is streamed to one
+//! attempt.
 //!
-//! What may be sent again is decided here: everything while nothing but the kept bytes was taken from the client, nothing
-//! after that.
+//! The body can be sent to another attempt as long as only the kept bytes have been read from the client, and
+//! not after that.
 
 use std::pin::Pin;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
@@ -17,152 +18,153 @@
 use super::limits::{MAX_BODY_BYTES, body_due_by};
 use crate::budget::TransferPermit;
 
-/// What became of a body.
+/// The state of a streamed request body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UploadState {
-    /// It is still coming, or has not been asked for.
+    /// Incomplete, or not read yet.
     Receiving,
-    /// Its last byte came then.
+    /// Complete; its last byte was received at this time.
     Complete(Instant),
-    /// It never came whole, and this is what its client is told.
+    /// It could not be read completely; the client gets this status.
     Failed(StatusCode),
 }
 
-/// Where the bytes are.
+/// The client's stream of the bytes that are not kept.
 #[derive(Debug)]
 enum Source {
-    /// Nothing but the kept bytes was taken.
-    Kept(Box<Incoming>),
-    /// An attempt has it, or it has passed.
-    Gone,
+    /// Nothing has been read from the stream.
+    Unread(Box<Incoming>),
+    /// An attempt has the stream, or has read from it.
+    Taken,
 }
 
-/// A body of a request, shared by its attempts, of which one is out at most.
+/// A streamed request body, shared by the attempts of the request, of which at most one is in flight.
 #[derive(Debug)]
 pub struct Upload {
-    first: Bytes,
-    /// As the client stated it.
+    first_bytes: Bytes,
+    /// The length stated by the client.
     length: Option<u64>,
-    /// When its head had come, and when its first bytes had.
-    began: Instant,
-    gathered: Instant,
+    /// When the head of the request was received, and when the first bytes were.
+    head_at: Instant,
+    first_bytes_at: Instant,
     source: Mutex<Source>,
-    fate: watch::Sender<UploadState>,
-    _room: TransferPermit,
+    state: watch::Sender<UploadState>,
+    _permit: TransferPermit,
 }
 
-/// Nothing that is held under it can panic.
+/// Locks a mutex. No code that holds the lock can panic.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Upload {
-    /// A body of which so much has come; its head came then.
+    /// An upload of which the first bytes have been read; its head was received at `head_at`.
     pub fn new(
-        first: Bytes,
+        first_bytes: Bytes,
         rest: Incoming,
         length: Option<u64>,
-        began: Instant,
-        room: TransferPermit,
+        head_at: Instant,
+        permit: TransferPermit,
     ) -> Upload {
-        let source = Mutex::new(Source::Kept(Box::new(rest)));
+        let source = Mutex::new(Source::Unread(Box::new(rest)));
         Upload {
-            first,
+            first_bytes,
             length,
-            began,
-            gathered: Instant::now(),
+            head_at,
+            first_bytes_at: Instant::now(),
             source,
-            fate: watch::Sender::new(UploadState::Receiving),
-            _room: room,
+            state: watch::Sender::new(UploadState::Receiving),
+            _permit: permit,
         }
     }
 
-    /// How long it is in all, where the client has said so.
+    /// The length of the whole body, if the client has stated it.
     pub fn length(&self) -> Option<u64> {
         self.length
     }
 
-    /// Whether an attempt can have it.
+    /// Whether an attempt can still send the body from its beginning.
     pub fn is_sendable(&self) -> bool {
-        matches!(*lock(&self.source), Source::Kept(_))
+        matches!(*lock(&self.source), Source::Unread(_))
     }
 
-    /// What became of it.
+    /// The current state.
     pub fn state(&self) -> UploadState {
-        *self.fate.borrow()
+        *self.state.borrow()
     }
 
-    /// Whether it never came whole.
+    /// Whether the body could not be read completely.
     pub fn has_failed(&self) -> bool {
         matches!(self.state(), UploadState::Failed(_))
     }
 
-    /// Comes back once it no longer comes.
+    /// Waits until the body is complete or has failed.
     pub async fn wait_until_settled(&self) -> UploadState {
-        let mut fates = self.fate.subscribe();
-        // It cannot fail: the sender is here.
-        let _ = fates.wait_for(|fate| *fate != UploadState::Receiving).await;
+        let mut states = self.state.subscribe();
+        // Waiting cannot fail: `self` owns the sender.
+        let _ = states.wait_for(|state| *state != UploadState::Receiving).await;
         self.state()
     }
 
-    /// The body for an attempt; `None` if it can have none.
+    /// Takes the body for an attempt; `None` if it can no longer be sent.
     pub fn take_stream(this: &Arc<Upload>) -> Option<UploadStream> {
-        match std::mem::replace(&mut *lock(&this.source), Source::Gone) {
-            Source::Kept(rest) => Some(UploadStream {
+        match std::mem::replace(&mut *lock(&this.source), Source::Taken) {
+            Source::Unread(rest) => Some(UploadStream {
                 upload: this.clone(),
-                first: Some(this.first.clone()),
+                first_bytes: Some(this.first_bytes.clone()),
                 rest: Some(rest),
-                touched: false,
-                passed: 0,
-                limit: Box::pin(sleep_until(body_due_by(this.began, 0))),
-                unasked: Some(this.gathered),
-                held: Duration::ZERO,
+                rest_was_read: false,
+                forwarded_bytes: 0,
+                timeout: Box::pin(sleep_until(body_due_by(this.head_at, 0))),
+                not_polled_since: Some(this.first_bytes_at),
+                not_polled_for: Duration::ZERO,
             }),
-            Source::Gone => None,
+            Source::Taken => None,
         }
     }
 }
 
-/// What an attempt writes: the kept bytes, then the rest as it comes. Dropped before any of the rest was taken it leaves all
-/// for the next attempt.
+/// The body that an attempt writes: the kept bytes, then the rest as it arrives. If the stream is dropped
+/// before any of the rest was read, the next attempt can have the whole body.
 pub struct UploadStream {
     upload: Arc<Upload>,
-    first: Option<Bytes>,
+    first_bytes: Option<Bytes>,
     rest: Option<Box<Incoming>>,
-    touched: bool,
-    passed: u64,
-    limit: Pin<Box<Sleep>>,
-    /// Since when nothing has been asked for, and for how long that was in all: it is not the client's fault.
-    unasked: Option<Instant>,
-    held: Duration,
+    rest_was_read: bool,
+    forwarded_bytes: u64,
+    timeout: Pin<Box<Sleep>>,
+    /// Set while the attempt does not poll for more bytes. Such times, added up in `not_polled_for`, do not
+    /// count against the client's minimum rate.
+    not_polled_since: Option<Instant>,
+    not_polled_for: Duration,
 }
 
-/// A body that never came whole.
+/// The client's body was truncated, malformed, too slow or too long.
 #[derive(Debug, thiserror::Error)]
-#[error("the client's body did not come whole")]
+#[error("the client's request body could not be read completely")]
 pub struct UploadError;
 
 impl UploadStream {
-    fn pass(&mut self, data: Bytes) -> Poll<Option<Result<Frame<Bytes>, UploadError>>> {
-        self.passed = self.passed.saturating_add(data.len() as u64);
-        if self.passed > MAX_BODY_BYTES {
-            return self.breaks(StatusCode::PAYLOAD_TOO_LARGE);
+    fn forward(&mut self, data: Bytes) -> Poll<Option<Result<Frame<Bytes>, UploadError>>> {
+        self.forwarded_bytes = self.forwarded_bytes.saturating_add(data.len() as u64);
+        if self.forwarded_bytes > MAX_BODY_BYTES {
+            return self.fail(StatusCode::PAYLOAD_TOO_LARGE);
         }
-        self.unasked = Some(Instant::now());
-        if self.upload.length == Some(self.passed) {
-            self.ends();
+        self.not_polled_since = Some(Instant::now());
+        if self.upload.length == Some(self.forwarded_bytes) {
+            self.complete();
         }
         Poll::Ready(Some(Ok(Frame::data(data))))
     }
 
-    fn breaks(&mut self, status: StatusCode) -> Poll<Option<Result<Frame<Bytes>, UploadError>>> {
-        self.upload.fate.send_replace(UploadState::Failed(status));
+    fn fail(&mut self, status: StatusCode) -> Poll<Option<Result<Frame<Bytes>, UploadError>>> {
+        self.upload.state.send_replace(UploadState::Failed(status));
         Poll::Ready(Some(Err(UploadError)))
     }
 
-    fn ends(&mut self) {
+    fn complete(&mut self) {
         if self.upload.state() == UploadState::Receiving {
-            self.upload.fate.send_replace(UploadState::Complete(Instant::now()));
+            self.upload.state.send_replace(UploadState::Complete(Instant::now()));
         }
     }
 }
@@ -176,36 +178,37 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, UploadError>>> {
         let this = &mut *self;
-        if let Some(since) = this.unasked.take() {
-            this.held += since.elapsed();
-            this.limit.as_mut().reset(body_due_by(this.upload.began + this.held, this.passed));
+        if let Some(since) = this.not_polled_since.take() {
+            this.not_polled_for += since.elapsed();
+            let counted_from = this.upload.head_at + this.not_polled_for;
+            this.timeout.as_mut().reset(body_due_by(counted_from, this.forwarded_bytes));
         }
-        if let Some(first) = this.first.take().filter(|first| !first.is_empty()) {
-            return this.pass(first);
+        if let Some(first_bytes) = this.first_bytes.take().filter(|bytes| !bytes.is_empty()) {
+            return this.forward(first_bytes);
         }
         let Some(rest) = &mut this.rest else { return Poll::Ready(None) };
         loop {
             match Pin::new(&mut **rest).poll_frame(cx) {
                 Poll::Ready(Some(Ok(frame))) => {
-                    this.touched = true;
-                    // Trailers end with the connection that they came on.
+                    this.rest_was_read = true;
+                    // Trailers are not forwarded: they belong to the client's connection.
                     match frame.into_data() {
-                        Ok(data) if !data.is_empty() => return this.pass(data),
+                        Ok(data) if !data.is_empty() => return this.forward(data),
                         _ => {}
                     }
                 }
                 Poll::Ready(Some(Err(_))) => {
-                    this.touched = true;
-                    return this.breaks(StatusCode::BAD_REQUEST);
+                    this.rest_was_read = true;
+                    return this.fail(StatusCode::BAD_REQUEST);
                 }
                 Poll::Ready(None) => {
-                    this.touched = true;
-                    this.ends();
+                    this.rest_was_read = true;
+                    this.complete();
                     return Poll::Ready(None);
                 }
-                Poll::Pending if this.limit.as_mut().poll(cx).is_ready() => {
-                    this.touched = true;
-                    return this.breaks(StatusCode::REQUEST_TIMEOUT);
+                Poll::Pending if this.timeout.as_mut().poll(cx).is_ready() => {
+                    this.rest_was_read = true;
+                    return this.fail(StatusCode::REQUEST_TIMEOUT);
                 }
                 Poll::Pending => return Poll::Pending,
             }
@@ -213,19 +216,19 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.upload.length == Some(self.passed)
+        self.upload.length == Some(self.forwarded_bytes)
     }
 
     fn size_hint(&self) -> SizeHint {
-        let left = self.upload.length.map(|length| length.saturating_sub(self.passed));
-        left.map_or_else(SizeHint::default, SizeHint::with_exact)
+        let bytes_left = self.upload.length.map(|length| length.saturating_sub(self.forwarded_bytes));
+        bytes_left.map_or_else(SizeHint::default, SizeHint::with_exact)
     }
 }
 
 impl Drop for UploadStream {
     fn drop(&mut self) {
-        if let Some(rest) = self.rest.take().filter(|_| !self.touched) {
-            *lock(&self.upload.source) = Source::Kept(rest);
+        if let Some(rest) = self.rest.take().filter(|_| !self.rest_was_read) {
+            *lock(&self.upload.source) = Source::Unread(rest);
         }
     }
 }
--- a/crates/sidecar/tests/client_disconnect.rs
+++ b/crates/sidecar/tests/client_disconnect.rs
@@ -1,5 +1,6 @@
-//! Clients that disconnect before a further attempt of their request, of which the driver has not heard: the socket itself is
-//! asked right before the attempt's first byte, whichever attempt it is and wherever its connection comes from.
+//! Clients that disconnect before a further attempt of their request, without the driver being notified. The
+//! sidecar must ask the socket itself right before the first byte of every attempt, both on new and on idle
+//! connections.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -26,15 +27,15 @@
     "allowed":{"max_attempts":2,"connect_timeout":5000.0},"peers_total":3,"membership_mode":"automatic","telemetry":{},
     "invariants":{"cold_share":0.1,"warm_up":2e4,"fall_multiple":2.5,"fall":1500.0}}"#;
 
-/// Nothing here takes longer unless it never comes.
-const LONG: Duration = Duration::from_secs(20);
+/// Limit for waits that end early unless the expected event never comes.
+const WAIT_LIMIT: Duration = Duration::from_secs(20);
 
 /// How a client disconnects, if it does.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Disconnect {
     Never,
     Close,
-    EndOfSending,
+    ShutdownWrite,
     Reset,
 }
 
@@ -43,40 +44,40 @@
         match self {
             Disconnect::Never => Some(client),
             Disconnect::Close => None,
-            Disconnect::EndOfSending => {
-                client.shutdown(Shutdown::Write).expect("it is open");
+            Disconnect::ShutdownWrite => {
+                client.shutdown(Shutdown::Write).expect("cannot shut down");
                 Some(client)
             }
             Disconnect::Reset => {
-                SockRef::from(&client).set_linger(Some(Duration::ZERO)).expect("it is open");
+                SockRef::from(&client).set_linger(Some(Duration::ZERO)).expect("cannot set linger");
                 None
             }
         }
     }
 }
 
-/// What an upstream is asked, and what it is to answer.
-struct Asked {
+/// A request that an upstream has received and not answered.
+struct ReceivedRequest {
     stream: TcpStream,
     target: String,
 }
 
-impl Asked {
+impl ReceivedRequest {
     fn answer(mut self, answer: &str) {
-        self.stream.write_all(answer.as_bytes()).expect("the sidecar is there");
+        self.stream.write_all(answer.as_bytes()).expect("cannot write the answer");
     }
 }
 
-const SERVED: &str = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-const TURNED_AWAY: &str = "HTTP/1.1 503 x\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
+const OK_ANSWER: &str = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+const NOT_PROCESSED_ANSWER: &str = "HTTP/1.1 503 x\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
 
-/// An upstream that hands each request to the test. Where it listens.
-fn upstream(asked: mpsc::UnboundedSender<Asked>) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
+/// Starts an upstream that hands each request to the test. Returns its address.
+fn start_upstream(requests: mpsc::UnboundedSender<ReceivedRequest>) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind");
+    let address = listener.local_addr().expect("listener has no address");
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
-            let asked = asked.clone();
+            let requests = requests.clone();
             std::thread::spawn(move || {
                 let (mut head, mut chunk) = (Vec::new(), [0; 1024]);
                 loop {
@@ -88,7 +89,7 @@
                         let text = String::from_utf8_lossy(&std::mem::take(&mut head)).into_owned();
                         let target = text.split(' ').nth(1).unwrap_or_default().to_owned();
                         let Ok(stream) = stream.try_clone() else { return };
-                        if asked.send(Asked { stream, target }).is_err() {
+                        if requests.send(ReceivedRequest { stream, target }).is_err() {
                             return;
                         }
                     }
@@ -99,48 +100,48 @@
     address
 }
 
-/// A driver before two upstreams.
-struct Stage {
-    happenings: mpsc::UnboundedSender<DriverEvent>,
-    asked: mpsc::UnboundedReceiver<Asked>,
-    next: u64,
-    _life: watch::Sender<Lifecycle>,
+/// A driver with two upstreams.
+struct Fixture {
+    events: mpsc::UnboundedSender<DriverEvent>,
+    requests: mpsc::UnboundedReceiver<ReceivedRequest>,
+    last_request_id: u64,
+    _lifecycle: watch::Sender<Lifecycle>,
 }
 
-impl Stage {
-    fn start() -> Stage {
-        let (to_test, asked) = mpsc::unbounded_channel();
-        let upstreams = [0, 1].map(|_| upstream(to_test.clone()));
+impl Fixture {
+    fn start() -> Fixture {
+        let (request_sender, requests) = mpsc::unbounded_channel();
+        let upstreams = [0, 1].map(|_| start_upstream(request_sender.clone()));
         let entries = upstreams.map(|dial| {
             format!(r#"{{"host":"h{}","dial":"{dial}","health":"ready","born_ms":0}}"#, dial.port())
         });
-        let text = format!(r#"{{"seq":1,"whole":true,"hosts":[{}]}}"#, entries.join(","));
-        let known: HostList = serde_json::from_str(&text).expect("a list");
-        let (life, lives) = watch::channel(Lifecycle::new(false, Instant::now()));
-        let (driver, happenings) = Driver::new(DriverConfig {
-            settings: serde_json::from_str(SETTINGS).expect("settings"),
+        let list_text = format!(r#"{{"seq":1,"whole":true,"hosts":[{}]}}"#, entries.join(","));
+        let hosts: HostList = serde_json::from_str(&list_text).expect("invalid host list");
+        let (lifecycle, lifecycle_receiver) = watch::channel(Lifecycle::new(false, Instant::now()));
+        let (driver, events) = Driver::new(DriverConfig {
+            settings: serde_json::from_str(SETTINGS).expect("invalid settings"),
             seed: 1,
-            // Nobody is there.
+            // Nothing listens on the discard port.
             discovery: SocketAddr::from(([127, 0, 0, 1], 9)),
             budgets: Budgets::with_connections(8),
             crossing: None,
             metrics: Arc::new(Metrics::new(std::iter::once("a"))),
             log: Log::process(),
             listener: EventSink::nowhere(),
-            life: lives,
+            life: lifecycle_receiver,
         });
-        tokio::spawn(driver.run(Some(known), None));
-        Stage { happenings, asked, next: 1, _life: life }
+        tokio::spawn(driver.run(Some(hosts), None));
+        Fixture { events, requests, last_request_id: 1, _lifecycle: lifecycle }
     }
 
-    /// A request comes in; its target and where its answer goes.
-    fn arrives(&mut self, client: Option<ClientConnection>) -> (String, oneshot::Receiver<FinalAnswer>) {
-        self.next += 1;
-        let (request, target) = (RequestId(self.next), format!("/a{}", self.next));
+    /// Sends a request to the driver. Returns its target and the receiver of its answer.
+    fn send_request(&mut self, client: Option<ClientConnection>) -> (String, oneshot::Receiver<FinalAnswer>) {
+        self.last_request_id += 1;
+        let (request, target) = (RequestId(self.last_request_id), format!("/a{}", self.last_request_id));
         let (reply, answer) = oneshot::channel();
         let forward = ForwardedRequest {
             method: Method::GET,
-            target: target.parse::<Uri>().expect("a target"),
+            target: target.parse::<Uri>().expect("invalid target"),
             headers: HeaderMap::new(),
             body: RequestBody::Buffered(Default::default()),
             client,
@@ -151,25 +152,28 @@
             tenant: TenantId(0),
             id: target.as_str().into(),
             at: Instant::now(),
-            time_left: LONG,
+            time_left: WAIT_LIMIT,
             forward,
             reply,
         };
         let arrived = DriverEvent::Clients(ClientEvent::Arrived(Box::new(arrival)));
-        assert!(self.happenings.send(arrived).is_ok(), "the driver runs");
+        assert!(self.events.send(arrived).is_ok(), "the driver has ended");
         (target, answer)
     }
 
-    /// The next request at an upstream.
-    async fn asked(&mut self) -> Asked {
-        timeout(LONG, self.asked.recv()).await.expect("in time").expect("upstreams run")
+    /// The next request that an upstream receives.
+    async fn next_request(&mut self) -> ReceivedRequest {
+        timeout(WAIT_LIMIT, self.requests.recv())
+            .await
+            .expect("no request")
+            .expect("the upstreams have ended")
     }
 
-    /// Two requests at once, so that both upstreams have an idle connection.
-    async fn warm_up(&mut self) {
-        let answers = [self.arrives(None).1, self.arrives(None).1];
-        let both = [self.asked().await, self.asked().await];
-        both.into_iter().for_each(|asked| asked.answer(SERVED));
+    /// Sends two requests at once, so that both upstreams have an idle connection afterwards.
+    async fn open_idle_connections(&mut self) {
+        let answers = [self.send_request(None).1, self.send_request(None).1];
+        let received = [self.next_request().await, self.next_request().await];
+        received.into_iter().for_each(|request| request.answer(OK_ANSWER));
         for answer in answers {
             assert!(matches!(answer.await, Ok(FinalAnswer::Served(..))));
         }
@@ -177,45 +181,51 @@
     }
 }
 
-/// A client's connection: as the sidecar owns it, and the client's end.
-fn client() -> (Arc<Mutex<tokio::net::TcpStream>>, TcpStream) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let client = TcpStream::connect(listener.local_addr().expect("an address")).expect("it connects");
-    let (accepted, _) = listener.accept().expect("it came");
-    accepted.set_nonblocking(true).expect("a socket");
-    (Arc::new(Mutex::new(tokio::net::TcpStream::from_std(accepted).expect("a socket"))), client)
+/// A client connection: the sidecar's socket and the client's.
+fn client_connection() -> (Arc<Mutex<tokio::net::TcpStream>>, TcpStream) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("cannot bind");
+    let address = listener.local_addr().expect("listener has no address");
+    let client = TcpStream::connect(address).expect("cannot connect");
+    let (accepted, _) = listener.accept().expect("cannot accept");
+    accepted.set_nonblocking(true).expect("cannot make the socket non-blocking");
+    let accepted = tokio::net::TcpStream::from_std(accepted).expect("cannot register the socket");
+    (Arc::new(Mutex::new(accepted)), client)
 }
 
-/// Guards against a further attempt that goes by the first one's look, or by what the driver has heard.
+/// Guards against a further attempt that relies on the check before the first one, or on the driver being
+/// notified.
 #[tokio::test]
-async fn the_client_is_looked_for_before_the_second_attempt() {
-    for warm in [false, true] {
-        for disconnect in [Disconnect::Never, Disconnect::Close, Disconnect::EndOfSending, Disconnect::Reset]
+async fn second_attempt_is_not_sent_after_the_client_has_disconnected() {
+    for idle_connections in [false, true] {
+        for disconnect in [Disconnect::Never, Disconnect::Close, Disconnect::ShutdownWrite, Disconnect::Reset]
         {
-            let mut stage = Stage::start();
-            if warm {
-                stage.warm_up().await;
+            let mut fixture = Fixture::start();
+            if idle_connections {
+                fixture.open_idle_connections().await;
             }
-            let (socket, client) = client();
-            let (target, answer) = stage.arrives(Some(ClientConnection::from_stream(&socket)));
-            let first = stage.asked().await;
+            let (socket, client) = client_connection();
+            let (target, answer) = fixture.send_request(Some(ClientConnection::from_stream(&socket)));
+            let first = fixture.next_request().await;
             assert_eq!(first.target, target);
-            // Nobody tells the driver.
-            let _held = disconnect.apply(client);
-            first.answer(TURNED_AWAY);
+            // The driver is not notified.
+            let _open_client = disconnect.apply(client);
+            first.answer(NOT_PROCESSED_ANSWER);
             if disconnect == Disconnect::Never {
-                let second = stage.asked().await;
-                assert_eq!(second.target, target, "who stays gets a second attempt");
-                second.answer(SERVED);
+                let second = fixture.next_request().await;
+                assert_eq!(second.target, target, "a connected client gets a second attempt");
+                second.answer(OK_ANSWER);
                 assert!(matches!(answer.await, Ok(FinalAnswer::Served(..))));
                 continue;
             }
-            // It has ended for the driver, too, and nothing more is sent.
-            let ended = timeout(LONG, answer).await.expect("in time").expect("an answer");
-            assert!(!matches!(ended, FinalAnswer::Served(..)), "{disconnect:?}: {ended:?}");
+            // The request has ended for the driver as well, and no further attempt is sent.
+            let answer = timeout(WAIT_LIMIT, answer).await.expect("no answer").expect("the driver has ended");
+            assert!(!matches!(answer, FinalAnswer::Served(..)), "{disconnect:?}: {answer:?}");
             sleep(Duration::from_millis(100)).await;
-            let more = stage.asked.try_recv().map(|asked| asked.target);
-            assert!(more.is_err(), "warm {warm}, {disconnect:?}: sent on as {more:?}");
+            let further = fixture.requests.try_recv().map(|request| request.target);
+            assert!(
+                further.is_err(),
+                "idle connections {idle_connections}, {disconnect:?}: further attempt {further:?}"
+            );
         }
     }
 }
