--- a/crates/sidecar/src/client.rs
+++ b/crates/sidecar/src/client.rs
@@ -96,7 +96,7 @@
         let result = (&*SockRef::from(&*lock(&self.stream))).read(&mut chunk[..max_bytes]);
         match result {
             Ok(read) => {
-                io_counts::read(&Poll::Ready(Ok(())), read);
+                io_counts::record_read(&Poll::Ready(Ok(())), read);
                 let read = &chunk[..read];
                 // An empty read is the end of the stream; hyper sees it as such.
                 let fed = if read.is_empty() { 0 } else { feed(&mut self.framing, &self.activity, read) };
@@ -140,7 +140,7 @@
         while self.read_ahead.len() < MAX_READ_AHEAD_BYTES {
             let mut buffer = ReadBuf::new(&mut chunk);
             let result = Pin::new(&mut *lock(&self.stream)).poll_read(cx, &mut buffer);
-            io_counts::read(&result, buffer.filled().len());
+            io_counts::record_read(&result, buffer.filled().len());
             ready!(result)?;
             if buffer.filled().is_empty() {
                 return Poll::Ready(Ok(()));
@@ -173,7 +173,7 @@
         cx: &mut Context<'_>,
         result: Poll<io::Result<usize>>,
     ) -> Poll<io::Result<usize>> {
-        io_counts::wrote(&result);
+        io_counts::record_write(&result);
         self.activity.set_write_blocked(result.is_pending());
         if result.is_ready() {
             self.write_timeout = None;
@@ -225,7 +225,7 @@
         let before = buf.filled().len();
         let result = Pin::new(&mut *lock(&this.stream)).poll_read(cx, buf);
         let read = buf.filled().get(before..).unwrap_or_default();
-        io_counts::read(&result, read.len());
+        io_counts::record_read(&result, read.len());
         if !read.is_empty() {
             let fed = feed(&mut this.framing, &this.activity, read);
             this.push_read_ahead(&read[fed..]);
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -440,7 +440,7 @@
 impl Drop for DisconnectGuard<'_> {
     fn drop(&mut self) {
         if !self.answered {
-            self.front.events.tell(ClientEvent::Left(self.request));
+            self.front.events.send(ClientEvent::Disconnected(self.request));
         }
     }
 }
@@ -487,9 +487,9 @@
     let (reply, answer) = oneshot::channel();
     let (headers, client) = (end_to_end_headers(&head.headers), activity.client());
     let forward = ForwardedRequest { method: head.method, target, headers, body, client };
-    let arrival = RequestArrival { request, class, tenant, id, at: received_at, time_left, forward, reply };
+    let arrival = RequestArrival { request, class, tenant, id, received_at, time_left, forward, reply };
     let mut guard = DisconnectGuard { request, front, answered: false };
-    front.events.tell(ClientEvent::Arrived(Box::new(arrival)));
+    front.events.send(ClientEvent::Arrived(Box::new(arrival)));
     let answer = answer.await;
     guard.answered = true;
     match answer {
--- a/crates/sidecar/src/front/tests.rs
+++ b/crates/sidecar/src/front/tests.rs
@@ -22,7 +22,7 @@
 fn refusing_front() -> (Arc<Front>, watch::Sender<Lifecycle>) {
     let (lifecycle, lifecycle_receiver) = watch::channel(Lifecycle::new(false, Instant::now()));
     let form = ClassForm { name: "a".to_owned(), effect: Effect::Idempotent, put: false };
-    let events = EventSink::to(|event| {
+    let events = EventSink::from_fn(|event| {
         if let ClientEvent::Arrived(arrival) = event {
             let _ = arrival.reply.send(FinalAnswer::Refused(0.0));
         }
--- a/crates/sidecar/src/metered_stream.rs
+++ b/crates/sidecar/src/metered_stream.rs
@@ -132,10 +132,10 @@
         let exchange = lock(&self.exchange);
         match exchange.request_bytes_written {
             _ if exchange.framing.complete_requests() > 0 || exchange.framing.is_untracked() => {
-                Written::Whole
+                Written::Complete
             }
             0 => Written::Nothing,
-            _ => Written::Part,
+            _ => Written::Partial,
         }
     }
 
@@ -229,7 +229,7 @@
         if self.meter.request_open.load(Ordering::Relaxed) {
             return Ok(());
         }
-        io_counts::read(&Poll::Ready(Ok(())), 0);
+        io_counts::record_read(&Poll::Ready(Ok(())), 0);
         let mut exchange = lock(&self.meter.exchange);
         match client_disconnect::check_before_write(&self.stream, exchange.conditions.as_ref())? {
             ConnectionCheck::Proceed => {
@@ -255,7 +255,7 @@
         parts: &[io::IoSlice<'_>],
         result: Poll<io::Result<usize>>,
     ) -> Poll<io::Result<usize>> {
-        io_counts::wrote(&result);
+        io_counts::record_write(&result);
         if let Poll::Ready(Ok(bytes)) = result {
             self.meter.count_written(parts, bytes);
         }
@@ -288,7 +288,7 @@
     ) -> Poll<io::Result<()>> {
         let before = buf.filled().len();
         let result = Pin::new(&mut self.stream).poll_read(cx, buf);
-        io_counts::read(&result, buf.filled().len() - before);
+        io_counts::record_read(&result, buf.filled().len() - before);
         ready!(result)?;
         Poll::Ready(self.meter.count_read(buf.filled().len() - before))
     }
--- a/crates/sidecar/tests/client_disconnect.rs
+++ b/crates/sidecar/tests/client_disconnect.rs
@@ -124,11 +124,11 @@
             // Nothing listens on the discard port.
             discovery: SocketAddr::from(([127, 0, 0, 1], 9)),
             budgets: Budgets::with_connections(8),
-            crossing: None,
+            cross_zone_budget: None,
             metrics: Arc::new(Metrics::new(std::iter::once("a"))),
             log: Log::process(),
-            listener: EventSink::nowhere(),
-            life: lifecycle_receiver,
+            events: EventSink::discard(),
+            lifecycle: lifecycle_receiver,
         });
         tokio::spawn(driver.run(Some(hosts), None));
         Fixture { events, requests, last_request_id: 1, _lifecycle: lifecycle }
@@ -151,12 +151,12 @@
             class: ClassId(0),
             tenant: TenantId(0),
             id: target.as_str().into(),
-            at: Instant::now(),
+            received_at: Instant::now(),
             time_left: WAIT_LIMIT,
             forward,
             reply,
         };
-        let arrived = DriverEvent::Clients(ClientEvent::Arrived(Box::new(arrival)));
+        let arrived = DriverEvent::Client(ClientEvent::Arrived(Box::new(arrival)));
         assert!(self.events.send(arrived).is_ok(), "the driver has ended");
         (target, answer)
     }
