--- a/crates/sidecar/src/client.rs
+++ b/crates/sidecar/src/client.rs
@@ -55,8 +55,7 @@
     /// Tracks the request that begins with the first read-ahead byte, and how many bytes of it have been fed.
     next_framing: Framing,
     next_framed_bytes: usize,
-    /// Set while the read-ahead buffer is full: when to ask the kernel next whether the client has
-    /// disconnected.
+    /// Set while the read-ahead buffer is full: when to check next whether the client has disconnected.
     disconnect_check: Option<Pin<Box<Sleep>>>,
     /// Set once the write side is shut down: until when to read on, and how many more bytes at most.
     lingering_close: Option<(Pin<Box<Sleep>>, usize)>,
@@ -166,8 +165,7 @@
         }
     }
 
-    /// Records the result of a write, and turns it into an error if the client has taken no bytes for too
-    /// long.
+    /// Records the result of a write, and returns an error if the client has taken no bytes for too long.
     fn check_write(
         &mut self,
         cx: &mut Context<'_>,
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -46,9 +46,8 @@
 const LISTEN_BACKLOG: u32 = 4096;
 /// hyper's read buffer for one connection: a request head must fit into it, and bodies are read through it.
 const READ_BUFFER_BYTES: usize = 32 << 10;
-/// A connection without traffic is closed after this time. Clients keep their connections open indefinitely.
-/// A connection that has never carried a request must be closed within 3 s; one that has may be closed after
-/// 2 s.
+/// A connection without traffic is closed after this time, since clients keep theirs open indefinitely. It
+/// must be closed within 3 s if it has never carried a request, and may be closed after 2 s otherwise.
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2_200);
 /// A connection is evicted for a new one only after this time without an open request. Before that its last
 /// answer may still be on its way to the client, or its first request on its way to the sidecar.
@@ -57,11 +56,10 @@
 /// send one request and keep the connection open, and the platform grants all clients at most a third of the
 /// descriptors: without this bound such connections would use up that share until their idle timeout.
 const QUIET_CONNECTIONS_DIVISOR: usize = 3;
-/// How often a connection that is to be closed is rechecked while its client is in the middle of a request
-/// head.
+/// How often a connection that is to be closed is rechecked while a request head on it is incomplete.
 const PARTIAL_HEAD_RECHECK_INTERVAL: Duration = Duration::from_millis(50);
-/// A connection answered less than this long ago is not closed as excess: its client may be about to use it
-/// again.
+/// A connection answered less than this long ago is not closed as excess: its client may be about to reuse
+/// it.
 const MIN_QUIET_BEFORE_TRIM: Duration = Duration::from_millis(50);
 /// New connections that may be accepted above the limit while evicted ones are still closing.
 const MAX_CONNECTIONS_ABOVE_LIMIT: usize = 8;
@@ -83,7 +81,7 @@
     pub tenants: Vec<String>,
 }
 
-/// Shared by all client connections. It holds no request state: the driver alone owns that.
+/// The state shared by all client connections. It holds no requests: the driver alone owns those.
 pub struct Front {
     /// The class and tenant names that requests may use.
     pub names: RequestNames,
@@ -99,8 +97,8 @@
     pub metrics: Arc<Metrics>,
     /// Receives errors of the listener.
     pub log: Log,
-    /// The next request id for the decision module. Client-supplied ids may repeat, so they are not used for
-    /// this.
+    /// The next request id for the decision module. Ids supplied by clients are not used, since they may
+    /// repeat.
     next_request_id: AtomicU64,
 }
 
@@ -141,9 +139,9 @@
 }
 
 impl OpenConnections {
-    /// Has the longest quiet connection closed: preferably one that holds nothing, otherwise one in the
-    /// middle of a request. A connection that waits for an answer is never evicted. The sidecar cannot tell
-    /// honest clients from others. Returns whether there was a connection to evict.
+    /// Has the connection closed that has been quiet longest: preferably one that holds nothing, otherwise
+    /// one in the middle of a request. The sidecar cannot tell honest clients from others, so a connection
+    /// that waits for an answer is never evicted. Returns whether there was a connection to evict.
     fn evict_one(&self) -> bool {
         let now = Instant::now();
         let already_chosen =
@@ -160,8 +158,9 @@
         true
     }
 
-    /// Has the longest quiet connections closed, of those that have carried requests, until `max_quiet` are
-    /// left. Returns when to trim again if some of them were answered too recently to be closed.
+    /// Of the quiet connections that have carried requests, has those closed that have been quiet longest,
+    /// until
+    /// `max_quiet` are left. Returns when to trim again if some were answered too recently to be closed.
     fn trim_quiet(&self, max_quiet: usize) -> Option<Instant> {
         if self.by_task.len() <= max_quiet {
             return None;
@@ -183,10 +182,11 @@
 }
 
 /// Accepts and serves clients until the lifecycle is closing, the accept queue is empty and all connections
-/// are closed. At the connection limit, a new connection replaces one without an open request. As soon as the
-/// closing instance finds the accept queue empty, it drops the listener and calls `on_listener_released`,
-/// even if open requests take longer: later clients are to be refused by the kernel instead of waiting in the
-/// queue.
+/// are closed. At the connection limit, a new connection replaces one without an open request.
+///
+/// Once the lifecycle is closing and the accept queue is empty, the listener is dropped and
+/// `on_listener_released` is called, even if open requests take longer: the kernel is to refuse later clients
+/// instead of letting them wait in the queue.
 pub async fn serve(listener: Arc<TcpListener>, front: Arc<Front>, on_listener_released: impl FnOnce()) {
     let mut lifecycle = front.lifecycle.clone();
     let mut open = OpenConnections { epoch: Instant::now(), by_task: HashMap::new() };
@@ -239,8 +239,7 @@
     open: &mut OpenConnections,
     tasks: &mut JoinSet<()>,
 ) -> Option<Instant> {
-    // Another generation may have taken the last permit meanwhile; then this connection slightly exceeds the
-    // limit.
+    // Another generation may have taken the last permit meanwhile; then this connection exceeds the limit.
     let permit = front.connections.try_acquire_beyond(MAX_CONNECTIONS_ABOVE_LIMIT);
     let activity = Arc::new(ConnectionActivity::new(open.epoch));
     let (task_front, task_activity) = (front.clone(), activity.clone());
@@ -270,6 +269,7 @@
     }
 }
 
+/// Accepts a connection; never ready without a listener.
 async fn accept(listener: Option<&TcpListener>) -> std::io::Result<(TcpStream, std::net::SocketAddr)> {
     match listener {
         Some(listener) => listener.accept().await,
@@ -335,8 +335,7 @@
             // Reads before it checks the time: a request that waits in the socket of an idle connection when
             // that is closed would have to be sent again.
             biased;
-            // Errors are clients that disconnected or sent malformed requests; hyper has answered them where
-            // possible.
+            // Errors are disconnects and malformed requests; hyper has answered those where possible.
             _ = connection.as_mut() => return,
             changed = lifecycle.changed() => {
                 drain_close_at = match changed {
@@ -392,8 +391,8 @@
             (contents, _) => contents,
         };
         let action = match connection_close::close_action(reason, contents) {
-            // A client that has just sent bytes is neither idle nor quiet; another connection is evicted
-            // instead.
+            // A client that has just sent bytes is neither idle nor quiet; the next eviction takes another
+            // one.
             CloseAction::Shutdown | CloseAction::CloseNow
                 if bytes_arrived
                     && !matches!(reason, CloseReason::Draining | CloseReason::ShutdownImminent) =>
@@ -405,8 +404,7 @@
         let now = Instant::now();
         match action {
             CloseAction::Keep => {
-                // A client in the middle of a head gets the usual time for it; pipelined requests are
-                // answered.
+                // A client gets the usual time to complete a head, and pipelined requests are answered.
                 let close_due = contents != ConnectionContents::PipelinedRequests
                     && activity.head_since().is_none_or(|head_began| head_began + HEAD_TIMEOUT <= now);
                 match (reason, close_due) {
@@ -430,7 +428,8 @@
     }
 }
 
-/// Notifies the driver if the client disconnects before its answer: then hyper drops the request's future.
+/// Notifies the driver if it is dropped before the answer: hyper drops the future of a request whose client
+/// disconnects.
 struct DisconnectGuard<'a> {
     request: RequestId,
     front: &'a Front,
@@ -448,6 +447,7 @@
 /// Status and reason with which a malformed request is rejected.
 type Rejection = (StatusCode, &'static str);
 
+/// Answers `/up`, rejects malformed requests, and hands all others to the driver and waits for their answers.
 async fn handle_request(
     request: Request<Incoming>,
     front: &Front,
--- a/crates/sidecar/src/lifecycle.rs
+++ b/crates/sidecar/src/lifecycle.rs
@@ -3,7 +3,7 @@
 //!
 //! | stage | open | evacuate | rejoin | close | hand over | time passes |
 //! | --- | --- | --- | --- | --- | --- | --- |
-//! | standby | serving, or evacuating | stored until open | revokes evacuate | draining | handed over | - |
+//! | standby | serving, or evacuating | stored until open | cancels a stored evacuation | draining | handed over | - |
 //! | serving | - | evacuating | - | draining | handed over | - |
 //! | evacuating | - | - | serving | draining | handed over | - |
 //! | draining | - | stored | refused | - | handed over | closing |
@@ -33,7 +33,7 @@
 pub enum Stage {
     /// Not accepting yet: a predecessor that listens on the same socket accepts the clients.
     Standby,
-    /// Serving.
+    /// Accepting clients and answering their requests.
     Serving,
     /// Evacuated by the operators: `/up` answers 503, every answer closes its connection, and the instance
     /// may rejoin.
@@ -49,7 +49,7 @@
 /// How an instance is to end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Drain {
-    /// The listener is closed: accept connections that are on their way for a while, then finish open
+    /// For a while, accept connections that are on their way; then release the listener and finish open
     /// requests.
     Close {
         /// How long connections are still accepted.
@@ -75,7 +75,7 @@
     Evacuate,
     /// Accept clients again after an evacuation, unless the instance is ending.
     Rejoin,
-    /// End.
+    /// Stop accepting clients and end.
     Drain(Drain),
 }
 
@@ -163,8 +163,7 @@
         (self.stage, self.stage_since, self.closing_at) = (stage, now, None);
     }
 
-    /// When the lifecycle next depends on the time: [`Lifecycle::advance`] and [`Lifecycle::is_overdue`] are
-    /// due then.
+    /// When [`Lifecycle::advance`] or [`Lifecycle::is_overdue`] must be called next.
     pub fn next_deadline(&self) -> Option<Instant> {
         self.closing_at.into_iter().chain(self.end_by).min()
     }
--- a/crates/sidecar/src/metered_stream.rs
+++ b/crates/sidecar/src/metered_stream.rs
@@ -247,8 +247,7 @@
         }
     }
 
-    /// Records the result of a write, and turns it into an error if the upstream has taken no bytes for too
-    /// long.
+    /// Records the result of a write, and returns an error if the upstream has taken no bytes for too long.
     fn check_write(
         &mut self,
         cx: &mut Context<'_>,
--- a/crates/sidecar/src/request_bound.rs
+++ b/crates/sidecar/src/request_bound.rs
@@ -26,8 +26,7 @@
 pub const ATTEMPT_MARGIN: Duration = Duration::from_millis(3);
 /// The driver fails a request this much before the deadline if the decision module has not ended it by then.
 pub const FINAL_ANSWER_MARGIN: Duration = Duration::from_micros(1_500);
-/// An answer that is later than this after its deadline counts as lost; one that is late by less has no
-/// worth.
+/// An answer later than this after its deadline counts as lost; a less late one has no worth.
 pub const LATE_ANSWER_LIMIT: Duration = Duration::from_millis(500);
 /// A streamed answer may go on for this long after its deadline without progress. This is half of
 /// [`LATE_ANSWER_LIMIT`]; the other half is for a process that gets little processor time.
@@ -128,7 +127,7 @@
     RequestTimeout,
     /// The answer of another attempt if the class allows one and there is time, otherwise 502.
     AnotherAttempt,
-    /// 502.
+    /// 502: there is no time for another attempt.
     BadGateway,
     /// A visibly truncated answer.
     TruncatedAnswer,
--- a/crates/sidecar/src/transfer/framing.rs
+++ b/crates/sidecar/src/transfer/framing.rs
@@ -1,13 +1,12 @@
-//! Finds where the requests in a byte stream begin and end (RFC 9112, 6 and 7), both for a client's stream and
-//! for our own to an upstream, and whether a request has two framings. hyper parses the stream as well, but drops
-//! a `Content-Length` beside `Transfer-Encoding`, so that the code behind it cannot detect that. Pure: it takes
-//! bytes, cut at any place. Where it cannot follow the stream, hyper rejects the request as well, and the rest of
-//! the stream is ignored.
+//! Finds where the requests in a byte stream begin and end (RFC 9112, 6 and 7), both for a client's stream
+//! and for our own to an upstream, and whether a request has two framings. hyper parses the stream as well,
+//! but drops a `Content-Length` beside `Transfer-Encoding`, so that the code behind it cannot detect that.
+//! Pure: it takes bytes, cut at any place. Where it cannot follow the stream, hyper rejects the request as
+//! well, and the rest of the stream is ignored.
 
 use memchr::memchr;
 
-/// Bytes kept of each line of a head: enough for the header names that matter and the number behind one of
-/// them.
+/// Bytes kept of each line of a head: enough for the framing headers and their values.
 const KEPT_LINE_BYTES: usize = 64;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/sidecar/src/transfer/stall_timeout.rs
+++ b/crates/sidecar/src/transfer/stall_timeout.rs
@@ -74,8 +74,7 @@
 mod tests {
     use super::*;
 
-    /// Lets answers pass that each pause once for `gap`, and returns how many of them the stall timeout cut
-    /// off.
+    /// Lets answers pass that each pause once for `gap`. Returns how many of them were cut off.
     fn cut_off_answers(timeout: &StallTimeout, answers: usize, gap: Duration) -> usize {
         let mut cut_off = 0;
         for _ in 0..answers {
@@ -96,8 +95,7 @@
         let timeouts: Vec<Duration> = (0..8).map(|_| timeout.next_timeout()).collect();
         assert_eq!(timeouts.iter().filter(|timeout| **timeout == MIN_STALL_TIMEOUT).count(), 7);
         assert_eq!(timeouts.iter().filter(|timeout| **timeout == MAX_STALL_TIMEOUT).count(), 1);
-        // Servers begin to pause for longer than the timeout: few answers are cut off before the estimate has
-        // grown.
+        // When servers begin to pause for longer, few answers are cut off before the estimate has grown.
         let cut_off = cut_off_answers(&timeout, 1_000, Duration::from_millis(400));
         assert!(cut_off <= 8, "{cut_off} answers were cut off");
         let cut_off = cut_off_answers(&timeout, 1_000, Duration::from_millis(1_900));
