--- a/crates/sidecar/src/front/tests.rs
+++ b/crates/sidecar/src/front/tests.rs
@@ -1,6 +1,6 @@
 //! Requests and connections that arrive at the moment in which their connection or the listener is to be
-//! closed. The runtime has one thread: it learns of the bytes only after the connection was told to close, so
-//! every run has the race.
+//! closed. The runtime has one thread and learns of the bytes only after the connection was notified to close,
+//! so the race occurs in every run.
 
 use std::io::{Read, Write};
 
--- a/crates/sidecar/src/upstream.rs
+++ b/crates/sidecar/src/upstream.rs
@@ -57,7 +57,7 @@
     /// All of it.
     Complete(Answer),
     /// The head and the first bytes of an answer that is to be streamed. Has a permit if the answer was held
-    /// for longer than [`SHORT_HOLD`].
+    /// for longer than [`MIN_HOLD`].
     Streaming {
         head: Parts,
         first: Bytes,
@@ -81,7 +81,7 @@
     head_at: Instant,
     until: Instant,
     pace: Pace,
-    /// Taken when the hold lasts for longer than [`SHORT_HOLD`]. A streamed answer keeps the permit of its
+    /// Taken when the hold lasts for longer than [`MIN_HOLD`]. A streamed answer keeps the permit of its
     /// hold.
     permit: Option<TransferPermit>,
 }
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Extends the hold after [`SHORT_HOLD`], if a permit is available. Returns whether it was extended.
+    /// Extends the hold after [`MIN_HOLD`], if a permit is available. Returns whether it was extended.
     fn extend(&mut self) -> bool {
         if self.permit.is_some() {
             return false;
