--- a/crates/sidecar/src/driver.rs
+++ b/crates/sidecar/src/driver.rs
@@ -22,7 +22,7 @@
 use crate::cross_zone_budget::CrossZoneBudget;
 use crate::discovery::{AbortOnDrop, DiscoveryEvent, Watch};
 use crate::handover::message::{HandoverState, ServerState, SettingNames};
-use crate::headers::end_to_end;
+use crate::headers::end_to_end_headers;
 use crate::hosts::HostList;
 use crate::lifecycle;
 use crate::log::Log;
@@ -522,7 +522,8 @@
             UpstreamEvent::ProbeEnded { upstream, answer } => {
                 let answered = answer.as_ref().is_some_and(|answer| answer.status == 200);
                 let answer = answer.filter(|_| answered);
-                let text = answer.as_ref().and_then(|answer| std::str::from_utf8(answer.body.whole()?).ok());
+                let text =
+                    answer.as_ref().and_then(|answer| std::str::from_utf8(answer.body.buffered()?).ok());
                 let report = text.and_then(|text| report_from_text(&self.report_columns, text));
                 self.send_to_module(Event::ProbeFinished { upstream, answered, report });
             }
@@ -616,7 +617,8 @@
         if !is_upload {
             self.mark_received(request, received_at);
         }
-        let time_left = deadline.attempts_by().saturating_duration_since(Instant::now()).as_secs_f64() * 1e3;
+        let time_left =
+            deadline.attempts_due_by().saturating_duration_since(Instant::now()).as_secs_f64() * 1e3;
         self.send_to_module(Event::RequestArrived { request, class, tenant, time_left });
     }
 
@@ -626,7 +628,7 @@
             return;
         };
         // A request that arrives late in the life of the process is answered before the process ends.
-        let process_ends = self.lifecycle.borrow().answer_by();
+        let process_ends = self.lifecycle.borrow().answers_due_by();
         let deadline = Deadline::new(received_at, open.time_left, process_ends);
         self.metrics.taken(open.class);
         let backstop =
@@ -640,7 +642,7 @@
     /// Shortens the deadlines of received requests that lie beyond the end of the process, once that end is
     /// known. Other requests get their deadlines when they are received.
     fn shorten_deadlines_to_process_end(&mut self) {
-        let Some(process_ends) = self.lifecycle.borrow_and_update().answer_by() else { return };
+        let Some(process_ends) = self.lifecycle.borrow_and_update().answers_due_by() else { return };
         let too_late = self
             .open_requests
             .iter()
@@ -648,7 +650,7 @@
         let to_shorten: Vec<RequestId> = too_late.map(|(request, _)| *request).collect();
         for request in to_shorten {
             let Some(open) = self.open_requests.get_mut(&request) else { continue };
-            open.deadline = open.deadline.ending_by(process_ends);
+            open.deadline = open.deadline.capped_at(process_ends);
             let (old_backstop, new_bound) =
                 (open.backstop.take(), bound(RequestState::Queued(open.deadline)));
             if let Some(timer) = old_backstop {
@@ -664,11 +666,11 @@
     /// Handles a change in the upload that an attempt forwards.
     fn handle_upload_state(&mut self, attempt: AttemptInfo, state: UploadState) {
         let AttemptInfo { request, number, .. } = attempt;
-        if let UploadState::Whole(received_at) = state {
+        if let UploadState::Complete(received_at) = state {
             self.mark_received(request, received_at);
         }
         if self.in_flight.contains_key(&(request, number)) {
-            let in_progress = state == UploadState::Coming;
+            let in_progress = state == UploadState::Receiving;
             self.send_to_module(Event::UploadProgress { request, attempt: number, in_progress });
         }
     }
@@ -778,11 +780,11 @@
         let number = AttemptNo(open.attempt_count);
         open.attempt_count += 1;
         let body_bytes = open.forward.body.length().unwrap_or(0);
-        let body_is_spent = open.forward.body.upload().is_some_and(|upload| !upload.can_be_sent());
+        let body_is_spent = open.forward.body.upload().is_some_and(|upload| !upload.is_sendable());
         let timeout = Duration::try_from_secs_f64(timeout / 1e3).unwrap_or_default();
         let attempt_deadline = match now.checked_add(timeout) {
-            Some(deadline) if !timeout.is_zero() => deadline.min(open.deadline.attempts_by()),
-            _ => open.deadline.attempts_by(),
+            Some(deadline) if !timeout.is_zero() => deadline.min(open.deadline.attempts_due_by()),
+            _ => open.deadline.attempts_due_by(),
         };
         let (aim_at, client_deadline) = (open.aim_at, open.deadline.at());
         let incarnation = self.servers.get(upstream).map_or(0, |server| server.incarnation);
@@ -854,12 +856,12 @@
 
     /// A permit for one more connection. If none is available, the longest idle connection is closed for it.
     fn connection_permit(&mut self, address: SocketAddr) -> Option<UpstreamPermit> {
-        if let Some(permit) = self.budgets.permit(address) {
+        if let Some(permit) = self.budgets.upstream_permit(address) {
             return Some(permit);
         }
         let pools = self.servers.pools().filter(|pool| pool.oldest_idle_since().is_some());
         pools.min_by_key(|pool| pool.oldest_idle_since())?.close_oldest();
-        self.budgets.permit(address)
+        self.budgets.upstream_permit(address)
     }
 
     fn handle_connect_result(&mut self, attempt: AttemptInfo, result: Result<Box<Connection>, String>) {
@@ -897,7 +899,7 @@
         let body = open.forward.body.clone();
         let client = open.forward.client.clone();
         let write_conditions =
-            client.map(|client| WriteConditions { client, until: attempt.attempt_deadline });
+            client.map(|client| WriteConditions { client, expires_at: attempt.attempt_deadline });
         let (cancel_on_drop, cancelled) = oneshot::channel();
         if let Some(in_flight) = self.in_flight.get_mut(&key) {
             in_flight.cancel_on_drop = Some(cancel_on_drop);
@@ -949,12 +951,12 @@
         let upload_state = self
             .open_requests
             .get(&attempt.request)
-            .and_then(|open| Some(open.forward.body.upload()?.fate()));
+            .and_then(|open| Some(open.forward.body.upload()?.state()));
         // A server begins to work on a request when its last byte arrives.
         let work_started_at = match upload_state {
             None => Some(in_flight.started_at),
-            Some(UploadState::Whole(received_at)) => Some(received_at.max(in_flight.started_at)),
-            Some(UploadState::Coming | UploadState::Broken(_)) => None,
+            Some(UploadState::Complete(received_at)) => Some(received_at.max(in_flight.started_at)),
+            Some(UploadState::Receiving | UploadState::Failed(_)) => None,
         };
         let latency = work_started_at.map_or(0.0, |started_at| started_at.elapsed().as_secs_f64() * 1e3);
         let report = answer.as_ref().and_then(|answer| {
@@ -970,7 +972,7 @@
         // The first answer ends the request without a decision of the module. So does an answer that finds
         // the request invalid, since every upstream would.
         let mut client_answered = !self.open_requests.contains_key(&attempt.request);
-        if let Some(UploadState::Broken(status)) = upload_state {
+        if let Some(UploadState::Failed(status)) = upload_state {
             client_answered = true;
             self.finish_request(attempt.request, FinalAnswer::Rejected(status));
         }
@@ -1100,7 +1102,7 @@
 
 /// The headers of an upstream's answer that are passed on to the client.
 fn client_headers(headers: &HeaderMap) -> HeaderMap {
-    let mut forwarded = end_to_end(headers);
+    let mut forwarded = end_to_end_headers(headers);
     forwarded.remove("x-server-load");
     forwarded
 }
--- a/crates/sidecar/src/upstream.rs
+++ b/crates/sidecar/src/upstream.rs
@@ -25,9 +25,9 @@
 use crate::metrics::{Metrics, RequestOutcome};
 use crate::request_bound::{RequestState, bound};
 use crate::transfer::answer::{self, AnswerBody, AnswerStream};
-use crate::transfer::answer_hold::{AnswerLengths, HoldTimes, Pace, SHORT_HOLD, hold_until};
+use crate::transfer::answer_hold::{AnswerLengths, HoldTimes, MIN_HOLD, Pace, hold_until};
 use crate::transfer::body_buffer::BodyBuffer;
-use crate::transfer::limits::{self, BodyHandling, WHOLE_BYTES};
+use crate::transfer::limits::{self, BodyHandling, MAX_BUFFERED_BODY_BYTES};
 use crate::transfer::request_body::{AttemptBody, RequestBody};
 use crate::transfer::stall_timeout::StallTimeout;
 use crate::transfer::upload::{Upload, UploadState};
@@ -57,7 +57,7 @@
     /// All of it.
     Complete(Answer),
     /// The head and the first bytes of an answer that is to be streamed. Has a permit if the answer was held
-    /// for longer than [`SHORT_HOLD`].
+    /// for longer than [`MIN_HOLD`].
     Streaming {
         head: Parts,
         first: Bytes,
@@ -81,7 +81,7 @@
     head_at: Instant,
     until: Instant,
     pace: Pace,
-    /// Taken when the hold lasts for longer than [`SHORT_HOLD`]. A streamed answer keeps the permit of its
+    /// Taken when the hold lasts for longer than [`MIN_HOLD`]. A streamed answer keeps the permit of its
     /// hold.
     permit: Option<TransferPermit>,
 }
@@ -89,7 +89,7 @@
 impl<'a> AnswerHold<'a> {
     fn new(context: &'a HoldContext<'a>) -> AnswerHold<'a> {
         let head_at = Instant::now();
-        AnswerHold { context, head_at, until: head_at + SHORT_HOLD, pace: Pace::new(head_at), permit: None }
+        AnswerHold { context, head_at, until: head_at + MIN_HOLD, pace: Pace::new(head_at), permit: None }
     }
 
     /// Returns when the answer should no longer be held. An answer that has stalled is held until its next
@@ -102,26 +102,26 @@
             }
             let now = Instant::now();
             // Without a permit the answer is streamed even if it may be short.
-            if self.pace.is_coming(now) && (self.permit.is_none() || self.pace.may_be_long(now)) {
+            if self.pace.is_progressing(now) && (self.permit.is_none() || self.pace.may_be_long(now)) {
                 return;
             }
             std::future::pending::<()>().await;
         }
     }
 
-    /// Extends the hold after [`SHORT_HOLD`], if a permit is available. Returns whether it was extended.
+    /// Extends the hold after [`MIN_HOLD`], if a permit is available. Returns whether it was extended.
     fn extend(&mut self) -> bool {
         if self.permit.is_some() {
             return false;
         }
         let HoldContext { attempt, shared } = self.context;
-        self.permit = shared.transfers.take();
+        self.permit = shared.transfers.try_acquire();
         if self.permit.is_none() {
             shared.metrics.unheld_answers.fetch_add(1, Ordering::Relaxed);
             return false;
         }
         let (aim_at, attempt_until) = (attempt.aim_at, attempt.attempt_deadline);
-        let times = HoldTimes { head_at: self.head_at, aim_at, attempt_until };
+        let times = HoldTimes { head_at: self.head_at, aim_at, attempt_times_out_at: attempt_until };
         self.until = hold_until(times, shared.answer_lengths.long_expected());
         true
     }
@@ -136,16 +136,16 @@
     hold_context: Option<&HoldContext<'_>>,
 ) -> Result<Received, ExchangeError> {
     let informational_meter = meter.clone();
-    hyper::ext::on_informational(&mut request, move |_| informational_meter.answer_is_to_come());
+    hyper::ext::on_informational(&mut request, move |_| informational_meter.mark_interim_answer());
     let response = sender.send_request(request).await.map_err(|_| ExchangeError::ConnectionLost)?;
-    meter.answer_has_begun();
+    meter.mark_answer_started();
     let (head, mut body): (_, Incoming) = Response::into_parts(response);
     if let Some(reason) = malformed_reason(&head) {
         return Err(ExchangeError::Malformed(reason));
     }
     let length = body.size_hint().exact();
     let served = head.status == StatusCode::OK;
-    let handling = match limits::plan(length) {
+    let handling = match limits::body_handling(length) {
         BodyHandling::TooLong if served => return Err(ExchangeError::Malformed("the answer is too long")),
         // Of an answer that did not serve the request, only the status is passed on.
         BodyHandling::TooLong | BodyHandling::Stream if !served => {
@@ -153,7 +153,8 @@
         }
         handling => handling,
     };
-    let mut hold = hold_context.filter(|_| handling == BodyHandling::Wait && served).map(AnswerHold::new);
+    let mut hold =
+        hold_context.filter(|_| handling == BodyHandling::UnknownLength && served).map(AnswerHold::new);
     let mut buffer = BodyBuffer::default();
     loop {
         let frame = tokio::select! {
@@ -163,30 +164,32 @@
         };
         match frame {
             None => {
-                meter.answered();
+                meter.mark_answer_complete();
                 // Answers that complete within the short hold say nothing about the length of those that do
                 // not.
                 if let Some(AnswerHold { context, permit: Some(_), .. }) = &hold {
-                    context.shared.answer_lengths.learn(false);
+                    context.shared.answer_lengths.record(false);
                 }
-                let (Parts { status, headers, .. }, body) = (head, AnswerBody::Whole(buffer.take()));
+                let (Parts { status, headers, .. }, body) = (head, AnswerBody::Buffered(buffer.take()));
                 return Ok(Received::Complete(Answer { status, headers, body }));
             }
             Some(Ok(frame)) => {
                 // Trailers apply to one hop only and are dropped.
                 if let Ok(data) = frame.into_data() {
                     if let Some(hold) = &mut hold {
-                        hold.pace.piece(Instant::now(), data.len());
+                        hold.pace.record_piece(Instant::now(), data.len());
                     }
-                    buffer.add(data, length);
+                    buffer.push(data, length);
                 }
             }
             Some(Err(_)) => return Err(ExchangeError::ConnectionLost),
         }
-        let is_long = buffer.length() > WHOLE_BYTES;
+        let is_long = buffer.length() > MAX_BUFFERED_BODY_BYTES;
         match handling {
-            BodyHandling::Wait if is_long && !served => return Ok(Received::HeadOnly(without_body(head))),
-            BodyHandling::Wait if is_long => break,
+            BodyHandling::UnknownLength if is_long && !served => {
+                return Ok(Received::HeadOnly(without_body(head)));
+            }
+            BodyHandling::UnknownLength if is_long => break,
             BodyHandling::Stream => break,
             _ => {}
         }
@@ -198,7 +201,7 @@
 /// An answer with this head and an empty body.
 fn without_body(head: Parts) -> Answer {
     let Parts { status, headers, .. } = head;
-    Answer { status, headers, body: AnswerBody::Whole(Bytes::new()) }
+    Answer { status, headers, body: AnswerBody::Buffered(Bytes::new()) }
 }
 
 /// Returns when the hold is over; never if there is none.
@@ -213,10 +216,10 @@
 /// `waiting_for_permit` is set nothing is read, so that the upstream is not to blame for the pause.
 async fn answer_stalled(meter: &Meter, stall_timeout: &StallTimeout, waiting_for_permit: &AtomicBool) {
     loop {
-        meter.answer_began().await;
-        let limit = stall_timeout.limit();
-        while meter.is_answering() {
-            let until = meter.read_at() + limit;
+        meter.wait_for_answer_start().await;
+        let limit = stall_timeout.next_timeout();
+        while meter.is_answer_started() {
+            let until = meter.last_read_at() + limit;
             if waiting_for_permit.load(Ordering::Relaxed) {
                 return std::future::pending().await;
             }
@@ -346,12 +349,12 @@
     }
     let (meter, local_port) = (connection.meter.clone(), connection.local_port);
     let client_waits = attempt.client_deadline.saturating_duration_since(Instant::now());
-    meter.begin(Some((context.metrics.clone(), context.stall_timeout.clone())), write_conditions);
+    meter.begin_exchange(Some((context.metrics.clone(), context.stall_timeout.clone())), write_conditions);
     let upload = body.upload().cloned();
     *request.body_mut() = match body {
-        RequestBody::Whole(bytes) => AttemptBody::Whole(Full::new(bytes)),
-        RequestBody::Upload(upload) => match Upload::body(&upload) {
-            Some(body) => AttemptBody::Passing(body),
+        RequestBody::Buffered(bytes) => AttemptBody::Buffered(Full::new(bytes)),
+        RequestBody::Upload(upload) => match Upload::take_stream(&upload) {
+            Some(body) => AttemptBody::Stream(body),
             None => {
                 events.send(UpstreamEvent::Ended {
                     attempt,
@@ -370,7 +373,7 @@
             // Until a permit is available, an answer to be streamed waits unread at its upstream.
             if let Received::Streaming { permit: permit @ None, .. } = &mut received {
                 waiting_for_permit.store(true, Ordering::Relaxed);
-                *permit = context.transfers.wait().await;
+                *permit = context.transfers.acquire().await;
             }
             Ok(received)
         };
@@ -378,15 +381,15 @@
             biased;
             result = exchange => match result {
                 Ok(Received::Complete(answer)) => {
-                    context.stall_timeout.whole();
+                    context.stall_timeout.record_complete_answer();
                     let marked = execution::is_marked_not_processed(&answer.headers);
                     let kind = execution::classify_answer(answer.status, marked);
                     let termination = Termination::Answered(kind);
                     // An upstream that answers early keeps reading the request. Unless all of the request was
                     // written, the connection is closed below, so that the rest cannot arrive any more.
-                    if meter.request() == Written::Complete {
+                    if meter.request_written() == Written::Complete {
                         let end = attempt_end(termination, Written::Complete, Some(answer));
-                        let wire = WireUsage { local_port, bytes_written: meter.taken() };
+                        let wire = WireUsage { local_port, bytes_written: meter.request_bytes_written() };
                         events.send(UpstreamEvent::Ended { attempt, end, wire });
                         let connection = connection.into_idle().await;
                         return return_connection(connection, attempt.upstream, attempt.incarnation, &events);
@@ -410,12 +413,12 @@
                             });
                         }
                     });
-                    let deadline = match upload.as_deref().map(Upload::fate) {
-                        Some(UploadState::Whole(received_at)) => received_at + client_waits,
+                    let deadline = match upload.as_deref().map(Upload::state) {
+                        Some(UploadState::Complete(received_at)) => received_at + client_waits,
                         _ => attempt.client_deadline,
                     };
                     let estimates = answer::StreamEstimates {
-                        patience: context.stall_timeout.clone(),
+                        stall_timeout: context.stall_timeout.clone(),
                         lengths: context.answer_lengths.clone(),
                     };
                     let parts = answer::StreamParts {
@@ -423,21 +426,21 @@
                         rest,
                         length,
                         connection,
-                        end: on_end,
-                        room: permit,
+                        on_end,
+                        permit,
                         deadline,
-                        learnt: estimates,
+                        estimates,
                     };
                     let body = AnswerBody::Stream(Box::new(AnswerStream::new(parts)));
                     let answer = Answer { status: head.status, headers: head.headers, body };
                     let end = AttemptEnd::Outcome(Outcome::Ok, Some(answer));
-                    let wire = WireUsage { local_port, bytes_written: meter.taken() };
+                    let wire = WireUsage { local_port, bytes_written: meter.request_bytes_written() };
                     events.send(UpstreamEvent::Ended { attempt, end, wire });
                     return;
                 }
                 Ok(Received::Streaming { permit: None, .. }) => (Termination::Malformed, None),
                 Err(ExchangeError::ConnectionLost)
-                    if upload.as_ref().is_some_and(|upload| upload.is_broken()) =>
+                    if upload.as_ref().is_some_and(|upload| upload.has_failed()) =>
                 {
                     (Termination::BodyIncomplete, None)
                 }
@@ -461,8 +464,8 @@
     let was_reused = connection.was_used;
     connection.close().await;
     // A client that has disconnected must not count against the upstream.
-    let termination = if meter.is_unwanted() { Termination::Cancelled } else { termination };
-    let written = meter.request();
+    let termination = if meter.is_request_obsolete() { Termination::Cancelled } else { termination };
+    let written = meter.request_written();
     let execution = execution::execution(termination, written);
     let end = match execution::is_stale_connection(termination, execution, was_reused) {
         true => AttemptEnd::StaleConnection,
@@ -471,7 +474,7 @@
     events.send(UpstreamEvent::Ended {
         attempt,
         end,
-        wire: WireUsage { local_port, bytes_written: meter.taken() },
+        wire: WireUsage { local_port, bytes_written: meter.request_bytes_written() },
     });
 }
 
@@ -486,16 +489,16 @@
     let until = bound(RequestState::Sent(attempt.times())).at;
     let Some(upload) = upload else { return sleep_until(until).await };
     let timeout = until.saturating_duration_since(Instant::now());
-    if upload.fate() == UploadState::Coming {
-        events.send(UpstreamEvent::UploadStateChanged(*attempt, UploadState::Coming));
+    if upload.state() == UploadState::Receiving {
+        events.send(UpstreamEvent::UploadStateChanged(*attempt, UploadState::Receiving));
     }
-    match upload.settled().await {
-        UploadState::Whole(received_at) => {
-            events.send(UpstreamEvent::UploadStateChanged(*attempt, UploadState::Whole(received_at)));
+    match upload.wait_until_settled().await {
+        UploadState::Complete(received_at) => {
+            events.send(UpstreamEvent::UploadStateChanged(*attempt, UploadState::Complete(received_at)));
             sleep_until(received_at + timeout).await;
         }
         // The incomplete body ends the exchange.
-        UploadState::Coming | UploadState::Broken(_) => std::future::pending().await,
+        UploadState::Receiving | UploadState::Failed(_) => std::future::pending().await,
     }
 }
 
@@ -517,7 +520,7 @@
     let mut answer = None;
     if let Ok(mut connection) = opened {
         let meter = connection.meter.clone();
-        meter.begin(None, None);
+        meter.begin_exchange(None, None);
         let result = timeout_at(probe_by, exchange(&mut connection.sender, request, &meter, None)).await;
         if let Ok(Ok(Received::Complete(received))) = result {
             answer = Some(received);
