--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -95,7 +95,7 @@
 fn check(file: &Path) -> ExitCode {
     let faults: Vec<String> = if file.extension().is_some_and(|ending| ending == "json") {
         let text = std::fs::read(file).map_err(|error| vec![format!("cannot be read: {error}")]);
-        let faults = text.and_then(|text| Config::faults(&text).map_or_else(|| Ok(()), Err));
+        let faults = text.and_then(|text| Config::errors_in(&text).map_or_else(|| Ok(()), Err));
         let shown = file.display();
         faults.err().into_iter().flatten().map(|fault| format!("{shown}: {fault}")).collect()
     } else if let Some(flows) = flows(file) {
--- a/crates/cli/src/sidecar.rs
+++ b/crates/cli/src/sidecar.rs
@@ -78,16 +78,16 @@
     let held = Budgets::with_limits(connections, transfers);
     log.line(format!("listening on {address}"));
     let (instance, control) = Instance::new(InstanceConfig {
-        settings: config.identified(),
+        settings: config.settings_with_identity(),
         seed: config.seed(),
         discovery: config.discovery,
-        known: config.known,
-        estate: elder.as_mut().and_then(|elder| elder.estate.take()),
+        initial_host_list: config.initial_host_list,
+        handover_state: elder.as_mut().and_then(|elder| elder.estate.take()),
         listener: Arc::new(listener),
         budgets: held.clone(),
-        crossing: crossing.clone(),
+        cross_zone_budget: crossing.clone(),
         log: log.clone(),
-        listening,
+        events: listening,
         standby: true,
     });
     let _console =
@@ -150,7 +150,7 @@
                 (Some(CrossZoneBudget { counts, .. }), Some(new))
                     if *counts.names() == *new.counts.names() =>
                 {
-                    control.set_crossing(Some(CrossZoneBudget { counts: counts.clone(), ..new }));
+                    control.set_cross_zone_budget(Some(CrossZoneBudget { counts: counts.clone(), ..new }));
                 }
                 (None, None) => {}
                 _ => log.line("SIGHUP: other zones or classes for SAGEMAST_POOLS take a restart"),
@@ -159,7 +159,7 @@
             if config.listen.port() != 0 && config.listen != listening {
                 log.line(format!("SIGHUP: listening on {} takes a restart", config.listen));
             }
-            control.move_discovery(config.discovery);
+            control.watch_discovery(config.discovery);
         }
         Err(error) => log.line(format!("SIGHUP: the old configuration stays: {error:#}")),
     }
@@ -170,7 +170,7 @@
     let Some(path) = std::env::var_os("SAGEMAST_POOLS") else { return Ok(None) };
     let shown = path.to_string_lossy();
     let text = std::fs::read_to_string(&path).with_context(|| format!("cannot read {shown}"))?;
-    let read = File::read(&text).and_then(|file| CrossZoneBudget::of(&file, &config.settings));
+    let read = File::read(&text).and_then(|file| CrossZoneBudget::from_file(&file, &config.settings));
     match read {
         Ok(crossing) => Ok(Some(crossing)),
         Err(faults) => {
--- a/crates/daemon/src/config.rs
+++ b/crates/daemon/src/config.rs
@@ -88,7 +88,7 @@
 impl InstanceSpec {
     /// How many connections it may hold on each side.
     pub fn connections(&self) -> usize {
-        Limits { memory_mb: self.memory_mb, sockets: self.sockets }.connections_beside(OWN_DESCRIPTORS)
+        Limits { memory_mb: self.memory_mb, sockets: self.sockets }.max_connections(OWN_DESCRIPTORS)
     }
 }
 
--- a/crates/daemon/src/fleet_file.rs
+++ b/crates/daemon/src/fleet_file.rs
@@ -13,7 +13,7 @@
 use sagemast_decide::settings::Config as SettingsObject;
 use sagemast_flows::file::File as FlowsFile;
 use sagemast_pools::file::File as PoolsFile;
-use sagemast_sidecar::config::seed_of;
+use sagemast_sidecar::config::parse_seed;
 use serde::Deserialize;
 use serde::de::IntoDeserializer;
 use toml::Spanned;
@@ -453,7 +453,7 @@
         };
         let listen = reader.text::<SocketAddr>("listen", "an address such as 127.0.0.1:7070");
         let discovery = reader.text::<SocketAddr>("discovery", "an address such as 127.0.0.1:8500");
-        let seed = reader.get::<String>("seed").map(|(text, ..)| seed_of(&text));
+        let seed = reader.get::<String>("seed").map(|(text, ..)| parse_seed(&text));
         let sockets = reader.number("sockets", LEAST_SOCKETS as u64..=1 << 20, 64) as usize;
         let memory_mb = reader.number("memory_mb", 1..=1 << 20, 8) as usize;
         [("listen", listen.is_none()), ("discovery", discovery.is_none())]
--- a/crates/daemon/src/requests.rs
+++ b/crates/daemon/src/requests.rs
@@ -196,7 +196,7 @@
         self.log.line(format!("upgrade: starting {}", binary.display()));
         self.succession.begin(reply);
         let lives: Vec<_> =
-            self.lives.iter().map(|(generation, life)| (*generation, life.control.list())).collect();
+            self.lives.iter().map(|(generation, life)| (*generation, life.control.host_list())).collect();
         let notes = self.notes.clone();
         tokio::spawn(async move {
             let until = Instant::now() + LISTS;
@@ -248,11 +248,11 @@
         let life = view.generation.and_then(|generation| self.lives.get(&generation));
         let generations = view.generation.iter().chain(&view.successor).chain(&view.draining);
         let lives = generations.filter_map(|generation| self.lives.get(generation));
-        let open = lives.map(|life| life.control.metrics().all().open()).sum();
+        let open = lives.map(|life| life.control.metrics().totals().open()).sum();
         let count = |of: fn(&sagemast_sidecar::metrics::Metrics) -> &std::sync::atomic::AtomicU64| {
             life.map_or(0, |life| of(life.control.metrics()).load(Ordering::Relaxed))
         };
-        let counts = life.map(|life| life.control.metrics().all()).unwrap_or_default();
+        let counts = life.map(|life| life.control.metrics().totals()).unwrap_or_default();
         let spec = view.spec.as_ref();
         let address = spec.and_then(|spec| self.listeners.address(&spec.place()));
         Instance {
@@ -270,9 +270,9 @@
             refused: counts.refused,
             failed: counts.failed,
             left: counts.left,
-            sends: count(|metrics| &metrics.sends),
-            upstreams: count(|metrics| &metrics.upstreams),
-            seq: count(|metrics| &metrics.seq),
+            sends: count(|metrics| &metrics.attempts_written),
+            upstreams: count(|metrics| &metrics.listed_upstreams),
+            seq: count(|metrics| &metrics.host_list_version),
             connections: self.grants.held(&view.name),
             failures: view.failures,
             retry_in_ms: view.retry_at.map(|at| at.saturating_sub(self.now())),
@@ -299,7 +299,7 @@
             uptime_ms: self.now(),
             phase: self.succession.phase().word().to_owned(),
             instances,
-            open: self.lives.values().map(|life| life.control.metrics().all().open()).sum(),
+            open: self.lives.values().map(|life| life.control.metrics().totals().open()).sum(),
             workers: workers.collect(),
             memory_mb: [taken.memory_mb, budget.memory_mb],
             descriptors: [taken.descriptors, budget.descriptors],
--- a/crates/daemon/src/supervisor.rs
+++ b/crates/daemon/src/supervisor.rs
@@ -456,7 +456,7 @@
             }
             Step::Sidecars(generation, count) => {
                 if let Some(life) = self.lives.get(&generation) {
-                    life.control.set_sidecars(count);
+                    life.control.set_sidecar_count(count);
                 }
                 None
             }
@@ -471,10 +471,10 @@
                     return Some(Event::Adjusted(generation, Err("it has ended".to_owned())));
                 };
                 if life.spec.discovery != spec.discovery {
-                    life.control.move_discovery(spec.discovery);
+                    life.control.watch_discovery(spec.discovery);
                 }
                 if life.spec.crossing != spec.crossing {
-                    life.control.set_crossing(self.crossings.of(&life.name, &spec, &self.kept));
+                    life.control.set_cross_zone_budget(self.crossings.of(&life.name, &spec, &self.kept));
                 }
                 self.grants.resize(&life.name, &spec);
                 life.spec = spec;
@@ -505,7 +505,7 @@
                     if !shared {
                         self.listeners.shut(&place);
                     }
-                    stand_in.leave(shared);
+                    stand_in.stop(shared);
                 }
                 None
             }
@@ -534,18 +534,18 @@
         let (instance, control) = Instance::new(InstanceConfig {
             seed: spec.seed.unwrap_or_else(random_seed),
             discovery: spec.discovery,
-            known,
-            estate: None,
+            initial_host_list: known,
+            handover_state: None,
             listener,
             budgets: self.grants.of(&name, &spec),
-            crossing: self.crossings.of(&name, &spec, &self.kept),
+            cross_zone_budget: self.crossings.of(&name, &spec, &self.kept),
             log: log.clone(),
-            listening: EventSink::from_fn(move |told| notes.send(Note::Told(generation, told)).is_ok()),
+            events: EventSink::from_fn(move |told| notes.send(Note::Told(generation, told)).is_ok()),
             standby,
             // Instances come and go, so that numbers among them would change: names do not.
             settings: (*spec.settings).clone().with_identity_from_name(&name),
         });
-        control.set_sidecars(sidecars);
+        control.set_sidecar_count(sidecars);
         let word = LastWord { generation, notes: self.notes.clone(), said: false };
         let task = self.workers.spawn(worker, async move {
             let _ = word.notes.send(Note::Started(generation));
@@ -606,7 +606,7 @@
         let (control, notes) = (life.control.clone(), self.notes.clone());
         tokio::spawn(async move {
             sleep(KEEP_LISTS).await;
-            let list = control.list().await.ok();
+            let list = control.host_list().await.ok();
             let _ = notes.send(Note::List(generation, list));
         });
     }
--- a/crates/sidecar/benches/ordinary_path.rs
+++ b/crates/sidecar/benches/ordinary_path.rs
@@ -136,13 +136,13 @@
                 settings,
                 seed: 7,
                 discovery,
-                estate: None,
-                known: None::<HostList>,
+                handover_state: None,
+                initial_host_list: None::<HostList>,
                 listener: Arc::new(tokio::net::TcpListener::from_std(listener).expect("a listener")),
                 budgets: Budgets::with_connections(64),
-                crossing: None,
+                cross_zone_budget: None,
                 log: Log::process(),
-                listening: EventSink::discard(),
+                events: EventSink::discard(),
                 standby: false,
             });
             instance.run().await;
--- a/crates/sidecar/src/client.rs
+++ b/crates/sidecar/src/client.rs
@@ -67,7 +67,7 @@
         // Without the smaller buffer the client's pace cannot be measured, but it can still be served.
         let _ = SockRef::from(&stream).set_send_buffer_size(SEND_BUFFER_BYTES);
         let stream = Arc::new(Mutex::new(stream));
-        activity.belongs_to(ClientConnection::from_stream(&stream));
+        activity.set_client(ClientConnection::from_stream(&stream));
         Client {
             stream,
             activity,
@@ -84,7 +84,7 @@
 
     /// Whether a complete request has been received that has no answer yet.
     fn has_open_request(&self) -> bool {
-        self.framing.complete_requests() > self.activity.answered()
+        self.framing.complete_requests() > self.activity.answered_requests()
     }
 
     /// Reads from the socket directly, without waiting for the runtime's readiness. Returns whether anything
@@ -193,7 +193,7 @@
 /// Feeds received bytes to the framing, up to the end of a request. Returns how many bytes that are.
 fn feed(framing: &mut Framing, activity: &ConnectionActivity, bytes: &[u8]) -> usize {
     let fed = framing.feed(bytes);
-    activity.came(framing.in_head(), framing.first_ambiguous_request());
+    activity.bytes_received(framing.in_head(), framing.first_ambiguous_request());
     fed
 }
 
@@ -217,7 +217,7 @@
             this.update_next_request();
             return Poll::Ready(Ok(()));
         }
-        if this.activity.is_to_look() && this.try_read_socket(buf)? {
+        if this.activity.take_direct_read_request() && this.try_read_socket(buf)? {
             return Poll::Ready(Ok(()));
         }
         let before = buf.filled().len();
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -29,13 +29,13 @@
     #[serde(default)]
     pub limits: Limits,
     /// The list of upstreams as this sidecar last had it.
-    #[serde(default)]
-    pub known: Option<HostList>,
+    #[serde(default, rename = "known")]
+    pub initial_host_list: Option<HostList>,
     /// The settings that the module and the wire share.
     pub settings: SettingsObject,
     /// How many processes of this sidecar may run at once.
     #[serde(skip, default = "one")]
-    pub processes: usize,
+    pub max_processes: usize,
 }
 
 fn one() -> usize {
@@ -66,7 +66,7 @@
 impl Limits {
     /// How many connections an instance of a daemon may have on each side, where so many descriptors are for other
     /// things.
-    pub fn connections_beside(&self, own: usize) -> usize {
+    pub fn max_connections(&self, own: usize) -> usize {
         let by_memory = self.memory_mb.saturating_mul(1024) / CONNECTION_KIB;
         (self.sockets.saturating_sub(own) / 2).min(by_memory).max(1)
     }
@@ -95,7 +95,7 @@
         }
         // Where somebody else holds the listening socket, two processes may run at once.
         if std::env::var_os("ROUTER_SOCKET_FD").is_some_and(|text| !text.is_empty()) {
-            config.processes = 2;
+            config.max_processes = 2;
         }
         match config.own_faults().into_iter().next() {
             Some(fault) => bail!("bad configuration in {shown}, with what the environment adds: {fault}"),
@@ -105,7 +105,7 @@
 
     /// What there is for connections and long bodies.
     pub fn resource_limits(&self) -> Result<ResourceLimits> {
-        divide(&self.limits, self.console.is_some(), self.processes).map_err(anyhow::Error::msg)
+        divide(&self.limits, self.console.is_some(), self.max_processes).map_err(anyhow::Error::msg)
     }
 
     /// Reads and checks the text of a configuration.
@@ -118,7 +118,7 @@
     }
 
     /// All that is wrong with the text of a configuration; `None` if it is sound.
-    pub fn faults(text: &[u8]) -> Option<Vec<String>> {
+    pub fn errors_in(text: &[u8]) -> Option<Vec<String>> {
         let faults = match serde_json::from_slice::<Config>(text) {
             Ok(config) => config.own_faults(),
             Err(error) => vec![error.to_string()],
@@ -133,12 +133,12 @@
         if self.console.is_some_and(|console| console == self.listen && console.port() != 0) {
             faults.push(format!("console: {} is where clients connect (listen)", self.listen));
         }
-        faults.extend(divide(&self.limits, self.console.is_some(), self.processes).err());
+        faults.extend(divide(&self.limits, self.console.is_some(), self.max_processes).err());
         faults
     }
 
     /// The settings for the module: where they give this sidecar no number among its peers, its name tells it apart.
-    pub fn identified(&self) -> SettingsObject {
+    pub fn settings_with_identity(&self) -> SettingsObject {
         let settings = self.settings.clone();
         let by_name = !settings.is_ranked() && !self.name.is_empty();
         if by_name { settings.with_identity_from_name(&self.name) } else { settings }
@@ -146,7 +146,7 @@
 
     /// The seed as a number; one that is not in hexadecimal digits still makes a seed of its own.
     pub fn seed(&self) -> u64 {
-        seed_of(&self.seed)
+        parse_seed(&self.seed)
     }
 }
 
@@ -161,7 +161,7 @@
 }
 
 /// A seed from its text.
-pub fn seed_of(text: &str) -> u64 {
+pub fn parse_seed(text: &str) -> u64 {
     u64::from_str_radix(text, 16)
         .unwrap_or_else(|_| text.bytes().fold(7, |sum, b| sum.wrapping_mul(31) + u64::from(b)))
 }
@@ -182,7 +182,7 @@
         let scarce =
             Config::parse(MINIMAL.replace("{\"listen", "{\"limits\":{\"memory_mb\":16},\"listen").as_bytes());
         assert_eq!(scarce.unwrap().resource_limits().unwrap().connections, 53, "memory binds before sockets");
-        assert!(config.known.is_none());
+        assert!(config.initial_host_list.is_none());
     }
 
     #[test]
--- a/crates/sidecar/src/connection_activity.rs
+++ b/crates/sidecar/src/connection_activity.rs
@@ -46,11 +46,11 @@
     /// Who waits for the next one to be.
     waiting: Mutex<Option<Waker>>,
     /// Whether it was told to make room, and has not been kept after all.
-    pub making_room: AtomicBool,
+    pub eviction_pending: AtomicBool,
     /// Told to make room.
-    pub make_room: Notify,
+    pub eviction_requested: Notify,
     /// Told that it has been quiet for too long, as things stand.
-    pub let_go: Notify,
+    pub quiet_close_requested: Notify,
 }
 
 impl ConnectionActivity {
@@ -71,16 +71,16 @@
             write_blocked: AtomicBool::new(false),
             client: OnceLock::new(),
             waiting: Mutex::default(),
-            making_room: AtomicBool::new(false),
-            make_room: Notify::new(),
-            let_go: Notify::new(),
+            eviction_pending: AtomicBool::new(false),
+            eviction_requested: Notify::new(),
+            quiet_close_requested: Notify::new(),
         };
         slot.quiet_since.store(slot.now(), Ordering::Relaxed);
         slot
     }
 
     /// Says whose connection it is.
-    pub fn belongs_to(&self, client: ClientConnection) {
+    pub fn set_client(&self, client: ClientConnection) {
         // It belongs to one only.
         let _ = self.client.set(client);
     }
@@ -99,24 +99,24 @@
     }
 
     /// A request has come.
-    pub fn used(&self) {
+    pub fn request_started(&self) {
         self.used.store(true, Ordering::Relaxed);
         self.in_body.store(true, Ordering::Relaxed);
     }
 
     /// Whether one ever has.
-    pub fn is_used(&self) -> bool {
+    pub fn has_carried_request(&self) -> bool {
         self.used.load(Ordering::Relaxed)
     }
 
     /// A request is open from now on.
-    pub fn busy(&self) {
+    pub fn request_opened(&self) {
         self.in_body.store(false, Ordering::Relaxed);
         self.quiet_since.store(BUSY, Ordering::Relaxed);
     }
 
     /// A request has been answered, and none is open from now on.
-    pub fn free(&self) {
+    pub fn request_answered(&self) {
         self.quiet_since.store(self.now(), Ordering::Relaxed);
         self.in_body.store(false, Ordering::Relaxed);
         self.answered.fetch_add(1, Ordering::Relaxed);
@@ -125,12 +125,12 @@
     }
 
     /// How many requests have been answered.
-    pub fn answered(&self) -> u64 {
+    pub fn answered_requests(&self) -> u64 {
         self.answered.load(Ordering::Relaxed)
     }
 
     /// Has the connection reset when it is closed.
-    pub fn reset_on_close(&self) {
+    pub fn set_reset_on_close(&self) {
         self.reset_on_close.store(true, Ordering::Relaxed);
     }
 
@@ -180,7 +180,7 @@
 
     /// Bytes have come; whether the client is in the middle of a head now, and the number of the first request that was
     /// framed in two ways.
-    pub fn came(&self, in_head: bool, doubled: Option<u64>) {
+    pub fn bytes_received(&self, in_head: bool, doubled: Option<u64>) {
         let now = self.now();
         self.reads.fetch_add(1, Ordering::Relaxed);
         if !in_head {
@@ -197,22 +197,22 @@
     }
 
     /// Has the next read look into the socket itself: the runtime hears of what came only when it next turns to the kernel.
-    pub fn look(&self) {
+    pub fn request_direct_read(&self) {
         self.look.store(true, Ordering::Relaxed);
     }
 
     /// Whether the socket itself is to be looked into.
-    pub fn is_to_look(&self) -> bool {
+    pub fn take_direct_read_request(&self) -> bool {
         self.look.swap(false, Ordering::Relaxed)
     }
 
     /// How often bytes have come.
-    pub fn reads(&self) -> u64 {
+    pub fn read_count(&self) -> u64 {
         self.reads.load(Ordering::Relaxed)
     }
 
     /// What it holds.
-    pub fn holds(&self) -> ConnectionContents {
+    pub fn contents(&self) -> ConnectionContents {
         match (
             self.is_busy() || self.is_write_blocked(),
             self.in_body.load(Ordering::Relaxed),
@@ -226,7 +226,7 @@
     }
 
     /// Whether the request of that number, from 1, was framed in two ways.
-    pub fn is_doubled(&self, number: u64) -> bool {
+    pub fn is_ambiguous_request(&self, number: u64) -> bool {
         self.doubled.load(Ordering::Relaxed) == number
     }
 
--- a/crates/sidecar/src/console.rs
+++ b/crates/sidecar/src/console.rs
@@ -33,7 +33,7 @@
 
 /// Callers at one time. Who comes when all places are taken gets that of the oldest caller that has not asked yet, or
 /// else of the oldest.
-pub const PLACES: usize = 10;
+pub const MAX_CALLERS: usize = 10;
 /// Descriptors that a console needs beside its places: the listener and what its runtime asks the kernel with.
 pub const OWN_DESCRIPTORS: usize = 6;
 /// A caller whose head has not come whole by then is let go.
@@ -106,7 +106,7 @@
             }
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
-                    if callers.len() >= PLACES {
+                    if callers.len() >= MAX_CALLERS {
                         let silent = callers.iter().position(|caller| !caller.asked.load(Ordering::Relaxed));
                         if let Some(caller) = callers.remove(silent.unwrap_or(0)) {
                             caller.end.abort();
@@ -168,7 +168,7 @@
     match path {
         "/api/ready" => {
             let listed = control.metrics().ready.load(Ordering::Acquire);
-            match control.life().stage() {
+            match control.lifecycle().stage() {
                 Stage::Serving | Stage::Evacuating if listed => said(StatusCode::OK, "yes"),
                 Stage::Standby | Stage::Serving | Stage::Evacuating => {
                     said(StatusCode::SERVICE_UNAVAILABLE, "no: it has no list of upstreams yet")
@@ -232,11 +232,11 @@
 
 fn figures(metrics: &Metrics) -> Response<Full<Bytes>> {
     let figures = Figures {
-        in_progress: metrics.all().open(),
+        in_progress: metrics.totals().open(),
         handled: Handled(metrics),
-        upstream_tries: metrics.sends.load(Ordering::Acquire),
-        known_upstreams: metrics.upstreams.load(Ordering::Relaxed),
-        skipped_upstreams: metrics.skipped.load(Ordering::Relaxed),
+        upstream_tries: metrics.attempts_written.load(Ordering::Acquire),
+        known_upstreams: metrics.listed_upstreams.load(Ordering::Relaxed),
+        skipped_upstreams: metrics.avoided_upstreams.load(Ordering::Relaxed),
         unheld_answers: metrics.unheld_answers.load(Ordering::Relaxed),
     };
     match serde_json::to_vec(&figures) {
--- a/crates/sidecar/src/cross_zone_budget.rs
+++ b/crates/sidecar/src/cross_zone_budget.rs
@@ -21,19 +21,14 @@
 
 impl CrossZoneBudget {
     /// What a file says for an instance with these settings, with counts that begin at zero.
-    pub fn of(file: &File, settings: &SettingsObject) -> Result<CrossZoneBudget, Vec<Fault>> {
+    pub fn from_file(file: &File, settings: &SettingsObject) -> Result<CrossZoneBudget, Vec<Fault>> {
         let (rules, names) = file.rules(settings)?;
         Ok(CrossZoneBudget { rules, counts: Arc::new(Counts::new(names)) })
     }
 
     /// Puts it into force, or takes away what was (`None`). A plan that counts in the same place goes on with other
     /// rules: what it has out and what its budgets hold stays.
-    pub fn bring_into_force(
-        crossing: Option<CrossZoneBudget>,
-        module: &mut Balancer,
-        sidecars: u32,
-        now: Millis,
-    ) {
+    pub fn apply_to(crossing: Option<CrossZoneBudget>, module: &mut Balancer, sidecars: u32, now: Millis) {
         let Some(CrossZoneBudget { rules, counts }) = crossing else {
             return module.set_cross_zone_budget(None);
         };
--- a/crates/sidecar/src/driver.rs
+++ b/crates/sidecar/src/driver.rs
@@ -283,7 +283,7 @@
         let subscribed = matches!(module_settings.discovery, Discovery::Subscribed { .. });
         let sidecar_count = module_settings.sidecars;
         let mut module = Balancer::new(module_settings, seed);
-        CrossZoneBudget::bring_into_force(cross_zone_budget, &mut module, sidecar_count, 0.0);
+        CrossZoneBudget::apply_to(cross_zone_budget, &mut module, sidecar_count, 0.0);
         let attempt_context = AttemptContext {
             log: log.clone(),
             metrics: metrics.clone(),
@@ -458,7 +458,7 @@
         }
         self.actions = actions;
         let skipped = self.module.ejected_count() + self.draining_count;
-        self.metrics.skipped.store(skipped as u64, Ordering::Relaxed);
+        self.metrics.avoided_upstreams.store(skipped as u64, Ordering::Relaxed);
     }
 
     fn handle_event(&mut self, event: DriverEvent) {
@@ -468,7 +468,7 @@
                 if let Some(open) = self.remove_request(request) {
                     self.log.trace(|| self.answer_trace(&open, "none: its client has left"));
                     if open.backstop.is_some() {
-                        self.metrics.ended(open.class, RequestOutcome::Left);
+                        self.metrics.count_outcome(open.class, RequestOutcome::ClientDisconnected);
                     }
                 }
                 self.abandon_request(request);
@@ -485,7 +485,7 @@
             }
             DriverEvent::Command(InstanceCommand::SetCrossZoneBudget(budget)) => {
                 let now = self.module_time(Instant::now());
-                CrossZoneBudget::bring_into_force(budget, &mut self.module, self.sidecar_count, now);
+                CrossZoneBudget::apply_to(budget, &mut self.module, self.sidecar_count, now);
             }
             DriverEvent::Command(InstanceCommand::Retire) => {
                 self.retired = true;
@@ -513,7 +513,7 @@
             UpstreamEvent::UploadStateChanged(attempt, state) => self.handle_upload_state(attempt, state),
             UpstreamEvent::StreamEnded { request, outcome } => {
                 if let Some(class) = self.streaming.remove(&request) {
-                    self.metrics.ended(class, outcome);
+                    self.metrics.count_outcome(class, outcome);
                 }
             }
             UpstreamEvent::Idle { upstream, incarnation, connection } => {
@@ -565,18 +565,23 @@
         let Snapshot { servers, all } = self.module.memory(self.module_time(Instant::now()));
         let server_states = servers.into_iter().filter_map(|(id, memory)| {
             let host = &self.servers.get(UpstreamId(id))?.host;
-            Some(ServerState { host: host.name.clone(), born_ms: host.started_ms, memory })
+            Some(ServerState { host: host.name.clone(), started_ms: host.started_ms, snapshot: memory })
         });
         let list = self.servers.to_host_list(self.seq);
-        HandoverState { names: SettingNames::of(&self.settings), list, all, servers: server_states.collect() }
+        HandoverState {
+            names: SettingNames::from_settings(&self.settings),
+            list,
+            shared: all,
+            servers: server_states.collect(),
+        }
     }
 
     /// Continues from a predecessor's state.
     fn restore_handover_state(&mut self, state: &HandoverState) {
         self.apply_list(&state.list, true);
-        let snapshot = state.memory(|host, started_ms| self.servers.id_of(host, started_ms).map(|id| id.0));
+        let snapshot = state.snapshot(|host, started_ms| self.servers.id_of(host, started_ms).map(|id| id.0));
         let now = self.module_time(Instant::now());
-        let estimates_restored = match state.names == SettingNames::of(&self.settings) {
+        let estimates_restored = match state.names == SettingNames::from_settings(&self.settings) {
             true => self.module.remember(now, &snapshot).map_err(|fault| fault.to_string()),
             false => {
                 Err("classes, tenants, zones or kinds differ from the predecessor's settings".to_owned())
@@ -630,7 +635,7 @@
         // A request that arrives late in the life of the process is answered before the process ends.
         let process_ends = self.lifecycle.borrow().answers_due_by();
         let deadline = Deadline::new(received_at, open.time_left, process_ends);
-        self.metrics.taken(open.class);
+        self.metrics.count_accepted(open.class);
         let backstop =
             self.set_timer(bound(RequestState::Queued(deadline)).at, Timer::AnswerBackstop(request));
         if let Some(open) = self.open_requests.get_mut(&request) {
@@ -715,7 +720,7 @@
             // A request that is rejected before all of it was received is not counted.
             (FinalAnswer::Rejected(_), None) => return open.reply.send(answer).is_ok(),
             // Any other final answer counts the request, even if its body never arrived completely.
-            (_, None) => self.metrics.taken(open.class),
+            (_, None) => self.metrics.count_accepted(open.class),
             (_, Some(_)) => {}
         }
         match &answer {
@@ -723,10 +728,10 @@
             FinalAnswer::Served(_, body) if body.is_stream() => {
                 self.streaming.insert(request, open.class);
             }
-            FinalAnswer::Served(..) => self.metrics.ended(open.class, RequestOutcome::Served),
-            FinalAnswer::Refused(_) => self.metrics.ended(open.class, RequestOutcome::Refused),
+            FinalAnswer::Served(..) => self.metrics.count_outcome(open.class, RequestOutcome::Served),
+            FinalAnswer::Refused(_) => self.metrics.count_outcome(open.class, RequestOutcome::Refused),
             FinalAnswer::Failed | FinalAnswer::Rejected(_) => {
-                self.metrics.ended(open.class, RequestOutcome::Failed)
+                self.metrics.count_outcome(open.class, RequestOutcome::Failed)
             }
         }
         // The client may have disconnected just now.
@@ -1057,8 +1062,8 @@
         let is_complete = list.complete || restored;
         let now = self.module_time(Instant::now());
         let listings = self.servers.apply(list, is_complete, &self.settings, now, &self.log);
-        self.metrics.seq.store(self.seq, Ordering::Relaxed);
-        self.metrics.upstreams.store(self.servers.count() as u64, Ordering::Relaxed);
+        self.metrics.host_list_version.store(self.seq, Ordering::Relaxed);
+        self.metrics.listed_upstreams.store(self.servers.count() as u64, Ordering::Relaxed);
         self.draining_count = self.servers.draining_count();
         self.schedule_sweep();
         if !listings.is_empty() || (is_complete && !restored) {
--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -145,16 +145,16 @@
     fn evict_one(&self) -> bool {
         let now = Instant::now();
         let already_chosen =
-            |activity: &&Arc<ConnectionActivity>| activity.making_room.load(Ordering::Relaxed);
+            |activity: &&Arc<ConnectionActivity>| activity.eviction_pending.load(Ordering::Relaxed);
         let candidates = self.by_task.values().filter(|activity| !already_chosen(activity));
         let quiet = candidates.filter_map(|activity| Some((activity.quiet_since()?, activity)));
         let evictable = quiet.filter(|(since, _)| *since + MIN_QUIET_BEFORE_EVICTION <= now);
         // Evicting a slow writer costs its request; an idle client at most has to reconnect.
         let chosen = evictable
-            .min_by_key(|(since, activity)| (activity.holds() != ConnectionContents::Nothing, *since));
+            .min_by_key(|(since, activity)| (activity.contents() != ConnectionContents::Nothing, *since));
         let Some((_, activity)) = chosen else { return false };
-        activity.making_room.store(true, Ordering::Relaxed);
-        activity.make_room.notify_one();
+        activity.eviction_pending.store(true, Ordering::Relaxed);
+        activity.eviction_requested.notify_one();
         true
     }
 
@@ -166,7 +166,7 @@
             return None;
         }
         let now = Instant::now();
-        let used = self.by_task.values().filter(|activity| activity.is_used());
+        let used = self.by_task.values().filter(|activity| activity.has_carried_request());
         let mut quiet: Vec<(Instant, &Arc<ConnectionActivity>)> =
             used.filter_map(|activity| Some((activity.quiet_since()?, activity))).collect();
         let excess = quiet.len().saturating_sub(max_quiet);
@@ -176,7 +176,7 @@
         quiet.sort_unstable_by_key(|(since, _)| *since);
         let (closable, recent): (Vec<_>, Vec<_>) =
             quiet.iter().take(excess).partition(|(since, _)| *since + MIN_QUIET_BEFORE_TRIM <= now);
-        closable.iter().for_each(|(_, activity)| activity.let_go.notify_one());
+        closable.iter().for_each(|(_, activity)| activity.quiet_close_requested.notify_one());
         recent.first().map(|(since, _)| *since + MIN_QUIET_BEFORE_TRIM)
     }
 }
@@ -295,10 +295,10 @@
     let accepted_at = Instant::now();
     let service = service_fn(|request: Request<Incoming>| {
         let request_number = requests_received.fetch_add(1, Ordering::Relaxed) + 1;
-        activity.used();
+        activity.request_started();
         let (front, version) = (front.clone(), request.version());
         async move {
-            let mut response = if activity.is_doubled(request_number) {
+            let mut response = if activity.is_ambiguous_request(request_number) {
                 text_response(StatusCode::BAD_REQUEST, "two framings")
             } else {
                 handle_request(request, &front, activity).await
@@ -306,7 +306,7 @@
             if response.body().is_stream() {
                 response.body_mut().attach_connection(activity, version);
             } else {
-                activity.free();
+                activity.request_answered();
             }
             // The unread rest of a rejected request must not be parsed as another request.
             if response.status().is_client_error()
@@ -371,18 +371,18 @@
                     _ => continue,
                 }
             }
-            () = activity.let_go.notified(), if !shutting_down => CloseReason::ExcessQuiet,
-            () = activity.make_room.notified() => CloseReason::Eviction,
+            () = activity.quiet_close_requested.notified(), if !shutting_down => CloseReason::ExcessQuiet,
+            () = activity.eviction_requested.notified() => CloseReason::Eviction,
         };
         // Bytes that are in the socket now arrived before the close was decided. A complete request among
         // them is answered, and one that has begun is waited for.
-        let reads_before = activity.reads();
-        activity.look();
+        let reads_before = activity.read_count();
+        activity.request_direct_read();
         if poll_fn(|cx| Poll::Ready(connection.as_mut().poll(cx).is_ready())).await {
             return;
         }
-        let bytes_arrived = activity.reads() != reads_before;
-        let contents = match (activity.holds(), activity.next_request_at()) {
+        let bytes_arrived = activity.read_count() != reads_before;
+        let contents = match (activity.contents(), activity.next_request_at()) {
             (ConnectionContents::Request, Some(next_at))
                 if !lifecycle.borrow().closes_after_answer(Some(next_at)) =>
             {
@@ -412,7 +412,7 @@
                     (CloseReason::Draining, false) => {
                         drain_close_at = Some(now + PARTIAL_HEAD_RECHECK_INTERVAL)
                     }
-                    (CloseReason::Eviction, _) => activity.making_room.store(false, Ordering::Relaxed),
+                    (CloseReason::Eviction, _) => activity.eviction_pending.store(false, Ordering::Relaxed),
                     _ => {}
                 }
             }
@@ -480,7 +480,7 @@
         Err((status, reason)) => return text_response(status, reason),
     };
     let received_at = Instant::now();
-    activity.busy();
+    activity.request_opened();
     // A client may send an absolute URI; upstreams always get path and query only.
     let target = head.uri.path_and_query().cloned().map(Uri::from).unwrap_or_default();
     let request = RequestId(front.next_request_id.fetch_add(1, Ordering::Relaxed));
--- a/crates/sidecar/src/front/tests.rs
+++ b/crates/sidecar/src/front/tests.rs
@@ -90,8 +90,8 @@
 #[tokio::test]
 async fn request_that_arrives_while_its_connection_is_closed_is_answered() {
     let triggers: [(&str, CloseTrigger); 3] = [
-        ("eviction", |served| served.activity.make_room.notify_one()),
-        ("excess quiet connection", |served| served.activity.let_go.notify_one()),
+        ("eviction", |served| served.activity.eviction_requested.notify_one()),
+        ("excess quiet connection", |served| served.activity.quiet_close_requested.notify_one()),
         ("drain", |served| {
             served.lifecycle.send_modify(|lifecycle| {
                 let (linger, max_duration) = (Duration::from_secs(20), Duration::from_secs(30));
@@ -121,8 +121,8 @@
 /// The counterpart without a request: the connection is closed.
 #[tokio::test]
 async fn quiet_connection_is_closed_on_eviction_or_as_excess() {
-    for close in [(|served| served.activity.make_room.notify_one()) as CloseTrigger, |served| {
-        served.activity.let_go.notify_one()
+    for close in [(|served| served.activity.eviction_requested.notify_one()) as CloseTrigger, |served| {
+        served.activity.quiet_close_requested.notify_one()
     }] {
         let mut served = serve_one().await;
         sleep(Duration::from_millis(20)).await;
--- a/crates/sidecar/src/handover/link.rs
+++ b/crates/sidecar/src/handover/link.rs
@@ -123,10 +123,10 @@
         is_ours(&stream)?;
         stream.write_all(&Message::Hello { v: VERSION }.line()).await?;
         let mut lines = LineBuffer::new(LINE_BYTES);
-        let Some(Message::Estate(estate)) = hear(&mut stream, &mut lines).await? else {
+        let Some(Message::HandoverState(estate)) = hear(&mut stream, &mut lines).await? else {
             return Err(io::Error::other("it leaves nothing"));
         };
-        let Some(Message::Stands(standing)) = hear(&mut stream, &mut lines).await? else {
+        let Some(Message::Status(standing)) = hear(&mut stream, &mut lines).await? else {
             return Err(io::Error::other("it does not say how it stands"));
         };
         Ok(Some(Predecessor { stream, lines, standing, estate: Some(estate) }))
@@ -317,7 +317,7 @@
         mut hears: mpsc::Receiver<Heard>,
     ) {
         let (news, mut told) = mpsc::channel(WAITING);
-        self.control.follow(news);
+        self.control.forward_lists(news);
         let mut listener: Option<UnixListener> = None;
         let mut serving = false;
         let mut ticks = interval(TELL);
@@ -342,9 +342,9 @@
                         listener = self.listen();
                     }
                 }
-                Some(list) = told.recv(), if shared => self.tell(&Message::News { list }, None),
+                Some(list) = told.recv(), if shared => self.tell(&Message::HostListUpdate { list }, None),
                 _ = ticks.tick(), if shared => {
-                    if self.control.life().is_ending() {
+                    if self.control.lifecycle().is_ending() {
                         self.shares.leave();
                     }
                     self.apply();
@@ -377,11 +377,11 @@
                 let nothing = ResourceCounts::default();
                 // Until it says how it stands.
                 self.shares.younger(Some(ProcessStatus {
-                    held: nothing,
-                    whole: self.whole,
-                    leaving: false,
+                    in_use: nothing,
+                    limits: self.whole,
+                    ending: false,
                     serving: false,
-                    side: 1,
+                    process_count: 1,
                 }));
                 self.apply();
                 self.log.line("handover: a successor has begun");
@@ -401,16 +401,16 @@
             }
             _ => return Err(io::Error::other("it does not say hello")),
         }
-        let estate = self.control.estate().await.map_err(io::Error::other)?;
-        stream.write_all(&Message::Estate(Box::new(estate)).line()).await?;
+        let estate = self.control.handover_state().await.map_err(io::Error::other)?;
+        stream.write_all(&Message::HandoverState(Box::new(estate)).line()).await?;
         let standing = self.shares.to_younger(self.budgets.in_use());
-        stream.write_all(&Message::Stands(self.complete(standing)).line()).await?;
+        stream.write_all(&Message::Status(self.complete(standing)).line()).await?;
         Ok((stream, lines))
     }
 
     /// A standing with what the shares do not know.
     fn complete(&self, standing: ProcessStatus) -> ProcessStatus {
-        let life = self.control.life();
+        let life = self.control.lifecycle();
         ProcessStatus { serving: matches!(life.stage(), Stage::Serving | Stage::Evacuating), ..standing }
     }
 
@@ -423,16 +423,16 @@
             return;
         }
         match message {
-            Some(Message::Stands(standing)) => match side {
+            Some(Message::Status(standing)) => match side {
                 Side::Elder => self.shares.elder(Some(standing)),
                 Side::Younger => {
                     self.shares.younger(Some(standing));
                     self.succeeded.store(standing.serving, Ordering::Release);
                 }
             },
-            Some(Message::News { list }) => self.control.news(list),
+            Some(Message::HostListUpdate { list }) => self.control.apply_peer_list(list),
             // Out of turn it means nothing.
-            Some(Message::Hello { .. } | Message::Estate(_)) => {}
+            Some(Message::Hello { .. } | Message::HandoverState(_)) => {}
             None => {
                 *peer = None;
                 match side {
@@ -456,15 +456,15 @@
         self.budgets.set_limits(self.shares.allowed(self.budgets.in_use()));
         let processes = self.shares.processes();
         if std::mem::replace(&mut self.processes, processes) != processes {
-            self.control.set_sidecars(self.sidecars.saturating_mul(processes));
+            self.control.set_sidecar_count(self.sidecars.saturating_mul(processes));
         }
     }
 
     /// Tells both how this one stands.
     fn stand(&self) {
         let held = self.budgets.in_use();
-        let to_elder = Message::Stands(self.complete(self.shares.to_elder(held)));
-        let to_younger = Message::Stands(self.complete(self.shares.to_younger(held)));
+        let to_elder = Message::Status(self.complete(self.shares.to_elder(held)));
+        let to_younger = Message::Status(self.complete(self.shares.to_younger(held)));
         self.tell(&to_elder, Some(Side::Elder));
         self.tell(&to_younger, Some(Side::Younger));
     }
--- a/crates/sidecar/src/handover/message.rs
+++ b/crates/sidecar/src/handover/message.rs
@@ -22,11 +22,14 @@
         v: u32,
     },
     /// By the elder, in answer.
-    Estate(Box<HandoverState>),
+    #[serde(rename = "estate")]
+    HandoverState(Box<HandoverState>),
     /// How one of them stands; often.
-    Stands(ProcessStatus),
+    #[serde(rename = "stands")]
+    Status(ProcessStatus),
     /// What discovery told one of them.
-    News {
+    #[serde(rename = "news")]
+    HostListUpdate {
         /// The list, or what changed.
         list: HostList,
     },
@@ -40,7 +43,8 @@
     /// The list of upstreams, with its version.
     pub list: HostList,
     /// What was learnt of all.
-    pub all: SharedSnapshot,
+    #[serde(rename = "all")]
+    pub shared: SharedSnapshot,
     /// What was learnt of each.
     pub servers: Vec<ServerState>,
 }
@@ -51,9 +55,11 @@
     /// As discovery names it.
     pub host: String,
     /// When it last started, in Unix milliseconds.
-    pub born_ms: f64,
+    #[serde(rename = "born_ms")]
+    pub started_ms: f64,
     /// What was learnt.
-    pub memory: ServerSnapshot,
+    #[serde(rename = "memory")]
+    pub snapshot: ServerSnapshot,
 }
 
 /// Names that the settings give numbers to.
@@ -67,7 +73,7 @@
 
 impl SettingNames {
     /// Those of these settings.
-    pub fn of(settings: &SettingsObject) -> SettingNames {
+    pub fn from_settings(settings: &SettingsObject) -> SettingNames {
         SettingNames {
             classes: settings.classes().into_iter().map(|form| form.name).collect(),
             tenants: settings.tenant_names(),
@@ -79,12 +85,12 @@
 
 impl HandoverState {
     /// The memory in the module's terms, where an upstream's number is found by its name and life.
-    pub fn memory(&self, number: impl Fn(&str, f64) -> Option<u64>) -> Snapshot {
+    pub fn snapshot(&self, number: impl Fn(&str, f64) -> Option<u64>) -> Snapshot {
         let servers = self.servers.iter().filter_map(|known| {
-            let id = number(&known.host, known.born_ms)?;
-            Some((id, known.memory))
+            let id = number(&known.host, known.started_ms)?;
+            Some((id, known.snapshot))
         });
-        Snapshot { servers: servers.collect(), all: self.all.clone() }
+        Snapshot { servers: servers.collect(), all: self.shared.clone() }
     }
 }
 
@@ -124,26 +130,26 @@
         module.handle(5.0, Event::ListReceived(ListUpdate::Complete(Vec::new())), &mut Vec::new());
         let Snapshot { all, .. } = module.memory(5.0);
         HandoverState {
-            names: SettingNames::of(&settings),
+            names: SettingNames::from_settings(&settings),
             list: HostList::default(),
-            all,
+            shared: all,
             servers: Vec::new(),
         }
     }
 
     fn sound() -> Vec<Message> {
         let standing = ProcessStatus {
-            held: ResourceCounts::default(),
-            whole: ResourceCounts::default(),
-            leaving: true,
+            in_use: ResourceCounts::default(),
+            limits: ResourceCounts::default(),
+            ending: true,
             serving: false,
-            side: 1,
+            process_count: 1,
         };
         vec![
             Message::Hello { v: VERSION },
-            Message::Estate(Box::new(estate())),
-            Message::Stands(standing),
-            Message::News { list: HostList { seq: 7, complete: false, hosts: Vec::new() } },
+            Message::HandoverState(Box::new(estate())),
+            Message::Status(standing),
+            Message::HostListUpdate { list: HostList { seq: 7, complete: false, hosts: Vec::new() } },
         ]
     }
 
@@ -171,10 +177,10 @@
                     noise[at] = rng.rand_range(0..256) as u8;
                 }
                 // Whatever it is taken for, nothing panics, and the module checks what it would believe.
-                if let Ok(Message::Estate(estate)) = Message::read(&noise) {
+                if let Ok(Message::HandoverState(estate)) = Message::read(&noise) {
                     let settings: SettingsObject = serde_json::from_str(SETTINGS).unwrap();
                     let _ =
-                        Balancer::new(settings.settings(), 1).remember(0.0, &estate.memory(|_, _| Some(1)));
+                        Balancer::new(settings.settings(), 1).remember(0.0, &estate.snapshot(|_, _| Some(1)));
                 }
             }
         }
--- a/crates/sidecar/src/handover/shares.rs
+++ b/crates/sidecar/src/handover/shares.rs
@@ -14,15 +14,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessStatus {
     /// What it holds.
-    pub held: ResourceCounts,
+    #[serde(rename = "held")]
+    pub in_use: ResourceCounts,
     /// What there is for the two of them.
-    pub whole: ResourceCounts,
+    #[serde(rename = "whole")]
+    pub limits: ResourceCounts,
     /// Whether it takes no new clients.
-    pub leaving: bool,
+    #[serde(rename = "leaving")]
+    pub ending: bool,
     /// Whether it takes clients.
     pub serving: bool,
     /// How many processes there are on its side, itself included.
-    pub side: u32,
+    #[serde(rename = "side")]
+    pub process_count: u32,
 }
 
 /// What a process may hold of the whole, beside a peer that told this of itself.
@@ -33,11 +37,11 @@
     peer: &ProcessStatus,
 ) -> ResourceCounts {
     let part = |whole: usize| whole / TO_FINISH;
-    if leaving && !peer.leaving {
+    if leaving && !peer.ending {
         return held.zip_with(whole, |held, whole| held.max(part(whole)).min(whole));
     }
-    let theirs = |held: usize, whole: usize| held.max(if peer.leaving { part(whole) } else { whole / 2 });
-    whole.zip_with(peer.held.zip_with(whole, theirs), |whole, theirs| whole.saturating_sub(theirs))
+    let theirs = |held: usize, whole: usize| held.max(if peer.ending { part(whole) } else { whole / 2 });
+    whole.zip_with(peer.in_use.zip_with(whole, theirs), |whole, theirs| whole.saturating_sub(theirs))
 }
 
 /// One process between the one before it and the one after it, of which there may be none.
@@ -75,7 +79,7 @@
         match &self.elder {
             // The elder's word counts where it has less to share than the configuration says.
             Some(elder) => {
-                let whole = self.whole.zip_with(elder.whole, usize::min);
+                let whole = self.whole.zip_with(elder.limits, usize::min);
                 beside(whole, held, self.leaving, elder)
             }
             None => self.whole,
@@ -93,20 +97,33 @@
 
     /// How many processes there are, itself included.
     pub fn processes(&self) -> u32 {
-        let side = |peer: &Option<ProcessStatus>| peer.map_or(0, |peer| peer.side.clamp(1, MOST_PROCESSES));
+        let side =
+            |peer: &Option<ProcessStatus>| peer.map_or(0, |peer| peer.process_count.clamp(1, MOST_PROCESSES));
         1 + side(&self.elder) + side(&self.younger)
     }
 
     /// What it tells the one before it.
     pub fn to_elder(&self, held: ResourceCounts) -> ProcessStatus {
-        let side = 1 + self.younger.map_or(0, |peer| peer.side.clamp(1, MOST_PROCESSES));
-        ProcessStatus { held, whole: self.whole, leaving: self.leaving, serving: !self.leaving, side }
+        let side = 1 + self.younger.map_or(0, |peer| peer.process_count.clamp(1, MOST_PROCESSES));
+        ProcessStatus {
+            in_use: held,
+            limits: self.whole,
+            ending: self.leaving,
+            serving: !self.leaving,
+            process_count: side,
+        }
     }
 
     /// What it tells the one after it.
     pub fn to_younger(&self, held: ResourceCounts) -> ProcessStatus {
-        let side = 1 + self.elder.map_or(0, |peer| peer.side.clamp(1, MOST_PROCESSES));
-        ProcessStatus { held, whole: self.ours(held), leaving: self.leaving, serving: !self.leaving, side }
+        let side = 1 + self.elder.map_or(0, |peer| peer.process_count.clamp(1, MOST_PROCESSES));
+        ProcessStatus {
+            in_use: held,
+            limits: self.ours(held),
+            ending: self.leaving,
+            serving: !self.leaving,
+            process_count: side,
+        }
     }
 }
 
--- a/crates/sidecar/src/instance.rs
+++ b/crates/sidecar/src/instance.rs
@@ -39,19 +39,19 @@
     /// Where discovery is.
     pub discovery: SocketAddr,
     /// The list of upstreams as a predecessor last had it.
-    pub known: Option<HostList>,
+    pub initial_host_list: Option<HostList>,
     /// What a predecessor that still runs has left: it counts before the list.
-    pub estate: Option<Box<HandoverState>>,
+    pub handover_state: Option<Box<HandoverState>>,
     /// Where clients connect. Registered with the runtime that the instance is run on.
     pub listener: Arc<TcpListener>,
     /// What it may hold.
     pub budgets: Budgets,
     /// Budgets for traffic between zones, if there are any.
-    pub crossing: Option<CrossZoneBudget>,
+    pub cross_zone_budget: Option<CrossZoneBudget>,
     /// Where it logs.
     pub log: Log,
     /// Whom it tells how it fares.
-    pub listening: EventSink<InstanceEvent>,
+    pub events: EventSink<InstanceEvent>,
     /// Whether it accepts nothing until [`Control::open`], since a predecessor still does.
     pub standby: bool,
 }
@@ -97,13 +97,13 @@
             settings,
             seed,
             discovery,
-            known,
-            estate,
+            initial_host_list: known,
+            handover_state: estate,
             listener,
             budgets,
-            crossing,
+            cross_zone_budget: crossing,
             log,
-            listening,
+            events: listening,
             standby,
         } = parts;
         let names = RequestNames { classes: settings.classes(), tenants: settings.tenant_names() };
@@ -179,7 +179,7 @@
 
 impl Control {
     /// Watches discovery at another address from now on. List and connections stay.
-    pub fn move_discovery(&self, to: SocketAddr) {
+    pub fn watch_discovery(&self, to: SocketAddr) {
         // An instance that has ended has nothing left to move; this holds for the other orders, too.
         let _ = self.happenings.send(DriverEvent::Command(InstanceCommand::WatchDiscovery(to)));
     }
@@ -220,41 +220,41 @@
     }
 
     /// Its life as it stands.
-    pub fn life(&self) -> Lifecycle {
+    pub fn lifecycle(&self) -> Lifecycle {
         *self.life.borrow()
     }
 
     /// Tells the module how many sidecars there are from now on.
-    pub fn set_sidecars(&self, count: u32) {
+    pub fn set_sidecar_count(&self, count: u32) {
         let _ = self.happenings.send(DriverEvent::Command(InstanceCommand::SetSidecarCount(count)));
     }
 
     /// Brings other budgets for traffic between zones into force, or none. What it counts in the same place goes on.
-    pub fn set_crossing(&self, crossing: Option<CrossZoneBudget>) {
+    pub fn set_cross_zone_budget(&self, crossing: Option<CrossZoneBudget>) {
         let _ = self.happenings.send(DriverEvent::Command(InstanceCommand::SetCrossZoneBudget(crossing)));
     }
 
     /// The list of upstreams as the instance has it. The receiver fails when the instance has ended.
-    pub fn list(&self) -> oneshot::Receiver<HostList> {
+    pub fn host_list(&self) -> oneshot::Receiver<HostList> {
         let (reply, list) = oneshot::channel();
         let _ = self.happenings.send(DriverEvent::Command(InstanceCommand::GetHostList(reply)));
         list
     }
 
     /// What a successor goes on from. The receiver fails when the instance has ended.
-    pub fn estate(&self) -> oneshot::Receiver<HandoverState> {
+    pub fn handover_state(&self) -> oneshot::Receiver<HandoverState> {
         let (reply, estate) = oneshot::channel();
         let _ = self.happenings.send(DriverEvent::Command(InstanceCommand::GetHandoverState(reply)));
         estate
     }
 
     /// Sends there what discovery tells, from now on; what finds no room there is dropped.
-    pub fn follow(&self, news: mpsc::Sender<HostList>) {
+    pub fn forward_lists(&self, news: mpsc::Sender<HostList>) {
         let _ = self.happenings.send(DriverEvent::Command(InstanceCommand::ForwardLists(news)));
     }
 
     /// Another process of the same sidecar was told this by discovery.
-    pub fn news(&self, list: HostList) {
+    pub fn apply_peer_list(&self, list: HostList) {
         let _ = self.happenings.send(DriverEvent::Command(InstanceCommand::PeerList(list)));
     }
 
@@ -329,7 +329,7 @@
 
 impl StandInControl {
     /// Has it leave: the listener to a successor, or nobody's any more.
-    pub fn leave(&self, handed_over: bool) {
+    pub fn stop(&self, handed_over: bool) {
         let now = Instant::now();
         self.0.send_modify(|life| match handed_over {
             true => {
--- a/crates/sidecar/src/metered_stream.rs
+++ b/crates/sidecar/src/metered_stream.rs
@@ -173,7 +173,7 @@
             && exchange.framing.complete_requests() > 0
             && let Some((metrics, _)) = &exchange.recorders
         {
-            metrics.sends.fetch_add(1, Ordering::Release);
+            metrics.attempts_written.fetch_add(1, Ordering::Release);
         }
     }
 
--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -14,15 +14,15 @@
     /// By class.
     classes: Box<[ClassMetrics]>,
     /// Attempts whose last byte was written.
-    pub sends: AtomicU64,
+    pub attempts_written: AtomicU64,
     /// Answers of unknown length that were passed on as they came, since there was no room to hold them.
     pub unheld_answers: AtomicU64,
     /// The version of the list of upstreams.
-    pub seq: AtomicU64,
+    pub host_list_version: AtomicU64,
     /// How many upstreams are listed.
-    pub upstreams: AtomicU64,
+    pub listed_upstreams: AtomicU64,
     /// How many of them are avoided: ejected, or leaving.
-    pub skipped: AtomicU64,
+    pub avoided_upstreams: AtomicU64,
 }
 
 /// Counts of one class.
@@ -31,7 +31,7 @@
     /// Its name.
     pub name: Box<str>,
     /// Requests taken: their last byte was read, they were sound, and their id was not that of an open one.
-    pub taken: AtomicU64,
+    pub accepted: AtomicU64,
     /// Of these, answered with an upstream's answer.
     pub served: AtomicU64,
     /// Refused: trying again is harmless.
@@ -39,7 +39,7 @@
     /// Failed: no promise.
     pub failed: AtomicU64,
     /// Those whose client went away before its answer.
-    pub left: AtomicU64,
+    pub disconnected: AtomicU64,
 }
 
 /// What a request came to.
@@ -52,7 +52,7 @@
     /// A failure.
     Failed,
     /// Its client left first.
-    Left,
+    ClientDisconnected,
 }
 
 /// The counts of one class, or of all, at one moment.
@@ -83,38 +83,38 @@
         let zero = || AtomicU64::new(0);
         let classes = names.map(|name| ClassMetrics {
             name: name.into(),
-            taken: zero(),
+            accepted: zero(),
             served: zero(),
             refused: zero(),
             failed: zero(),
-            left: zero(),
+            disconnected: zero(),
         });
         Metrics {
             ready: AtomicBool::new(false),
             classes: classes.collect(),
-            sends: zero(),
+            attempts_written: zero(),
             unheld_answers: zero(),
-            seq: zero(),
-            upstreams: zero(),
-            skipped: zero(),
+            host_list_version: zero(),
+            listed_upstreams: zero(),
+            avoided_upstreams: zero(),
         }
     }
 
     /// Counts a request that was taken.
-    pub fn taken(&self, class: ClassId) {
+    pub fn count_accepted(&self, class: ClassId) {
         if let Some(class) = self.classes.get(class.0) {
-            class.taken.fetch_add(1, Ordering::Release);
+            class.accepted.fetch_add(1, Ordering::Release);
         }
     }
 
     /// Counts what one came to.
-    pub fn ended(&self, class: ClassId, came: RequestOutcome) {
+    pub fn count_outcome(&self, class: ClassId, came: RequestOutcome) {
         let Some(class) = self.classes.get(class.0) else { return };
         let counter = match came {
             RequestOutcome::Served => &class.served,
             RequestOutcome::Refused => &class.refused,
             RequestOutcome::Failed => &class.failed,
-            RequestOutcome::Left => &class.left,
+            RequestOutcome::ClientDisconnected => &class.disconnected,
         };
         counter.fetch_add(1, Ordering::Release);
     }
@@ -125,7 +125,7 @@
     }
 
     /// The counts of all classes together.
-    pub fn all(&self) -> Counts {
+    pub fn totals(&self) -> Counts {
         self.classes.iter().map(ClassMetrics::counts).fold(Counts::default(), |sum, one| Counts {
             taken: sum.taken + one.taken,
             served: sum.served + one.served,
@@ -139,9 +139,9 @@
 impl ClassMetrics {
     fn counts(&self) -> Counts {
         // The ends first: a request that ends in between must not make what is open negative.
-        let [served, refused, failed, left] =
-            [&self.served, &self.refused, &self.failed, &self.left].map(|c| c.load(Ordering::Acquire));
-        Counts { taken: self.taken.load(Ordering::Acquire), served, refused, failed, left }
+        let [served, refused, failed, left] = [&self.served, &self.refused, &self.failed, &self.disconnected]
+            .map(|c| c.load(Ordering::Acquire));
+        Counts { taken: self.accepted.load(Ordering::Acquire), served, refused, failed, left }
     }
 }
 
@@ -157,25 +157,25 @@
                 let mut rng = oorandom::Rand64::new(1);
                 for _ in 0..50_000 {
                     let class = ClassId(rng.rand_range(0..3) as usize);
-                    metrics.taken(class);
+                    metrics.count_accepted(class);
                     let came = [
                         RequestOutcome::Served,
                         RequestOutcome::Refused,
                         RequestOutcome::Failed,
-                        RequestOutcome::Left,
+                        RequestOutcome::ClientDisconnected,
                     ];
-                    metrics.ended(class, came[rng.rand_range(0..4) as usize]);
+                    metrics.count_outcome(class, came[rng.rand_range(0..4) as usize]);
                 }
             });
             threads.spawn(|| {
                 for _ in 0..20_000 {
-                    let Counts { taken, served, refused, failed, left } = metrics.all();
+                    let Counts { taken, served, refused, failed, left } = metrics.totals();
                     let ended = served + refused + failed + left;
                     assert!(taken >= ended, "{taken} taken, {ended} ended");
                 }
             });
         });
         let names: Vec<&str> = metrics.classes().map(|(name, _)| name).collect();
-        assert_eq!((names, metrics.all().open()), (vec!["a", "b"], 0));
+        assert_eq!((names, metrics.totals().open()), (vec!["a", "b"], 0));
     }
 }
--- a/crates/sidecar/src/resource_limits.rs
+++ b/crates/sidecar/src/resource_limits.rs
@@ -2,7 +2,7 @@
 //! console. Pure. What cannot be divided is told as a sum.
 
 use crate::config::Limits;
-use crate::console::{OWN_DESCRIPTORS, PLACES};
+use crate::console::{MAX_CALLERS, OWN_DESCRIPTORS};
 
 /// Descriptors for standard streams, the listener, discovery and the runtime, and for connections that are closing.
 const OWN_SOCKETS: usize = 24;
@@ -33,7 +33,7 @@
 /// There is too little: what is needed, as a sum.
 pub fn divide(limits: &Limits, console: bool, processes: usize) -> Result<ResourceLimits, String> {
     let link = if processes > 1 { LINK_SOCKETS } else { 0 };
-    let own = OWN_SOCKETS + link + if console { PLACES + OWN_DESCRIPTORS } else { 0 };
+    let own = OWN_SOCKETS + link + if console { MAX_CALLERS + OWN_DESCRIPTORS } else { 0 };
     let [connections, transfers] = LEAST;
     let needed = processes * own + 2 * connections;
     if limits.sockets < needed {
@@ -84,7 +84,7 @@
                     };
                     let ResourceLimits { connections, transfers } = division;
                     let own = OWN_SOCKETS
-                        + usize::from(console) * (PLACES + OWN_DESCRIPTORS)
+                        + usize::from(console) * (MAX_CALLERS + OWN_DESCRIPTORS)
                         + (processes - 1) * LINK_SOCKETS;
                     assert!(processes * own + 2 * connections <= sockets);
                     let kib = processes * OWN_MB * 1024 + connections * PAIR_KIB + transfers * TRANSFER_KIB;
--- a/crates/sidecar/src/transfer/answer.rs
+++ b/crates/sidecar/src/transfer/answer.rs
@@ -181,7 +181,7 @@
     fn truncate(&mut self, error: StreamError) -> Poll<Option<Result<Frame<Bytes>, StreamError>>> {
         self.truncated = true;
         if let Some(client_connection) = self.client_connection.as_ref().filter(|_| self.delimited_by_close) {
-            client_connection.reset_on_close();
+            client_connection.set_reset_on_close();
         }
         Poll::Ready(Some(Err(error)))
     }
@@ -271,10 +271,10 @@
         let outcome = match (complete, self.truncated) {
             (true, _) => RequestOutcome::Served,
             (false, true) => RequestOutcome::Failed,
-            (false, false) => RequestOutcome::Left,
+            (false, false) => RequestOutcome::ClientDisconnected,
         };
         if let Some(client_connection) = self.client_connection.take() {
-            client_connection.free();
+            client_connection.request_answered();
         }
         // The connection of an incomplete answer is closed.
         let connection = self.upstream_connection.take().filter(|_| complete);
--- a/crates/sidecar/tests/staleness.rs
+++ b/crates/sidecar/tests/staleness.rs
@@ -196,7 +196,7 @@
 
     /// Waits until it has applied this version.
     async fn wait_until_applied(&self, seq: u64) {
-        while self.metrics.seq.load(Ordering::Relaxed) != seq {
+        while self.metrics.host_list_version.load(Ordering::Relaxed) != seq {
             sleep(POLL_INTERVAL).await;
         }
     }
