--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -59,7 +59,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
     /// Requests taken.
-    pub taken: u64,
+    pub accepted: u64,
     /// See [`ClassMetrics`].
     pub served: u64,
     /// See [`ClassMetrics`].
@@ -67,13 +67,13 @@
     /// See [`ClassMetrics`].
     pub failed: u64,
     /// See [`ClassMetrics`].
-    pub left: u64,
+    pub disconnected: u64,
 }
 
 impl Counts {
     /// Requests without their final answer.
     pub fn open(&self) -> u64 {
-        self.taken.saturating_sub(self.served + self.refused + self.failed + self.left)
+        self.accepted.saturating_sub(self.served + self.refused + self.failed + self.disconnected)
     }
 }
 
@@ -127,11 +127,11 @@
     /// The counts of all classes together.
     pub fn totals(&self) -> Counts {
         self.classes.iter().map(ClassMetrics::counts).fold(Counts::default(), |sum, one| Counts {
-            taken: sum.taken + one.taken,
+            accepted: sum.accepted + one.accepted,
             served: sum.served + one.served,
             refused: sum.refused + one.refused,
             failed: sum.failed + one.failed,
-            left: sum.left + one.left,
+            disconnected: sum.disconnected + one.disconnected,
         })
     }
 }
@@ -141,7 +141,13 @@
         // The ends first: a request that ends in between must not make what is open negative.
         let [served, refused, failed, left] = [&self.served, &self.refused, &self.failed, &self.disconnected]
             .map(|c| c.load(Ordering::Acquire));
-        Counts { taken: self.accepted.load(Ordering::Acquire), served, refused, failed, left }
+        Counts {
+            accepted: self.accepted.load(Ordering::Acquire),
+            served,
+            refused,
+            failed,
+            disconnected: left,
+        }
     }
 }
 
@@ -169,7 +175,8 @@
             });
             threads.spawn(|| {
                 for _ in 0..20_000 {
-                    let Counts { taken, served, refused, failed, left } = metrics.totals();
+                    let Counts { accepted: taken, served, refused, failed, disconnected: left } =
+                        metrics.totals();
                     let ended = served + refused + failed + left;
                     assert!(taken >= ended, "{taken} taken, {ended} ended");
                 }
