--- a/crates/cli/src/bin/sagemast-simhost/main.rs
+++ b/crates/cli/src/bin/sagemast-simhost/main.rs
@@ -1,4 +1,5 @@
-//! Hosts many isolated instances of the module on the simulator's wire. Decides nothing.
+//! Adapter that runs many isolated instances of the decision module for the simulator. It reads events and
+//! writes actions as JSON lines, and makes no decisions of its own.
 
 mod wire;
 
@@ -11,13 +12,13 @@
 use sagemast_decide::settings::{Column, report_from_columns};
 use wire::*;
 
-/// One sidecar's module, and how its load reports are laid out.
+/// The decision module of one sidecar, and the columns of its load reports.
 struct Instance {
     balancer: Balancer,
-    columns: Vec<Column>,
+    report_columns: Vec<Column>,
 }
 
-/// All instances of this process, and the numbered lists that their news refers to.
+/// All instances of this process by sidecar name, and the host lists, by number, to which their events refer.
 #[derive(Default)]
 struct Host {
     instances: HashMap<String, Instance>,
@@ -25,14 +26,14 @@
 }
 
 impl Host {
-    /// Handles one line and gives the reply.
-    fn batch(&mut self, line: &str) -> Result<Reply, String> {
+    /// Handles one input line and returns the reply.
+    fn handle_batch(&mut self, line: &str) -> Result<Reply, String> {
         let batch: Batch = serde_json::from_str(line).map_err(|error| error.to_string())?;
         let mut reply = Reply { turn: batch.turn, parts: Vec::new() };
         for part in batch.parts {
             let mut actions = Vec::new();
             for event in part.inbox {
-                self.event(batch.wall, &part.sidecar, event, &mut actions)?;
+                self.handle_event(batch.wall, &part.sidecar, event, &mut actions)?;
             }
             if !actions.is_empty() {
                 let actions = actions.into_iter().map(WireAction::from).collect();
@@ -42,18 +43,18 @@
         Ok(reply)
     }
 
-    fn event(
+    fn handle_event(
         &mut self,
         now: f64,
-        name: &str,
+        sidecar: &str,
         event: WireEvent,
         actions: &mut Vec<Action>,
     ) -> Result<(), String> {
         match event {
             WireEvent::Hello { salt, config } => {
                 let balancer = Balancer::new(config.settings(), salt);
-                let instance = Instance { balancer, columns: config.columns() };
-                self.instances.insert(name.to_owned(), instance);
+                let instance = Instance { balancer, report_columns: config.columns() };
+                self.instances.insert(sidecar.to_owned(), instance);
                 return Ok(());
             }
             WireEvent::DefineList { list, rows_in } => {
@@ -61,41 +62,41 @@
                 return Ok(());
             }
             WireEvent::Killed => {
-                // What a killed instance asked for earlier in this batch dies with it.
+                // A killed instance cannot carry out its actions from earlier in this batch.
                 actions.clear();
-                self.instances.remove(name);
+                self.instances.remove(sidecar);
                 return Ok(());
             }
             _ => {}
         }
         let instance = self
             .instances
-            .get_mut(name)
-            .ok_or_else(|| format!("an event for {name}, which has not started"))?;
-        if let Some(event) = translate(event, &instance.columns, &self.lists)? {
+            .get_mut(sidecar)
+            .ok_or_else(|| format!("event for sidecar {sidecar}, which has not started"))?;
+        if let Some(event) = translate(event, &instance.report_columns, &self.lists)? {
             instance.balancer.handle(now, event, actions);
         }
         Ok(())
     }
 }
 
-/// Turns a wire event into the module's; `None` for what it has no use for.
+/// Converts a wire event to an event of the decision module; `None` if the module does not handle it.
 fn translate(
     event: WireEvent,
-    columns: &[Column],
+    report_columns: &[Column],
     lists: &BTreeMap<u64, Vec<Row>>,
 ) -> Result<Option<Event>, String> {
     Ok(Some(match event {
         WireEvent::Sync { mode, list } => {
-            let rows = || -> Result<Vec<Listing>, String> {
-                let number = list.ok_or("a list without its number")?;
+            let listed = || -> Result<Vec<Listing>, String> {
+                let number = list.ok_or("sync event without a list number")?;
                 let rows = lists.get(&number).ok_or_else(|| format!("list {number} is not defined"))?;
                 Ok(rows.iter().map(Listing::from).collect())
             };
             Event::ListReceived(match mode {
-                SyncMode::Update => ListUpdate::Changed(rows()?),
-                SyncMode::Replace => ListUpdate::Complete(rows()?),
-                SyncMode::Restored => ListUpdate::Restored(rows()?),
+                SyncMode::Update => ListUpdate::Changed(listed()?),
+                SyncMode::Replace => ListUpdate::Complete(listed()?),
+                SyncMode::Restored => ListUpdate::Restored(listed()?),
                 SyncMode::Unavailable => ListUpdate::Unavailable,
             })
         }
@@ -108,7 +109,7 @@
         WireEvent::Pong { upstream, disposition, server_stats } => Event::ProbeFinished {
             upstream: UpstreamId(upstream),
             answered: Outcome::from(disposition) == Outcome::Ok,
-            report: server_stats.map(|stats| report_from_columns(columns, &stats)),
+            report: server_stats.map(|stats| report_from_columns(report_columns, &stats)),
         },
         WireEvent::Ring { token } => Event::TimerFired(token),
         WireEvent::Lapsed { xid } => Event::ClientDisconnected(RequestId(xid.0)),
@@ -120,7 +121,7 @@
                 outcome: disposition.into(),
                 latency,
                 client_answered: ended,
-                report: server_stats.map(|stats| report_from_columns(columns, &stats)),
+                report: server_stats.map(|stats| report_from_columns(report_columns, &stats)),
             })
         }
         WireEvent::Heard {} | WireEvent::UnderWay {} => return Ok(None),
@@ -133,13 +134,14 @@
     let mut input = std::io::stdin().lock();
     let mut output = std::io::BufWriter::new(std::io::stdout().lock());
     let mut line = String::new();
-    for number in 1.. {
+    for line_number in 1.. {
         line.clear();
-        let read = input.read_line(&mut line).map_err(|error| format!("line {number}: {error}"))?;
-        if read == 0 {
+        let bytes_read =
+            input.read_line(&mut line).map_err(|error| format!("line {line_number}: {error}"))?;
+        if bytes_read == 0 {
             break;
         }
-        let reply = host.batch(&line).map_err(|reason| format!("line {number}: {reason}"))?;
+        let reply = host.handle_batch(&line).map_err(|reason| format!("line {line_number}: {reason}"))?;
         serde_json::to_writer(&mut output, &reply).map_err(|error| error.to_string())?;
         output.write_all(b"\n").and_then(|()| output.flush()).map_err(|error| error.to_string())?;
     }
--- a/crates/cli/src/bin/sagemast-simhost/wire.rs
+++ b/crates/cli/src/bin/sagemast-simhost/wire.rs
@@ -1,38 +1,39 @@
-//! The simulator's wire: JSON lines, read into types and turned into the module's own terms.
+//! The simulator's protocol: JSON lines, with conversions to and from the types of the decision module. Types
+//! and fields have the names of the protocol.
 
 use sagemast_decide::api::*;
 use sagemast_decide::settings::Config;
 use sagemast_decide::subset::mix;
 use serde::{Deserialize, Serialize};
 
+/// One input line: events of several sidecars at one time.
 #[derive(Deserialize)]
 pub struct Batch {
+    /// Current time in milliseconds.
     pub wall: f64,
+    /// Number of the batch, which its reply repeats.
     pub turn: u64,
     pub parts: Vec<Inbox>,
 }
 
+/// Events of one sidecar, in order.
 #[derive(Deserialize)]
 pub struct Inbox {
     pub sidecar: String,
     pub inbox: Vec<WireEvent>,
 }
 
+/// An event for one sidecar.
 #[derive(Deserialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum WireEvent {
-    Hello {
-        salt: u64,
-        config: Box<Config>,
-    },
-    DefineList {
-        list: u64,
-        rows_in: Vec<Row>,
-    },
-    Sync {
-        mode: SyncMode,
-        list: Option<u64>,
-    },
+    /// The sidecar starts.
+    Hello { salt: u64, config: Box<Config> },
+    /// Defines a host list to which later events refer by its number.
+    DefineList { list: u64, rows_in: Vec<Row> },
+    /// An update of the host list, or its loss.
+    Sync { mode: SyncMode, list: Option<u64> },
+    /// A request has arrived.
     Arrival {
         xid: Hex,
         #[serde(default)]
@@ -40,20 +41,20 @@
         time_left: f64,
         category: usize,
     },
+    /// The sidecar was killed.
     Killed,
-    Pong {
-        upstream: u64,
-        disposition: Disposition,
-        server_stats: Option<Vec<f64>>,
-    },
+    /// A probe has finished.
+    Pong { upstream: u64, disposition: Disposition, server_stats: Option<Vec<f64>> },
+    /// A timer has fired.
     Ring {
         #[serde(rename = "ref")]
         token: u64,
     },
-    Lapsed {
-        xid: Hex,
-    },
+    /// The client of a request has disconnected.
+    Lapsed { xid: Hex },
+    /// Not used by the decision module.
     Heard {},
+    /// An attempt has finished.
     Returned {
         xid: Hex,
         #[serde(default)]
@@ -64,9 +65,11 @@
         disposition: Disposition,
         server_stats: Option<Vec<f64>>,
     },
+    /// Not used by the decision module.
     UnderWay {},
 }
 
+/// How a sync event changes the host list.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "snake_case")]
 pub enum SyncMode {
@@ -81,21 +84,22 @@
 pub struct Hex(pub u64);
 
 impl<'de> Deserialize<'de> for Hex {
-    fn deserialize<D: serde::Deserializer<'de>>(de: D) -> Result<Self, D::Error> {
-        let text = std::borrow::Cow::<str>::deserialize(de)?;
-        // A sign would pass for a digit.
+    fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        let text = std::borrow::Cow::<str>::deserialize(deserializer)?;
+        // `from_str_radix` would accept a sign as the first character.
         let digits = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
         let value = u64::from_str_radix(&text, 16).ok().filter(|_| digits);
-        value.map(Hex).ok_or_else(|| serde::de::Error::custom("a request id is 16 hex digits"))
+        value.map(Hex).ok_or_else(|| serde::de::Error::custom("a request id must be 16 hex digits"))
     }
 }
 
 impl Serialize for Hex {
-    fn serialize<S: serde::Serializer>(&self, ser: S) -> Result<S::Ok, S::Error> {
-        ser.collect_str(&format_args!("{:016x}", self.0))
+    fn serialize<S: serde::Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+        serializer.collect_str(&format_args!("{:016x}", self.0))
     }
 }
 
+/// The outcome of an attempt or a probe.
 #[derive(Deserialize, Clone, Copy)]
 #[serde(rename_all = "snake_case")]
 pub enum Disposition {
@@ -110,8 +114,8 @@
 }
 
 impl From<Disposition> for Outcome {
-    fn from(wire: Disposition) -> Outcome {
-        match wire {
+    fn from(disposition: Disposition) -> Outcome {
+        match disposition {
             Disposition::Pass => Outcome::Ok,
             Disposition::Fault => Outcome::Error,
             Disposition::NoRoom => Outcome::Full,
@@ -124,6 +128,7 @@
     }
 }
 
+/// The entry of one upstream in a host list.
 #[derive(Deserialize, Clone)]
 pub struct Row {
     upstream: u64,
@@ -134,13 +139,13 @@
     #[serde(default)]
     stripe: u64,
     lifecycle: WireLifecycle,
-    #[serde(default = "one")]
+    #[serde(default = "default_capacity_hint")]
     capacity_hint: f64,
     #[serde(default)]
     launched: f64,
 }
 
-fn one() -> f64 {
+fn default_capacity_hint() -> f64 {
     1.0
 }
 
@@ -170,51 +175,44 @@
     }
 }
 
+/// One output line: the actions that a batch has caused.
 #[derive(Serialize)]
 pub struct Reply {
     pub turn: u64,
     pub parts: Vec<Outbox>,
 }
 
+/// Actions of one sidecar, in order.
 #[derive(Serialize)]
 pub struct Outbox {
     pub sidecar: String,
     pub actions: Vec<WireAction>,
 }
 
+/// An action of one sidecar.
 #[derive(Serialize)]
 #[serde(tag = "kind", rename_all = "snake_case")]
 pub enum WireAction {
-    Relay {
-        xid: Hex,
-        upstream: u64,
-        patience: f64,
-    },
-    Revoke {
-        xid: Hex,
-        shot: u32,
-    },
-    PushBack {
-        xid: Hex,
-        come_back: f64,
-    },
-    Fail {
-        xid: Hex,
-    },
-    AskLoad {
-        upstream: u64,
-    },
+    /// Start an attempt.
+    Relay { xid: Hex, upstream: u64, patience: f64 },
+    /// Cancel an attempt.
+    Revoke { xid: Hex, shot: u32 },
+    /// Refuse a request.
+    PushBack { xid: Hex, come_back: f64 },
+    /// Fail a request.
+    Fail { xid: Hex },
+    /// Probe an upstream.
+    AskLoad { upstream: u64 },
+    /// Set a timer.
     SetAlarm {
         time: f64,
         #[serde(rename = "ref")]
         token: u64,
     },
-    Follow {
-        want: bool,
-    },
-    NoteDown {
-        text: String,
-    },
+    /// Subscribe to the host list.
+    Follow { want: bool },
+    /// Write a log line.
+    NoteDown { text: String },
 }
 
 impl From<Action> for WireAction {
--- a/crates/cli/src/sidecar.rs
+++ b/crates/cli/src/sidecar.rs
@@ -1,4 +1,4 @@
-//! `sagemast` alone: one instance on the main thread, as the platform starts it.
+//! The single-sidecar program: `sagemast` without a daemon, one instance on the main thread.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -23,31 +23,33 @@
 use sagemast_sidecar::resource_limits::ResourceLimits;
 use sagemast_sidecar::watch_liveness;
 
-/// Clients connect for up to 0.4 s after SIGTERM; what waits in the accept queue counts as taken.
-const STILL_COMING: Duration = Duration::from_millis(550);
-/// After the longest deadline and this, SIGKILL is close.
-const LAST_MARGIN: Duration = Duration::from_millis(640);
+/// How long connections are accepted after SIGTERM without a successor. Clients still connect for up to 0.4
+/// s, and connections in the accept queue count as accepted.
+const CLOSE_LINGER: Duration = Duration::from_millis(550);
+/// Time limit of a drain beyond the longest deadline. The platform sends SIGKILL soon after it.
+const DRAIN_MARGIN: Duration = Duration::from_millis(640);
+/// How long an idle connection may carry one more request after a successor has begun to serve on the same
+/// socket.
+const HANDOVER_LINGER: Duration = Duration::from_secs(1);
 
-/// Once a successor listens on the same socket, a connection with nothing open may carry one more request for this long.
-const LAST_CALL: Duration = Duration::from_secs(1);
-
-/// Runs it to its end.
+/// Runs the sidecar until it has ended.
 pub fn run(log: &Log) -> Result<()> {
     let config = Config::from_env()?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
         .context("cannot start the runtime")?;
-    runtime.block_on(sidecar(config, log))
+    runtime.block_on(run_sidecar(config, log))
 }
 
-async fn sidecar(config: Config, log: &Log) -> Result<()> {
+async fn run_sidecar(config: Config, log: &Log) -> Result<()> {
     let mut terminate = signal(SignalKind::terminate()).context("cannot wait for SIGTERM")?;
     let mut interrupt = signal(SignalKind::interrupt()).context("cannot wait for SIGINT")?;
-    // Unhandled it would end the program; so it is taken before anyone can know that the program runs.
+    // An unhandled SIGHUP would end the program, so it is handled before the program can be noticed from
+    // outside.
     let mut hangup = signal(SignalKind::hangup()).context("cannot wait for SIGHUP")?;
-    let crossing = budgets(&config)?;
-    let console = config.console.map(Console::listen).transpose()?;
+    let cross_zone_budget = read_cross_zone_budget(&config)?;
+    let console_listener = config.console.map(Console::listen).transpose()?;
     let inherited = std::env::var_os("ROUTER_SOCKET_FD").filter(|text| !text.is_empty());
     let listener = match &inherited {
         Some(text) => {
@@ -58,106 +60,119 @@
         None => front::listen(config.listen)?,
     };
     let address = listener.local_addr().context("the listener has no address")?;
-    // Until it can serve, whoever comes to a socket that others listen on as well is for them, and who comes to one of its
-    // own waits there: to send by the list that it was started with would be to send to what has begun to drain since.
-    let (ready, shared) = (Arc::new(Notify::new()), inherited.is_some());
-    let told_ready = ready.clone();
-    let listening = EventSink::from_fn(move |told| {
-        if told == InstanceEvent::Ready {
-            told_ready.notify_one();
+    // The instance starts in standby until it is ready: the configured host list may contain upstreams that
+    // have begun to drain since. Until then, clients of a shared socket are accepted by the other processes
+    // that listen on it, and clients of an own socket wait in its accept queue.
+    let (ready, shared_socket) = (Arc::new(Notify::new()), inherited.is_some());
+    let ready_sender = ready.clone();
+    let events = EventSink::from_fn(move |event| {
+        if event == InstanceEvent::Ready {
+            ready_sender.notify_one();
         }
         true
     });
-    let place = if shared { HandoverDirectory::from_env() } else { None };
-    let mut elder = match &place {
-        Some(place) => Predecessor::meet(place, log).await,
+    let handover_directory = if shared_socket { HandoverDirectory::from_env() } else { None };
+    let mut predecessor = match &handover_directory {
+        Some(directory) => Predecessor::connect(directory, log).await,
         None => None,
     };
-    let sidecars = config.settings.settings().sidecars;
+    let configured_sidecars = config.settings.settings().sidecars;
     let ResourceLimits { connections, transfers } = config.resource_limits()?;
-    let held = Budgets::with_limits(connections, transfers);
+    let budgets = Budgets::with_limits(connections, transfers);
     log.line(format!("listening on {address}"));
     let (instance, control) = Instance::new(InstanceConfig {
         settings: config.settings_with_identity(),
         seed: config.seed(),
         discovery: config.discovery,
         initial_host_list: config.initial_host_list,
-        handover_state: elder.as_mut().and_then(|elder| elder.estate.take()),
+        handover_state: predecessor.as_mut().and_then(|predecessor| predecessor.handover_state.take()),
         listener: Arc::new(listener),
-        budgets: held.clone(),
-        cross_zone_budget: crossing.clone(),
+        budgets: budgets.clone(),
+        cross_zone_budget: cross_zone_budget.clone(),
         log: log.clone(),
-        events: listening,
+        events,
         standby: true,
     });
-    let _console =
-        console.map(|listener| Console::start(listener, control.clone(), log.clone())).transpose()?;
-    let succession =
-        place.map(|place| handover::run(place, elder, control.clone(), held, sidecars, log.clone()));
-    // One that has no list at all by then says so to whoever comes.
-    let waits =
+    let _console = console_listener
+        .map(|listener| Console::start(listener, control.clone(), log.clone()))
+        .transpose()?;
+    let succession = handover_directory.map(|directory| {
+        handover::run(directory, predecessor, control.clone(), budgets, configured_sidecars, log.clone())
+    });
+    // An instance with its own socket that has no host list by then accepts clients and answers that it is
+    // not ready.
+    let startup_wait =
         watch_liveness::startup_wait(Duration::from_secs_f64(config.settings.shortest_aim_ms() / 1e3));
-    let started = Instant::now();
-    let mut opens = (!shared).then_some(started + waits);
+    let started_at = Instant::now();
+    let mut open_at = (!shared_socket).then_some(started_at + startup_wait);
     let mut running = tokio::spawn(instance.run());
     loop {
         tokio::select! {
             _ = terminate.recv() => break log.line("SIGTERM: finishing what is held"),
             _ = interrupt.recv() => break log.line("SIGINT: finishing what is held"),
-            () = sleep_until(opens.unwrap_or(started)), if opens.is_some() => {
-                opens = None;
+            () = sleep_until(open_at.unwrap_or(started_at)), if open_at.is_some() => {
+                open_at = None;
                 control.open();
             }
             () = ready.notified() => {
-                opens = None;
+                open_at = None;
                 control.open();
                 log.line("serving");
-                succession.iter().for_each(SuccessionHandle::serves);
+                succession.iter().for_each(SuccessionHandle::set_serving);
             }
-            _ = hangup.recv() => reload(address, &control, crossing.as_ref(), log),
-            // Without it nothing is answered: better to be started anew.
-            ended = &mut running => match ended {
+            _ = hangup.recv() => reload(address, &control, cross_zone_budget.as_ref(), log),
+            // Without its instance the program is of no use; the platform starts it again.
+            result = &mut running => match result {
                 Ok(ExitReason::Failed(reason)) => bail!("{reason}"),
-                ended => bail!("the instance has ended: {ended:?}"),
+                result => bail!("the instance has ended: {result:?}"),
             },
         }
     }
-    told(crossing.as_ref(), log);
-    let at_most = control.longest_deadline() + LAST_MARGIN;
-    // Without a successor nobody else accepts those who wait.
-    control.drain(match succession.as_ref().is_some_and(SuccessionHandle::is_succeeded) {
-        true => Drain::HandOver { linger: LAST_CALL, max_duration: at_most },
-        false => Drain::Close { linger: STILL_COMING, max_duration: at_most },
+    log_crossings(cross_zone_budget.as_ref(), log);
+    let max_duration = control.longest_deadline() + DRAIN_MARGIN;
+    // Without a successor no other process accepts the connections in the accept queue.
+    control.drain(match succession.as_ref().is_some_and(SuccessionHandle::has_serving_successor) {
+        true => Drain::HandOver { linger: HANDOVER_LINGER, max_duration },
+        false => Drain::Close { linger: CLOSE_LINGER, max_duration },
     });
     match running.await.context("the instance has failed")? {
         ExitReason::Drained => Ok(()),
         ExitReason::Overdue => {
-            log.line("some clients have not let go in time");
+            log.line("the time limit of the drain has passed with client connections open");
             Ok(())
         }
         ExitReason::Failed(reason) => bail!("{reason}"),
     }
 }
 
-/// Reads the configuration again. One that is not sound changes nothing.
-fn reload(listening: std::net::SocketAddr, control: &Control, crossing: Option<&CrossZoneBudget>, log: &Log) {
-    told(crossing, log);
-    let read = Config::from_env().and_then(|config| Ok((budgets(&config)?, config)));
-    match read {
-        Ok((limits, config)) => {
-            match (crossing, limits) {
-                // Names, and so counts, follow from settings that take a restart.
-                (Some(CrossZoneBudget { counts, .. }), Some(new))
-                    if *counts.names() == *new.counts.names() =>
+/// Reads the configuration again and applies the parts that can change without a restart. An invalid
+/// configuration changes nothing.
+fn reload(
+    listening_on: std::net::SocketAddr,
+    control: &Control,
+    current_budget: Option<&CrossZoneBudget>,
+    log: &Log,
+) {
+    log_crossings(current_budget, log);
+    let result = Config::from_env().and_then(|config| Ok((read_cross_zone_budget(&config)?, config)));
+    match result {
+        Ok((new_budget, config)) => {
+            match (current_budget, new_budget) {
+                // The counts depend on the names in the settings, and these change only with a restart.
+                (Some(CrossZoneBudget { counts, .. }), Some(new_budget))
+                    if *counts.names() == *new_budget.counts.names() =>
                 {
-                    control.set_cross_zone_budget(Some(CrossZoneBudget { counts: counts.clone(), ..new }));
+                    control.set_cross_zone_budget(Some(CrossZoneBudget {
+                        counts: counts.clone(),
+                        ..new_budget
+                    }));
                 }
                 (None, None) => {}
-                _ => log.line("SIGHUP: other zones or classes for SAGEMAST_POOLS take a restart"),
+                _ => log.line("SIGHUP: other zones or classes for SAGEMAST_POOLS require a restart"),
             }
             log.line(format!("SIGHUP: discovery is at {}", config.discovery));
-            if config.listen.port() != 0 && config.listen != listening {
-                log.line(format!("SIGHUP: listening on {} takes a restart", config.listen));
+            if config.listen.port() != 0 && config.listen != listening_on {
+                log.line(format!("SIGHUP: listening on {} requires a restart", config.listen));
             }
             control.watch_discovery(config.discovery);
         }
@@ -165,31 +180,32 @@
     }
 }
 
-/// Budgets for traffic between zones, from the file that SAGEMAST_POOLS names, if it is set.
-fn budgets(config: &Config) -> Result<Option<CrossZoneBudget>> {
+/// Reads the budgets for cross-zone traffic from the file that SAGEMAST_POOLS names, if it is set.
+fn read_cross_zone_budget(config: &Config) -> Result<Option<CrossZoneBudget>> {
     let Some(path) = std::env::var_os("SAGEMAST_POOLS") else { return Ok(None) };
-    let shown = path.to_string_lossy();
-    let text = std::fs::read_to_string(&path).with_context(|| format!("cannot read {shown}"))?;
-    let read = File::read(&text).and_then(|file| CrossZoneBudget::from_file(&file, &config.settings));
-    match read {
-        Ok(crossing) => Ok(Some(crossing)),
+    let shown_path = path.to_string_lossy();
+    let text = std::fs::read_to_string(&path).with_context(|| format!("cannot read {shown_path}"))?;
+    let result = File::read(&text).and_then(|file| CrossZoneBudget::from_file(&file, &config.settings));
+    match result {
+        Ok(budget) => Ok(Some(budget)),
         Err(faults) => {
-            let lines: Vec<String> = faults.iter().map(|fault| format!("{shown}:{fault}")).collect();
+            let lines: Vec<String> = faults.iter().map(|fault| format!("{shown_path}:{fault}")).collect();
             bail!("{}", lines.join("; "))
         }
     }
 }
 
-/// Logs what has crossed so far, by class.
-fn told(crossing: Option<&CrossZoneBudget>, log: &Log) {
-    let Some(crossing) = crossing else { return };
-    let totals = crossing.counts.totals();
+/// Logs the cross-zone traffic so far, by class and zone.
+fn log_crossings(budget: Option<&CrossZoneBudget>, log: &Log) {
+    let Some(budget) = budget else { return };
+    let totals = budget.counts.totals();
     for row in totals.rows.iter().filter(|row| row.is_cross_zone()) {
-        let (all, _) = totals.attempts_and_crossings(Some(&row.class));
-        let (crossed, bent) = (row.attempts(), row.exempted.total());
-        let (out, back) = (row.bytes_out, row.bytes_in);
+        let (all_attempts, _) = totals.attempts_and_crossings(Some(&row.class));
+        let (crossed, exempted) = (row.attempts(), row.exempted.total());
+        let (bytes_out, bytes_in) = (row.bytes_out, row.bytes_in);
         log.line(format!(
-            "crossing: {} to {}: {crossed} of {all} attempts, {bent} without a budget, {out} bytes out, {back} in",
+            "crossing: {} to {}: {crossed} of {all_attempts} attempts, {exempted} without a budget, \
+             {bytes_out} bytes out, {bytes_in} in",
             row.class, row.to
         ));
     }
--- a/crates/sidecar/benches/ordinary_path.rs
+++ b/crates/sidecar/benches/ordinary_path.rs
@@ -1,13 +1,13 @@
-//! What an ordinary request costs the sidecar: allocations, calls that read or write, and bytes that cross the kernel,
-//! counted, not timed, so that the figures are the same every time. `cargo test` runs this and fails where one of them
-//! has risen by more than 5 % over the baseline below. One instance on a thread of its own; the client and the
-//! upstreams use fixed buffers and allocate nothing while it is counted.
+//! Cost of an ordinary request in the sidecar: allocations, read and write calls, and bytes copied to and from
+//! the kernel. They are counted, not timed, so that the figures are the same in every run. `cargo test` runs
+//! this and fails if a figure exceeds the baseline below by more than 5 %. The instance runs on its own thread;
+//! the client and the upstreams use fixed buffers and allocate nothing during the measurement.
 //!
-//! To renew the baseline after a change that is meant to cost more, or that costs less:
+//! To renew the baseline after a change that deliberately costs more, or that costs less:
 //!
 //!     cargo bench -p sagemast-sidecar --bench ordinary_path
 //!
-//! and put what it prints in the place of [`BASELINE`], with the reason in the commit.
+//! Replace [`BASELINE`] with the printed lines, and give the reason in the commit.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -27,13 +27,14 @@
 #[global_allocator]
 static ALLOCATOR: dhat::Alloc = dhat::Alloc;
 
-/// Requests before anything is counted, and while it is.
-const WARM: u64 = 300;
-const COUNTED: u64 = 1_000;
-/// A figure may rise by this share.
-const RISE: f64 = 0.05;
+/// Number of requests before the measurement.
+const WARM_UP_REQUESTS: u64 = 300;
+/// Number of measured requests.
+const MEASURED_REQUESTS: u64 = 1_000;
+/// A figure may exceed the baseline by this fraction of it.
+const MAX_INCREASE: f64 = 0.05;
 
-/// By load: allocations, calls and bytes a request.
+/// Allocations, calls and bytes per request, by load.
 const BASELINE: [(&str, [f64; 3]); 4] = [
     ("small GET", [38.0, 5.0, 726.0]),
     ("16 KiB POST", [43.0, 5.0, 33523.0]),
@@ -47,48 +48,52 @@
     "allowed":{"max_attempts":3},"peers_total":1,"membership_mode":"automatic","telemetry":{},
     "invariants":{"cold_share":0.1,"warm_up":2e4,"fall_multiple":2.5,"fall":1500.0}}"#;
 
-/// Reads one message with a stated length into a buffer, and says how long it was; `None` at the end.
-fn message(stream: &mut TcpStream, buffer: &mut [u8]) -> Option<usize> {
-    let mut have = 0;
+/// Reads one message with a Content-Length into the buffer. Returns its length, or `None` at the end of the
+/// stream.
+fn read_message(stream: &mut TcpStream, buffer: &mut [u8]) -> Option<usize> {
+    let mut received = 0;
     loop {
-        let got = stream.read(&mut buffer[have..]).ok().filter(|got| *got > 0)?;
-        have += got;
-        let Some(head) = buffer[..have].windows(4).position(|four| four == b"\r\n\r\n") else { continue };
-        let length = length(&buffer[..head]).unwrap_or(0);
-        if have >= head + 4 + length {
-            return Some(have);
+        let read = stream.read(&mut buffer[received..]).ok().filter(|read| *read > 0)?;
+        received += read;
+        let head_end = buffer[..received].windows(4).position(|window| window == b"\r\n\r\n");
+        let Some(head_end) = head_end else { continue };
+        let body_bytes = content_length(&buffer[..head_end]).unwrap_or(0);
+        if received >= head_end + 4 + body_bytes {
+            return Some(received);
         }
     }
 }
 
-/// The stated length of a body.
-fn length(head: &[u8]) -> Option<usize> {
+/// The Content-Length in a head.
+fn content_length(head: &[u8]) -> Option<usize> {
     let name = b"content-length:";
-    let at = head.windows(name.len()).position(|some| some.eq_ignore_ascii_case(name))?;
-    let digits = head[at + name.len()..].trim_ascii_start();
+    let name_start = head.windows(name.len()).position(|window| window.eq_ignore_ascii_case(name))?;
+    let digits = head[name_start + name.len()..].trim_ascii_start();
     let end = digits.iter().position(|byte| !byte.is_ascii_digit()).unwrap_or(digits.len());
     std::str::from_utf8(&digits[..end]).ok()?.parse().ok()
 }
 
-/// An upstream that answers with so many bytes; one in 16 requests of all upstreams is turned away unseen if `again`:
-/// the module tries one in ten again at most, and refuses then.
-fn upstream(bytes: usize, again: bool, asked: Arc<AtomicU64>) -> SocketAddr {
+/// Starts an upstream whose answers have a body of `body_bytes`. If `rejecting`, one in 16 of the requests of
+/// all upstreams, which share `request_count`, is rejected as not processed, and retried by the sidecar. It
+/// is not more because the decision module retries at most one request in ten and refuses the others.
+fn start_upstream(body_bytes: usize, rejecting: bool, request_count: Arc<AtomicU64>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
     let address = listener.local_addr().expect("an address");
-    let mut answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {bytes}\r\n\r\n").into_bytes();
-    answer.resize(answer.len() + bytes, b'x');
-    let away = b"HTTP/1.1 503 No\r\nx-not-processed: 1\r\ncontent-length: 0\r\n\r\n";
+    let mut answer = format!("HTTP/1.1 200 OK\r\ncontent-length: {body_bytes}\r\n\r\n").into_bytes();
+    answer.resize(answer.len() + body_bytes, b'x');
+    let rejection = b"HTTP/1.1 503 No\r\nx-not-processed: 1\r\ncontent-length: 0\r\n\r\n";
     let answer = Arc::new(answer);
     std::thread::spawn(move || {
         while let Ok((mut stream, _)) = listener.accept() {
-            let (answer, asked) = (answer.clone(), asked.clone());
+            let (answer, request_count) = (answer.clone(), request_count.clone());
             std::thread::spawn(move || {
                 let _ = stream.set_nodelay(true);
                 let mut buffer = vec![0; 128 << 10];
-                while message(&mut stream, &mut buffer).is_some() {
-                    let turned = again && asked.fetch_add(1, Ordering::Relaxed).is_multiple_of(16);
-                    let whole = if turned { &away[..] } else { &answer };
-                    if stream.write_all(whole).is_err() {
+                while read_message(&mut stream, &mut buffer).is_some() {
+                    let reject =
+                        rejecting && request_count.fetch_add(1, Ordering::Relaxed).is_multiple_of(16);
+                    let response = if reject { &rejection[..] } else { &answer };
+                    if stream.write_all(response).is_err() {
                         return;
                     }
                 }
@@ -98,14 +103,14 @@
     address
 }
 
-/// Tells the list and then an empty line each second.
-fn discovery(upstreams: &[SocketAddr]) -> SocketAddr {
+/// Starts a discovery service that sends the host list and then an empty line every second.
+fn start_discovery(upstreams: &[SocketAddr]) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
     let address = listener.local_addr().expect("an address");
     let hosts: Vec<String> = upstreams
         .iter()
         .enumerate()
-        .map(|(n, at)| format!(r#"{{"host":"u{n}","dial":"{at}","health":"ready"}}"#))
+        .map(|(number, address)| format!(r#"{{"host":"u{number}","dial":"{address}","health":"ready"}}"#))
         .collect();
     let list = format!("{{\"seq\":1,\"whole\":true,\"hosts\":[{}]}}\n", hosts.join(","));
     std::thread::spawn(move || {
@@ -123,8 +128,8 @@
     address
 }
 
-/// One instance for good. Where clients connect.
-fn sidecar(discovery: SocketAddr) -> SocketAddr {
+/// Starts an instance that runs until the process ends. Returns the address for clients.
+fn start_sidecar(discovery: SocketAddr) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
     let address = listener.local_addr().expect("an address");
     listener.set_nonblocking(true).expect("nonblocking");
@@ -151,79 +156,88 @@
     address
 }
 
-/// Asks until the sidecar has its list.
+/// Polls `/up` until the sidecar has its host list.
 fn wait_until_up(address: SocketAddr) {
     for _ in 0..1_000 {
-        let mut stream = TcpStream::connect(address).expect("it listens");
-        stream.write_all(b"GET /up HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n").expect("it reads");
+        let mut stream = TcpStream::connect(address).expect("the sidecar accepts a connection");
+        stream
+            .write_all(b"GET /up HTTP/1.1\r\nhost: x\r\nconnection: close\r\n\r\n")
+            .expect("the sidecar reads the request");
         let mut buffer = [0; 1024];
-        let got = message(&mut stream, &mut buffer).unwrap_or(0);
-        if buffer[..got].starts_with(b"HTTP/1.1 200") {
+        let received = read_message(&mut stream, &mut buffer).unwrap_or(0);
+        if buffer[..received].starts_with(b"HTTP/1.1 200") {
             return;
         }
         std::thread::sleep(Duration::from_millis(10));
     }
-    panic!("it never had its list");
+    panic!("the sidecar has no host list after 1,000 polls");
 }
 
-/// Allocations, calls and bytes a request.
-fn measure(request: &[u8], bytes: usize, again: bool) -> [f64; 3] {
-    let asked = Arc::new(AtomicU64::new(0));
-    let upstreams: Vec<SocketAddr> = (0..4).map(|_| upstream(bytes, again, asked.clone())).collect();
-    let address = sidecar(discovery(&upstreams));
+/// Measures allocations, calls and bytes per request.
+fn measure(request: &[u8], answer_bytes: usize, rejecting: bool) -> [f64; 3] {
+    let request_count = Arc::new(AtomicU64::new(0));
+    let upstreams: Vec<SocketAddr> =
+        (0..4).map(|_| start_upstream(answer_bytes, rejecting, request_count.clone())).collect();
+    let address = start_sidecar(start_discovery(&upstreams));
     wait_until_up(address);
-    let mut stream = TcpStream::connect(address).expect("it listens");
+    let mut stream = TcpStream::connect(address).expect("the sidecar accepts a connection");
     let _ = stream.set_nodelay(true);
     let mut buffer = vec![0; 128 << 10];
     let mut before = (0, [0, 0], [0, 0]);
-    let look = || (dhat::HeapStats::get().total_blocks, counts::calls(), counts::bytes());
-    for number in 0..WARM + COUNTED {
-        if number == WARM {
-            before = look();
+    let read_counters = || (dhat::HeapStats::get().total_blocks, counts::calls(), counts::bytes());
+    for number in 0..WARM_UP_REQUESTS + MEASURED_REQUESTS {
+        if number == WARM_UP_REQUESTS {
+            before = read_counters();
         }
-        stream.write_all(request).expect("it reads");
-        let got = message(&mut stream, &mut buffer).expect("it answers");
+        stream.write_all(request).expect("the sidecar reads the request");
+        let received = read_message(&mut stream, &mut buffer).expect("the sidecar answers");
         assert!(
-            buffer[..got].starts_with(b"HTTP/1.1 200"),
+            buffer[..received].starts_with(b"HTTP/1.1 200"),
             "{}",
-            String::from_utf8_lossy(&buffer[..got.min(200)])
+            String::from_utf8_lossy(&buffer[..received.min(200)])
         );
     }
-    let after = look();
-    let each = |after: u64, before: u64| (after - before) as f64 / COUNTED as f64;
-    let sum = |both: [u64; 2]| both[0] + both[1];
-    [each(after.0, before.0), each(sum(after.1), sum(before.1)), each(sum(after.2), sum(before.2))]
+    let after = read_counters();
+    let per_request = |after: u64, before: u64| (after - before) as f64 / MEASURED_REQUESTS as f64;
+    let sum = |reads_and_writes: [u64; 2]| reads_and_writes[0] + reads_and_writes[1];
+    [
+        per_request(after.0, before.0),
+        per_request(sum(after.1), sum(before.1)),
+        per_request(sum(after.2), sum(before.2)),
+    ]
 }
 
 fn main() -> ExitCode {
     let _profiler = dhat::Profiler::builder().testing().build();
-    let head = |method: &str, class: &str, length: usize| {
+    let request = |method: &str, class: &str, body_bytes: usize| {
         let head = format!(
             "{method} /{class}/1 HTTP/1.1\r\nhost: x\r\nx-priority-class: {class}\r\nx-request-id: r1\r\n\
-             x-timeout-ms: 8000\r\ncontent-length: {length}\r\n\r\n"
+             x-timeout-ms: 8000\r\ncontent-length: {body_bytes}\r\n\r\n"
         );
-        let mut whole = head.into_bytes();
-        whole.resize(whole.len() + length, b'y');
-        whole
+        let mut request = head.into_bytes();
+        request.resize(request.len() + body_bytes, b'y');
+        request
     };
-    let get = head("GET", "page", 0);
-    let post = head("POST", "bill", 16 << 10);
+    let get = request("GET", "page", 0);
+    let post = request("POST", "bill", 16 << 10);
     let measured = [
         measure(&get, 200, false),
         measure(&post, 200, false),
         measure(&get, 64 << 10, false),
         measure(&get, 200, true),
     ];
-    let mut held = true;
-    for ((name, baseline), now) in BASELINE.iter().zip(measured) {
-        println!("    (\"{name}\", [{:.1}, {:.1}, {:.1}]),", now[0], now[1], now[2]);
-        for ((what, base), now) in ["allocations", "calls", "bytes"].iter().zip(baseline).zip(now) {
-            if now > base * (1.0 + RISE) {
-                held = false;
-                println!("{name}: {now:.1} {what} a request, {base:.1} in the baseline: more than 5 % above");
+    let mut within_baseline = true;
+    for ((load, baseline), figures) in BASELINE.iter().zip(measured) {
+        println!("    (\"{load}\", [{:.1}, {:.1}, {:.1}]),", figures[0], figures[1], figures[2]);
+        for ((unit, base), figure) in ["allocations", "calls", "bytes"].iter().zip(baseline).zip(figures) {
+            if figure > base * (1.0 + MAX_INCREASE) {
+                within_baseline = false;
+                println!(
+                    "{load}: {figure:.1} {unit} per request, more than 5 % above the baseline of {base:.1}"
+                );
             }
         }
     }
-    println!("{}", if held { "4 passed, 0 failed" } else { "0 passed, 1 failed" });
-    if held { ExitCode::SUCCESS } else { ExitCode::FAILURE }
+    println!("{}", if within_baseline { "4 passed, 0 failed" } else { "0 passed, 1 failed" });
+    if within_baseline { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -1,4 +1,4 @@
-//! What the sidecar is told at start: the file named by `ROUTER_CONFIG`, checked before anything runs.
+//! Configuration of the sidecar: the file named by `ROUTER_CONFIG`, validated before anything starts.
 
 use std::net::SocketAddr;
 
@@ -12,28 +12,28 @@
 /// The configuration file.
 #[derive(Deserialize)]
 pub struct Config {
-    /// Its name, the same after a restart.
+    /// Name of the sidecar, which stays the same after a restart.
     #[serde(default)]
     pub name: String,
-    /// Where the application connects.
+    /// Address on which clients connect.
     pub listen: SocketAddr,
-    /// Where discovery is asked.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// Where operators call; none where there is no such address.
+    /// Address of the operators' console; without it there is no console.
     #[serde(default)]
     pub console: Option<SocketAddr>,
-    /// For random numbers, in hexadecimal digits.
+    /// Seed for random numbers, in hexadecimal digits.
     #[serde(default)]
     pub seed: String,
-    /// What the surroundings allow this process.
+    /// Resource limits that the platform sets.
     #[serde(default)]
     pub limits: Limits,
-    /// The list of upstreams as this sidecar last had it.
+    /// The last host list of this sidecar before it was restarted.
     #[serde(default, rename = "known")]
     pub initial_host_list: Option<HostList>,
-    /// The settings that the module and the wire share.
+    /// Settings of the decision module.
     pub settings: SettingsObject,
-    /// How many processes of this sidecar may run at once.
+    /// How many processes of this sidecar may run at once. Not part of the file.
     #[serde(skip, default = "one")]
     pub max_processes: usize,
 }
@@ -42,128 +42,131 @@
     1
 }
 
-/// What a busy connection of a daemon's instance may hold: its buffer, a body each way, and the same again towards the
-/// upstream.
-const CONNECTION_KIB: usize = 256;
+/// Memory of a busy client connection of a daemon's instance: its buffer and a body each way, and the same
+/// for the connection to the upstream.
+const DAEMON_CONNECTION_KIB: usize = 256;
 
-/// What the surroundings allow this process.
+/// Resource limits that the platform sets.
 #[derive(Deserialize)]
 pub struct Limits {
     /// Memory, in MiB.
-    #[serde(default = "default_memory")]
+    #[serde(default = "default_memory_mb")]
     pub memory_mb: usize,
-    /// File descriptors.
+    /// File descriptors, of sockets and other files.
     #[serde(default = "default_sockets")]
     pub sockets: usize,
 }
 
 impl Default for Limits {
     fn default() -> Limits {
-        Limits { memory_mb: default_memory(), sockets: default_sockets() }
+        Limits { memory_mb: default_memory_mb(), sockets: default_sockets() }
     }
 }
 
 impl Limits {
-    /// How many connections an instance of a daemon may have on each side, where so many descriptors are for other
-    /// things.
-    pub fn max_connections(&self, own: usize) -> usize {
-        let by_memory = self.memory_mb.saturating_mul(1024) / CONNECTION_KIB;
-        (self.sockets.saturating_sub(own) / 2).min(by_memory).max(1)
+    /// Maximum number of connections on each side of a daemon's instance, with `reserved_descriptors` for
+    /// other purposes.
+    pub fn max_connections(&self, reserved_descriptors: usize) -> usize {
+        let max_by_memory = self.memory_mb.saturating_mul(1024) / DAEMON_CONNECTION_KIB;
+        (self.sockets.saturating_sub(reserved_descriptors) / 2).min(max_by_memory).max(1)
     }
 }
 
-/// What the smallest deployments allow.
-fn default_memory() -> usize {
+/// Memory limit of the smallest deployments, in MiB.
+fn default_memory_mb() -> usize {
     192
 }
 
-/// The same for descriptors.
+/// Descriptor limit of the smallest deployments.
 fn default_sockets() -> usize {
     1024
 }
 
 impl Config {
-    /// Reads and checks the file that the environment names.
+    /// Reads and validates the file that the environment names.
     pub fn from_env() -> Result<Config> {
         let path = std::env::var_os("ROUTER_CONFIG").context("ROUTER_CONFIG is not set")?;
-        let shown = path.to_string_lossy().into_owned();
-        let text = std::fs::read(&path).with_context(|| format!("cannot read {shown}"))?;
-        let mut config = Config::parse(&text).with_context(|| format!("bad configuration in {shown}"))?;
+        let shown_path = path.to_string_lossy().into_owned();
+        let text = std::fs::read(&path).with_context(|| format!("cannot read {shown_path}"))?;
+        let mut config =
+            Config::parse(&text).with_context(|| format!("bad configuration in {shown_path}"))?;
         config.console = config.console.or(console_from_env()?);
         if let Some(name) = std::env::var_os("ROUTER_NAME").filter(|_| config.name.is_empty()) {
             config.name = name.to_string_lossy().into_owned();
         }
-        // Where somebody else holds the listening socket, two processes may run at once.
+        // With an inherited listening socket, a successor may start while its predecessor still runs.
         if std::env::var_os("ROUTER_SOCKET_FD").is_some_and(|text| !text.is_empty()) {
             config.max_processes = 2;
         }
-        match config.own_faults().into_iter().next() {
-            Some(fault) => bail!("bad configuration in {shown}, with what the environment adds: {fault}"),
+        match config.validation_errors().into_iter().next() {
+            Some(error) => bail!("bad configuration in {shown_path} together with the environment: {error}"),
             None => Ok(config),
         }
     }
 
-    /// What there is for connections and long bodies.
+    /// The limits of connections and of long bodies.
     pub fn resource_limits(&self) -> Result<ResourceLimits> {
         divide(&self.limits, self.console.is_some(), self.max_processes).map_err(anyhow::Error::msg)
     }
 
-    /// Reads and checks the text of a configuration.
+    /// Parses and validates the text of a configuration.
     pub fn parse(text: &[u8]) -> Result<Config> {
         let config: Config = serde_json::from_slice(text)?;
-        match config.own_faults().into_iter().next() {
-            Some(fault) => bail!("{fault}"),
+        match config.validation_errors().into_iter().next() {
+            Some(error) => bail!("{error}"),
             None => Ok(config),
         }
     }
 
-    /// All that is wrong with the text of a configuration; `None` if it is sound.
+    /// All errors in the text of a configuration; `None` if it is valid.
     pub fn errors_in(text: &[u8]) -> Option<Vec<String>> {
-        let faults = match serde_json::from_slice::<Config>(text) {
-            Ok(config) => config.own_faults(),
+        let errors = match serde_json::from_slice::<Config>(text) {
+            Ok(config) => config.validation_errors(),
             Err(error) => vec![error.to_string()],
         };
-        (!faults.is_empty()).then_some(faults)
+        (!errors.is_empty()).then_some(errors)
     }
 
-    fn own_faults(&self) -> Vec<String> {
-        let settings = self.settings.validation_errors().into_iter();
-        let mut faults: Vec<String> =
-            settings.map(|(key, fault)| format!("settings.{key}: {fault}")).collect();
+    fn validation_errors(&self) -> Vec<String> {
+        let setting_errors = self.settings.validation_errors().into_iter();
+        let mut errors: Vec<String> =
+            setting_errors.map(|(key, error)| format!("settings.{key}: {error}")).collect();
         if self.console.is_some_and(|console| console == self.listen && console.port() != 0) {
-            faults.push(format!("console: {} is where clients connect (listen)", self.listen));
+            errors.push(format!("console: {} is the address for clients (listen)", self.listen));
         }
-        faults.extend(divide(&self.limits, self.console.is_some(), self.max_processes).err());
-        faults
+        errors.extend(divide(&self.limits, self.console.is_some(), self.max_processes).err());
+        errors
     }
 
-    /// The settings for the module: where they give this sidecar no number among its peers, its name tells it apart.
+    /// The settings for the decision module. If they give this sidecar no rank among its peers, its name
+    /// identifies it.
     pub fn settings_with_identity(&self) -> SettingsObject {
         let settings = self.settings.clone();
-        let by_name = !settings.is_ranked() && !self.name.is_empty();
-        if by_name { settings.with_identity_from_name(&self.name) } else { settings }
+        let identify_by_name = !settings.is_ranked() && !self.name.is_empty();
+        if identify_by_name { settings.with_identity_from_name(&self.name) } else { settings }
     }
 
-    /// The seed as a number; one that is not in hexadecimal digits still makes a seed of its own.
+    /// The seed as a number.
     pub fn seed(&self) -> u64 {
         parse_seed(&self.seed)
     }
 }
 
-/// The operators' address where the file has none.
+/// The address of the operators' console from the environment, used if the file has none.
 fn console_from_env() -> Result<Option<SocketAddr>> {
     let Some(text) = std::env::var_os("ROUTER_CONSOLE").filter(|text| !text.is_empty()) else {
         return Ok(None);
     };
     let text = text.to_string_lossy();
-    let address = text.parse().with_context(|| format!("ROUTER_CONSOLE: {text:?} is no address"))?;
+    let address = text.parse().with_context(|| format!("ROUTER_CONSOLE: {text:?} is not an address"))?;
     Ok(Some(address))
 }
 
-/// A seed from its text.
+/// Parses a seed. A text that is not a hexadecimal number is hashed, so that different texts still give
+/// different seeds.
 pub fn parse_seed(text: &str) -> u64 {
     u64::from_str_radix(text, 16)
-        .unwrap_or_else(|_| text.bytes().fold(7, |sum, b| sum.wrapping_mul(31) + u64::from(b)))
+        .unwrap_or_else(|_| text.bytes().fold(7, |hash, byte| hash.wrapping_mul(31) + u64::from(byte)))
 }
 
 #[cfg(test)]
@@ -176,17 +179,21 @@
         "invariants":{"cold_share":0.1,"warm_up":2e4,"fall_multiple":2.5,"fall":1500.0}}}"#;
 
     #[test]
-    fn a_minimal_configuration_is_enough() {
-        let config = Config::parse(MINIMAL.as_bytes()).expect("it holds all that is needed");
+    fn minimal_configuration_is_valid_and_memory_limits_connections() {
+        let config = Config::parse(MINIMAL.as_bytes()).expect("all required keys are set");
         assert_eq!(config.resource_limits().unwrap().connections, 500);
-        let scarce =
+        let little_memory =
             Config::parse(MINIMAL.replace("{\"listen", "{\"limits\":{\"memory_mb\":16},\"listen").as_bytes());
-        assert_eq!(scarce.unwrap().resource_limits().unwrap().connections, 53, "memory binds before sockets");
+        assert_eq!(
+            little_memory.unwrap().resource_limits().unwrap().connections,
+            53,
+            "memory, not descriptors, is the limit"
+        );
         assert!(config.initial_host_list.is_none());
     }
 
     #[test]
-    fn nonsense_is_told_from_a_configuration() {
+    fn invalid_or_missing_value_is_rejected() {
         for (from, to) in [
             (r#""aim":250.0"#, r#""aim":-1"#),
             (r#""name":"a""#, r#""name":"""#),
--- a/crates/sidecar/src/connection_activity.rs
+++ b/crates/sidecar/src/connection_activity.rs
@@ -1,5 +1,5 @@
-//! What is known of one client connection by those who look at it from outside: since when it has been quiet, and whether
-//! its client is in the middle of a head.
+//! Activity of one client connection, shared between the task that serves it and the listener: how long it
+//! has been quiet, and which part of a request it holds.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Mutex, OnceLock, PoisonError};
@@ -11,211 +11,214 @@
 use crate::client_disconnect::ClientConnection;
 use crate::connection_close::ConnectionContents;
 
-/// The mark of a connection with an open request.
-const BUSY: u64 = u64::MAX;
-/// The mark of no time.
-const NEVER: u64 = u64::MAX;
+/// Value of `quiet_since_ms` while a request is open.
+const REQUEST_OPEN: u64 = u64::MAX;
+/// Value of a time that is not set.
+const UNSET: u64 = u64::MAX;
 
-/// One client connection. Times are milliseconds from the epoch of all of them.
+/// Activity of one client connection. Times are stored as milliseconds since the epoch, which all connections
+/// of an instance share.
 #[derive(Debug)]
 pub struct ConnectionActivity {
     epoch: Instant,
-    /// Since when nothing has come and no request has been open; [`BUSY`] while one is.
-    quiet_since: AtomicU64,
-    /// When the head that is under way began.
-    head_since: AtomicU64,
-    /// The number of the first request that was framed in two ways.
-    doubled: AtomicU64,
-    /// Whether it has carried a request.
-    used: AtomicBool,
-    /// Whether a request has come whose body may still be coming.
-    in_body: AtomicBool,
-    /// Whether the socket itself is to be looked into next, and how often bytes have come.
-    look: AtomicBool,
-    reads: AtomicU64,
-    /// Requests that have been answered.
-    answered: AtomicU64,
-    /// Whether its end would be taken for the end of an answer that is not whole.
+    /// Since when no bytes have arrived and no request has been open; [`REQUEST_OPEN`] while one is.
+    quiet_since_ms: AtomicU64,
+    /// When the incomplete head began; [`UNSET`] if there is none.
+    head_since_ms: AtomicU64,
+    /// Number, from 1, of the first request with two framings; 0 if there is none.
+    ambiguous_request: AtomicU64,
+    /// Whether the connection has carried a request.
+    has_carried_request: AtomicBool,
+    /// Whether a request has begun whose body may be incomplete.
+    body_incomplete: AtomicBool,
+    /// Whether the next read is to ask the socket directly.
+    direct_read_requested: AtomicBool,
+    /// Number of reads that returned bytes.
+    read_count: AtomicU64,
+    /// Number of requests that have been answered.
+    answered_requests: AtomicU64,
+    /// Whether the client would mistake an orderly close for the end of an answer that is truncated.
     reset_on_close: AtomicBool,
-    /// When the request that waits behind the open one had come whole; [`NEVER`] if none waits.
-    next_request_at: AtomicU64,
-    /// Whether bytes of an answer wait in this process, since the send buffer is full.
+    /// When the pipelined request behind the open one was complete; [`UNSET`] if there is none.
+    next_request_at_ms: AtomicU64,
+    /// Whether bytes of an answer wait in this process because the send buffer is full.
     write_blocked: AtomicBool,
-    /// Whose connection it is.
+    /// The client of the connection.
     client: OnceLock<ClientConnection>,
-    /// Who waits for the next one to be.
-    waiting: Mutex<Option<Waker>>,
-    /// Whether it was told to make room, and has not been kept after all.
+    /// Task to wake when the next request is answered.
+    answer_waker: Mutex<Option<Waker>>,
+    /// Whether eviction was requested and the connection was not kept afterwards.
     pub eviction_pending: AtomicBool,
-    /// Told to make room.
+    /// Notified when the connection is to be evicted for a new one.
     pub eviction_requested: Notify,
-    /// Told that it has been quiet for too long, as things stand.
+    /// Notified when the connection is to be closed because too many are quiet.
     pub quiet_close_requested: Notify,
 }
 
 impl ConnectionActivity {
-    /// A connection that has just been accepted.
+    /// Creates the activity of a connection that has just been accepted.
     pub fn new(epoch: Instant) -> ConnectionActivity {
-        let slot = ConnectionActivity {
+        let activity = ConnectionActivity {
             epoch,
-            quiet_since: AtomicU64::new(0),
-            head_since: AtomicU64::new(NEVER),
-            doubled: AtomicU64::new(0),
-            used: AtomicBool::new(false),
-            in_body: AtomicBool::new(false),
-            look: AtomicBool::new(false),
-            reads: AtomicU64::new(0),
-            answered: AtomicU64::new(0),
+            quiet_since_ms: AtomicU64::new(0),
+            head_since_ms: AtomicU64::new(UNSET),
+            ambiguous_request: AtomicU64::new(0),
+            has_carried_request: AtomicBool::new(false),
+            body_incomplete: AtomicBool::new(false),
+            direct_read_requested: AtomicBool::new(false),
+            read_count: AtomicU64::new(0),
+            answered_requests: AtomicU64::new(0),
             reset_on_close: AtomicBool::new(false),
-            next_request_at: AtomicU64::new(NEVER),
+            next_request_at_ms: AtomicU64::new(UNSET),
             write_blocked: AtomicBool::new(false),
             client: OnceLock::new(),
-            waiting: Mutex::default(),
+            answer_waker: Mutex::default(),
             eviction_pending: AtomicBool::new(false),
             eviction_requested: Notify::new(),
             quiet_close_requested: Notify::new(),
         };
-        slot.quiet_since.store(slot.now(), Ordering::Relaxed);
-        slot
+        activity.quiet_since_ms.store(activity.now_ms(), Ordering::Relaxed);
+        activity
     }
 
-    /// Says whose connection it is.
+    /// Sets the client of the connection.
     pub fn set_client(&self, client: ClientConnection) {
-        // It belongs to one only.
+        // A connection has one client, so a second call has no effect.
         let _ = self.client.set(client);
     }
 
-    /// Its client.
+    /// The client of the connection.
     pub fn client(&self) -> Option<ClientConnection> {
         self.client.get().cloned()
     }
 
-    fn now(&self) -> u64 {
-        u64::try_from(self.epoch.elapsed().as_millis()).unwrap_or(NEVER - 1)
+    fn now_ms(&self) -> u64 {
+        u64::try_from(self.epoch.elapsed().as_millis()).unwrap_or(UNSET - 1)
     }
 
-    fn at(&self, millis: u64) -> Instant {
-        self.epoch + Duration::from_millis(millis)
+    fn instant_at(&self, ms: u64) -> Instant {
+        self.epoch + Duration::from_millis(ms)
     }
 
-    /// A request has come.
+    /// Records that the head of a request has been received.
     pub fn request_started(&self) {
-        self.used.store(true, Ordering::Relaxed);
-        self.in_body.store(true, Ordering::Relaxed);
+        self.has_carried_request.store(true, Ordering::Relaxed);
+        self.body_incomplete.store(true, Ordering::Relaxed);
     }
 
-    /// Whether one ever has.
+    /// Whether the connection has carried a request.
     pub fn has_carried_request(&self) -> bool {
-        self.used.load(Ordering::Relaxed)
+        self.has_carried_request.load(Ordering::Relaxed)
     }
 
-    /// A request is open from now on.
+    /// Records that a request is open from now on.
     pub fn request_opened(&self) {
-        self.in_body.store(false, Ordering::Relaxed);
-        self.quiet_since.store(BUSY, Ordering::Relaxed);
+        self.body_incomplete.store(false, Ordering::Relaxed);
+        self.quiet_since_ms.store(REQUEST_OPEN, Ordering::Relaxed);
     }
 
-    /// A request has been answered, and none is open from now on.
+    /// Records that a request has been answered and none is open.
     pub fn request_answered(&self) {
-        self.quiet_since.store(self.now(), Ordering::Relaxed);
-        self.in_body.store(false, Ordering::Relaxed);
-        self.answered.fetch_add(1, Ordering::Relaxed);
-        let waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner).take();
-        waiting.into_iter().for_each(Waker::wake);
+        self.quiet_since_ms.store(self.now_ms(), Ordering::Relaxed);
+        self.body_incomplete.store(false, Ordering::Relaxed);
+        self.answered_requests.fetch_add(1, Ordering::Relaxed);
+        let waker = self.answer_waker.lock().unwrap_or_else(PoisonError::into_inner).take();
+        waker.into_iter().for_each(Waker::wake);
     }
 
-    /// How many requests have been answered.
+    /// Number of requests that have been answered.
     pub fn answered_requests(&self) -> u64 {
-        self.answered.load(Ordering::Relaxed)
+        self.answered_requests.load(Ordering::Relaxed)
     }
 
-    /// Has the connection reset when it is closed.
+    /// Makes the connection end with a reset when it is closed.
     pub fn set_reset_on_close(&self) {
         self.reset_on_close.store(true, Ordering::Relaxed);
     }
 
-    /// Whether the connection is to be reset when it is closed.
+    /// Whether the connection is to end with a reset.
     pub fn is_reset_on_close(&self) -> bool {
         self.reset_on_close.load(Ordering::Relaxed)
     }
 
-    /// Has this woken when the next one is.
+    /// Wakes this task when the next request is answered.
     pub fn wake_when_answered(&self, waker: &Waker) {
-        let mut waiting = self.waiting.lock().unwrap_or_else(PoisonError::into_inner);
-        if waiting.as_ref().is_none_or(|before| !before.will_wake(waker)) {
-            *waiting = Some(waker.clone());
+        let mut current = self.answer_waker.lock().unwrap_or_else(PoisonError::into_inner);
+        if current.as_ref().is_none_or(|current| !current.will_wake(waker)) {
+            *current = Some(waker.clone());
         }
     }
 
-    /// Whether one is open.
+    /// Whether a request is open.
     pub fn is_busy(&self) -> bool {
-        self.quiet_since.load(Ordering::Relaxed) == BUSY
+        self.quiet_since_ms.load(Ordering::Relaxed) == REQUEST_OPEN
     }
 
-    /// Says when the request that is pipelined behind the open one had come whole, if there is one.
-    pub fn set_next_request(&self, received: Option<Instant>) {
-        let since_epoch = |at: Instant| at.saturating_duration_since(self.epoch).as_millis();
-        let millis = received.map_or(NEVER, |at| u64::try_from(since_epoch(at)).unwrap_or(NEVER - 1));
-        self.next_request_at.store(millis, Ordering::Relaxed);
+    /// Records when the pipelined request behind the open one was complete, or that there is none.
+    pub fn set_next_request(&self, completed_at: Option<Instant>) {
+        let ms_since_epoch = |at: Instant| at.saturating_duration_since(self.epoch).as_millis();
+        let ms = completed_at.map_or(UNSET, |at| u64::try_from(ms_since_epoch(at)).unwrap_or(UNSET - 1));
+        self.next_request_at_ms.store(ms, Ordering::Relaxed);
     }
 
-    /// When the request that is pipelined behind the open one had come whole, if there is one.
+    /// When the pipelined request behind the open one was complete, if there is one.
     pub fn next_request_at(&self) -> Option<Instant> {
-        let received = self.next_request_at.load(Ordering::Relaxed);
-        (received != NEVER).then(|| self.at(received))
+        let ms = self.next_request_at_ms.load(Ordering::Relaxed);
+        (ms != UNSET).then(|| self.instant_at(ms))
     }
 
-    /// The send buffer has no room for what is to be written, or has taken it. A connection is quiet only from then on: the
-    /// end of an answer would be lost if it were closed before.
+    /// Records whether the send buffer is too full for the bytes to be written. The connection is quiet only
+    /// after it has taken them: closing the connection earlier would lose the end of an answer.
     pub fn set_write_blocked(&self, blocked: bool) {
         if self.write_blocked.swap(blocked, Ordering::Relaxed) && !blocked && !self.is_busy() {
-            self.quiet_since.store(self.now(), Ordering::Relaxed);
+            self.quiet_since_ms.store(self.now_ms(), Ordering::Relaxed);
         }
     }
 
-    /// Whether bytes of an answer wait for room in the send buffer.
+    /// Whether bytes of an answer wait because the send buffer is full.
     fn is_write_blocked(&self) -> bool {
         self.write_blocked.load(Ordering::Relaxed)
     }
 
-    /// Bytes have come; whether the client is in the middle of a head now, and the number of the first request that was
-    /// framed in two ways.
-    pub fn bytes_received(&self, in_head: bool, doubled: Option<u64>) {
-        let now = self.now();
-        self.reads.fetch_add(1, Ordering::Relaxed);
+    /// Records that bytes were received. `in_head` is whether they end within a head, and
+    /// `first_ambiguous_request` the number of the first request with two framings.
+    pub fn bytes_received(&self, in_head: bool, first_ambiguous_request: Option<u64>) {
+        let now_ms = self.now_ms();
+        self.read_count.fetch_add(1, Ordering::Relaxed);
         if !in_head {
-            self.head_since.store(NEVER, Ordering::Relaxed);
-        } else if self.head_since.load(Ordering::Relaxed) == NEVER {
-            self.head_since.store(now, Ordering::Relaxed);
+            self.head_since_ms.store(UNSET, Ordering::Relaxed);
+        } else if self.head_since_ms.load(Ordering::Relaxed) == UNSET {
+            self.head_since_ms.store(now_ms, Ordering::Relaxed);
         }
-        if let Some(number) = doubled {
-            self.doubled.store(number, Ordering::Relaxed);
+        if let Some(number) = first_ambiguous_request {
+            self.ambiguous_request.store(number, Ordering::Relaxed);
         }
         if !self.is_busy() {
-            self.quiet_since.store(now, Ordering::Relaxed);
+            self.quiet_since_ms.store(now_ms, Ordering::Relaxed);
         }
     }
 
-    /// Has the next read look into the socket itself: the runtime hears of what came only when it next turns to the kernel.
+    /// Makes the next read ask the socket directly: the runtime learns of received bytes only when it next
+    /// polls the kernel.
     pub fn request_direct_read(&self) {
-        self.look.store(true, Ordering::Relaxed);
+        self.direct_read_requested.store(true, Ordering::Relaxed);
     }
 
-    /// Whether the socket itself is to be looked into.
+    /// Whether the next read is to ask the socket directly. Resets the request.
     pub fn take_direct_read_request(&self) -> bool {
-        self.look.swap(false, Ordering::Relaxed)
+        self.direct_read_requested.swap(false, Ordering::Relaxed)
     }
 
-    /// How often bytes have come.
+    /// Number of reads that returned bytes.
     pub fn read_count(&self) -> u64 {
-        self.reads.load(Ordering::Relaxed)
+        self.read_count.load(Ordering::Relaxed)
     }
 
-    /// What it holds.
+    /// Which part of a request the connection holds.
     pub fn contents(&self) -> ConnectionContents {
         match (
             self.is_busy() || self.is_write_blocked(),
-            self.in_body.load(Ordering::Relaxed),
+            self.body_incomplete.load(Ordering::Relaxed),
             self.head_since(),
         ) {
             (true, ..) => ConnectionContents::Request,
@@ -225,20 +228,21 @@
         }
     }
 
-    /// Whether the request of that number, from 1, was framed in two ways.
+    /// Whether the request with this number, from 1, has two framings.
     pub fn is_ambiguous_request(&self, number: u64) -> bool {
-        self.doubled.load(Ordering::Relaxed) == number
+        self.ambiguous_request.load(Ordering::Relaxed) == number
     }
 
-    /// Since when it has been quiet; `None` while a request is open or its answer is not written.
+    /// Since when the connection has been quiet; `None` while a request is open or its answer is not written
+    /// completely.
     pub fn quiet_since(&self) -> Option<Instant> {
-        let since = self.quiet_since.load(Ordering::Relaxed);
-        (since != BUSY && !self.is_write_blocked()).then(|| self.at(since))
+        let ms = self.quiet_since_ms.load(Ordering::Relaxed);
+        (ms != REQUEST_OPEN && !self.is_write_blocked()).then(|| self.instant_at(ms))
     }
 
-    /// When the head that is under way began, if one is.
+    /// When the incomplete head began, if there is one.
     pub fn head_since(&self) -> Option<Instant> {
-        let since = self.head_since.load(Ordering::Relaxed);
-        (since != NEVER).then(|| self.at(since))
+        let ms = self.head_since_ms.load(Ordering::Relaxed);
+        (ms != UNSET).then(|| self.instant_at(ms))
     }
 }
--- a/crates/sidecar/src/console.rs
+++ b/crates/sidecar/src/console.rs
@@ -1,5 +1,5 @@
-//! The operators' address: four calls over HTTP/1.1, one to a connection. It runs on a thread of its own, reads
-//! published values and sends wishes, so that it answers however busy the instance is.
+//! The operators' console: four calls over HTTP/1.1, one per connection. It has its own thread and only reads
+//! metrics and sends requests to the instance, so that it answers even if the instance is busy.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -31,29 +31,29 @@
 use crate::log::Log;
 use crate::metrics::Metrics;
 
-/// Callers at one time. Who comes when all places are taken gets that of the oldest caller that has not asked yet, or
-/// else of the oldest.
+/// Maximum number of connected callers. A further caller replaces the oldest one that has not sent a request
+/// yet, or else the oldest.
 pub const MAX_CALLERS: usize = 10;
-/// Descriptors that a console needs beside its places: the listener and what its runtime asks the kernel with.
+/// Descriptors that a console needs besides those of its callers: the listener and those of its runtime.
 pub const OWN_DESCRIPTORS: usize = 6;
-/// A caller whose head has not come whole by then is let go.
-const HEAD: Duration = Duration::from_millis(2_000);
-/// Room for a head.
-const HEAD_BYTES: usize = 8 << 10;
-/// No call needs a body; one that says it is longer than this is refused, whatever it is for.
-const BODY_BYTES: u64 = 64 << 10;
-/// The wait after a failed accept.
-const ACCEPT_BACK_OFF: Duration = Duration::from_millis(20);
-/// Its thread needs little room.
+/// A caller that has not sent a complete head within this time is disconnected.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Size of the read buffer, and so the longest head.
+const MAX_HEAD_BYTES: usize = 8 << 10;
+/// No call needs a body. A call that announces a longer one than this is rejected.
+const MAX_BODY_BYTES: u64 = 64 << 10;
+/// Wait after a failed accept.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Stack size of the console's thread.
 const STACK_BYTES: usize = 256 << 10;
 
-/// A console that runs. It ends when this is dropped.
+/// A running console. Dropping it ends the console.
 pub struct Console {
-    _end: oneshot::Sender<()>,
+    _stop: oneshot::Sender<()>,
 }
 
 impl Console {
-    /// Listens at an address; nobody is answered yet.
+    /// Opens the listener. Callers are answered only after [`Console::start`].
     pub fn listen(address: SocketAddr) -> Result<StdListener> {
         let listener =
             StdListener::bind(address).with_context(|| format!("cannot listen on {address} (console)"))?;
@@ -61,9 +61,9 @@
         Ok(listener)
     }
 
-    /// Answers for an instance, on a thread of its own.
+    /// Starts to answer calls for an instance, on a separate thread.
     pub fn start(listener: StdListener, control: Control, log: Log) -> Result<Console> {
-        let (end, ended) = oneshot::channel();
+        let (stop, stopped) = oneshot::channel();
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
         std::thread::Builder::new()
             .name("console".to_owned())
@@ -76,28 +76,29 @@
                     };
                     tokio::select! {
                         () = serve(listener, control) => {}
-                        _ = ended => {}
+                        _ = stopped => {}
                     }
                 });
             })
             .context("cannot start the console's thread")?;
-        Ok(Console { _end: end })
+        Ok(Console { _stop: stop })
     }
 }
 
-/// A caller that holds a place.
+/// A connected caller.
 struct Caller {
     task: Id,
-    end: tokio::task::AbortHandle,
-    asked: Arc<AtomicBool>,
+    abort: tokio::task::AbortHandle,
+    has_sent_request: Arc<AtomicBool>,
 }
 
 async fn serve(listener: TcpListener, control: Control) {
-    let mut calls = JoinSet::new();
+    let mut tasks = JoinSet::new();
+    // Oldest first.
     let mut callers: VecDeque<Caller> = VecDeque::new();
     loop {
         tokio::select! {
-            Some(ended) = calls.join_next_with_id() => {
+            Some(ended) = tasks.join_next_with_id() => {
                 let task = match ended {
                     Ok((task, ())) => task,
                     Err(error) => error.id(),
@@ -107,100 +108,102 @@
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
                     if callers.len() >= MAX_CALLERS {
-                        let silent = callers.iter().position(|caller| !caller.asked.load(Ordering::Relaxed));
-                        if let Some(caller) = callers.remove(silent.unwrap_or(0)) {
-                            caller.end.abort();
+                        let is_silent = |caller: &Caller| !caller.has_sent_request.load(Ordering::Relaxed);
+                        let oldest_silent = callers.iter().position(is_silent);
+                        if let Some(caller) = callers.remove(oldest_silent.unwrap_or(0)) {
+                            caller.abort.abort();
                         }
                     }
-                    let asked = Arc::new(AtomicBool::new(false));
-                    let end = calls.spawn(call(stream, control.clone(), asked.clone()));
-                    callers.push_back(Caller { task: end.id(), end, asked });
-                    // What it has sent is read before the next can take its place.
+                    let has_sent_request = Arc::new(AtomicBool::new(false));
+                    let abort = tasks.spawn(serve_caller(stream, control.clone(), has_sent_request.clone()));
+                    callers.push_back(Caller { task: abort.id(), abort, has_sent_request });
+                    // A request that the caller has already sent is read before the next caller can replace
+                    // it.
                     tokio::task::yield_now().await;
                 }
-                Err(_) => sleep(ACCEPT_BACK_OFF).await,
+                Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
             },
         }
     }
 }
 
 /// Answers one call.
-async fn call(stream: TcpStream, control: Control, asked: Arc<AtomicBool>) {
+async fn serve_caller(stream: TcpStream, control: Control, has_sent_request: Arc<AtomicBool>) {
     let _ = stream.set_nodelay(true);
-    let slot = Arc::new(ConnectionActivity::new(tokio::time::Instant::now()));
+    let activity = Arc::new(ConnectionActivity::new(tokio::time::Instant::now()));
     let service = service_fn(|request| {
-        asked.store(true, Ordering::Relaxed);
-        let answer = answer(&request, &control);
-        std::future::ready(Ok::<_, Infallible>(answer))
+        has_sent_request.store(true, Ordering::Relaxed);
+        let response = handle_call(&request, &control);
+        std::future::ready(Ok::<_, Infallible>(response))
     });
-    // Callers that go away or write nonsense; hyper has answered those it can.
+    // Errors are disconnects and malformed requests; hyper has answered those where possible.
     let _ = http1::Builder::new()
         .timer(TokioTimer::new())
-        .header_read_timeout(HEAD)
-        .max_buf_size(HEAD_BYTES)
+        .header_read_timeout(HEAD_TIMEOUT)
+        .max_buf_size(MAX_HEAD_BYTES)
         .keep_alive(false)
         .half_close(true)
-        .serve_connection(TokioIo::new(Client::new(stream, slot)), service)
+        .serve_connection(TokioIo::new(Client::new(stream, activity)), service)
         .await;
 }
 
-/// The answer to a call, which is carried out by then.
-fn answer<B: Body>(request: &Request<B>, control: &Control) -> Response<Full<Bytes>> {
-    let calls: [(&str, Method); 4] = [
+/// Carries out a call and returns the answer.
+fn handle_call<B: Body>(request: &Request<B>, control: &Control) -> Response<Full<Bytes>> {
+    let methods: [(&str, Method); 4] = [
         ("/api/ready", Method::GET),
         ("/api/telemetry", Method::GET),
         ("/api/evacuate", Method::PUT),
         ("/api/rejoin", Method::PUT),
     ];
-    let Some((path, method)) = calls.into_iter().find(|(path, _)| *path == request.uri().path()) else {
-        return said(StatusCode::NOT_FOUND, "no such call");
+    let Some((path, method)) = methods.into_iter().find(|(path, _)| *path == request.uri().path()) else {
+        return text_response(StatusCode::NOT_FOUND, "no such call");
     };
     if *request.method() != method {
-        let mut response = said(StatusCode::METHOD_NOT_ALLOWED, "not the method of this call");
+        let mut response = text_response(StatusCode::METHOD_NOT_ALLOWED, "wrong method for this call");
         if let Ok(allowed) = HeaderValue::from_str(method.as_str()) {
             response.headers_mut().insert(header::ALLOW, allowed);
         }
         return response;
     }
-    if request.body().size_hint().lower() > BODY_BYTES {
-        return said(StatusCode::PAYLOAD_TOO_LARGE, "this call takes no body");
+    if request.body().size_hint().lower() > MAX_BODY_BYTES {
+        return text_response(StatusCode::PAYLOAD_TOO_LARGE, "this call takes no body");
     }
     match path {
         "/api/ready" => {
-            let listed = control.metrics().ready.load(Ordering::Acquire);
+            let ready = control.metrics().ready.load(Ordering::Acquire);
             match control.lifecycle().stage() {
-                Stage::Serving | Stage::Evacuating if listed => said(StatusCode::OK, "yes"),
+                Stage::Serving | Stage::Evacuating if ready => text_response(StatusCode::OK, "yes"),
                 Stage::Standby | Stage::Serving | Stage::Evacuating => {
-                    said(StatusCode::SERVICE_UNAVAILABLE, "no: it has no list of upstreams yet")
+                    text_response(StatusCode::SERVICE_UNAVAILABLE, "no: the instance has no host list yet")
                 }
                 Stage::Draining | Stage::Closing | Stage::HandedOver => {
-                    said(StatusCode::SERVICE_UNAVAILABLE, "no: it is ending")
+                    text_response(StatusCode::SERVICE_UNAVAILABLE, "no: the instance is ending")
                 }
             }
         }
-        "/api/telemetry" => figures(control.metrics()),
+        "/api/telemetry" => metrics_response(control.metrics()),
         "/api/evacuate" => {
             control.evacuate();
-            said(StatusCode::OK, "yes: clients are sent away")
+            text_response(StatusCode::OK, "yes: clients are sent away")
         }
         _ => match control.rejoin() {
-            true => said(StatusCode::OK, "yes: clients are taken"),
-            false => said(StatusCode::CONFLICT, "no: it is ending"),
+            true => text_response(StatusCode::OK, "yes: clients are accepted"),
+            false => text_response(StatusCode::CONFLICT, "no: the instance is ending"),
         },
     }
 }
 
-fn said(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
+fn text_response(status: StatusCode, text: &'static str) -> Response<Full<Bytes>> {
     let mut response = Response::new(Full::new(Bytes::from_static(text.as_bytes())));
     *response.status_mut() = status;
     response.headers_mut().insert(header::CONTENT_TYPE, HeaderValue::from_static("text/plain"));
     response
 }
 
-/// The figures as they stand, in the words of the platform's page.
+/// The metrics under the names that the platform uses.
 #[derive(Serialize)]
-struct Figures<'a> {
-    handled: Handled<'a>,
+struct TelemetryBody<'a> {
+    handled: HandledByClass<'a>,
     upstream_tries: u64,
     in_progress: u64,
     known_upstreams: u64,
@@ -208,44 +211,44 @@
     unheld_answers: u64,
 }
 
-/// By class, in the order of the settings.
-struct Handled<'a>(&'a Metrics);
+/// Serializes the counts of each class, in the order of the settings.
+struct HandledByClass<'a>(&'a Metrics);
 
 #[derive(Serialize)]
-struct OfClass {
+struct HandledOfClass {
     passed: u64,
     dropped: u64,
     bad_gateway: u64,
 }
 
-impl Serialize for Handled<'_> {
+impl Serialize for HandledByClass<'_> {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let mut map = serializer.serialize_map(None)?;
         for (name, counts) in self.0.classes() {
             let class =
-                OfClass { passed: counts.served, dropped: counts.refused, bad_gateway: counts.failed };
+                HandledOfClass { passed: counts.served, dropped: counts.refused, bad_gateway: counts.failed };
             map.serialize_entry(name, &class)?;
         }
         map.end()
     }
 }
 
-fn figures(metrics: &Metrics) -> Response<Full<Bytes>> {
-    let figures = Figures {
+fn metrics_response(metrics: &Metrics) -> Response<Full<Bytes>> {
+    let body = TelemetryBody {
         in_progress: metrics.totals().open(),
-        handled: Handled(metrics),
+        handled: HandledByClass(metrics),
         upstream_tries: metrics.attempts_written.load(Ordering::Acquire),
         known_upstreams: metrics.listed_upstreams.load(Ordering::Relaxed),
         skipped_upstreams: metrics.avoided_upstreams.load(Ordering::Relaxed),
         unheld_answers: metrics.unheld_answers.load(Ordering::Relaxed),
     };
-    match serde_json::to_vec(&figures) {
+    match serde_json::to_vec(&body) {
         Ok(text) => {
             let mut response = Response::new(Full::new(Bytes::from(text)));
             let json = HeaderValue::from_static("application/json");
             response.headers_mut().insert(header::CONTENT_TYPE, json);
             response
         }
-        Err(_) => said(StatusCode::INTERNAL_SERVER_ERROR, "the figures cannot be written"),
+        Err(_) => text_response(StatusCode::INTERNAL_SERVER_ERROR, "the metrics cannot be serialized"),
     }
 }
--- a/crates/sidecar/src/handover/link.rs
+++ b/crates/sidecar/src/handover/link.rs
@@ -1,4 +1,5 @@
-//! The socket between processes of one sidecar, and what each does on hearing of the other.
+//! The socket between processes of one sidecar, and the task that shares resource limits and host lists over
+//! it.
 
 use std::io;
 use std::os::fd::{AsRawFd, OwnedFd};
@@ -17,7 +18,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{MissedTickBehavior, interval, sleep, timeout};
 
-use super::message::{HandoverState, LINE_BYTES, Message, VERSION};
+use super::message::{HandoverState, MAX_LINE_BYTES, Message, VERSION};
 use super::shares::{ProcessStatus, Shares};
 use crate::budget::{Budgets, ResourceCounts};
 use crate::instance::Control;
@@ -25,81 +26,86 @@
 use crate::line_buffer::LineBuffer;
 use crate::log::Log;
 
-const NAME: &str = "sagemast.sock";
-/// The kernel takes addresses of 107 bytes (`unix(7)`); a longer directory is reached by its descriptor.
-const SHORT: usize = 90;
-/// A predecessor hands over within this, or the start goes on without it.
-const HAND_OVER: Duration = Duration::from_millis(1_500);
-/// A socket that refuses is that of a process that has ended, or of one whose place another is about to take: it is tried
-/// again for this long.
-const REFUSED: [Duration; 2] = [Duration::from_millis(30), Duration::from_millis(300)];
-/// How often each tells how it stands.
-const TELL: Duration = Duration::from_millis(100);
-/// What waits to be told to one peer. More is dropped: how one stands is told again, and each has a watch of its own.
-const WAITING: usize = 64;
-/// A peer that does not take what it is told for this long is given up.
-const TAKE: Duration = Duration::from_secs(2);
-/// Pieces that are read at once.
-const READ_BYTES: usize = 16 << 10;
-
-/// The directory that all processes of a sidecar see.
+const SOCKET_NAME: &str = "sagemast.sock";
+/// The kernel limits the path of a socket to 107 bytes (`unix(7)`). A socket in a directory with a longer
+/// path than this is reached by the descriptor of the directory.
+const MAX_DIRECTORY_PATH_BYTES: usize = 90;
+/// Time limit of the handshake. After it a successor starts without its predecessor.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(1_500);
+/// Delay between connection attempts after a refused one. The socket may belong to a process that has ended,
+/// or to one that another process is about to replace as the listener.
+const REFUSED_RETRY_DELAY: Duration = Duration::from_millis(30);
+/// How long refused connections are retried.
+const REFUSED_RETRY_PERIOD: Duration = Duration::from_millis(300);
+/// Interval between status messages.
+const STATUS_INTERVAL: Duration = Duration::from_millis(100);
+/// Capacity of the queues to and from a peer. Further messages to a peer are dropped: the status is sent
+/// again, and each process has its own watch of discovery.
+const MESSAGE_QUEUE_CAPACITY: usize = 64;
+/// A peer that does not read a message within this time counts as ended.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(2);
+/// Size of one read.
+const READ_CHUNK_BYTES: usize = 16 << 10;
+
+/// The directory of the socket, which all processes of a sidecar share.
 #[derive(Debug, Clone)]
 pub struct HandoverDirectory(PathBuf);
 
 impl HandoverDirectory {
-    /// `$TMPDIR`, if there is one.
+    /// `$TMPDIR`, if it is set to a directory.
     pub fn from_env() -> Option<HandoverDirectory> {
-        let dir = PathBuf::from(std::env::var_os("TMPDIR")?);
-        dir.is_dir().then_some(HandoverDirectory(dir))
+        let directory = PathBuf::from(std::env::var_os("TMPDIR")?);
+        directory.is_dir().then_some(HandoverDirectory(directory))
     }
 
-    /// A path in it that the kernel takes for an address, and what has to be kept open for that.
-    fn path(&self, name: &str) -> io::Result<(PathBuf, Option<OwnedFd>)> {
-        if self.0.as_os_str().len() <= SHORT {
+    /// A path in the directory that is short enough for a socket address, and a descriptor that must stay
+    /// open while the path is used.
+    fn address_path(&self, name: &str) -> io::Result<(PathBuf, Option<OwnedFd>)> {
+        if self.0.as_os_str().len() <= MAX_DIRECTORY_PATH_BYTES {
             return Ok((self.0.join(name), None));
         }
         let flags = OFlags::PATH | OFlags::DIRECTORY | OFlags::CLOEXEC;
-        let dir = rustix::fs::open(&self.0, flags, Mode::empty())?;
-        let path = format!("/proc/self/fd/{}/{name}", dir.as_raw_fd());
-        Ok((PathBuf::from(path), Some(dir)))
+        let directory = rustix::fs::open(&self.0, flags, Mode::empty())?;
+        let path = format!("/proc/self/fd/{}/{name}", directory.as_raw_fd());
+        Ok((PathBuf::from(path), Some(directory)))
     }
 
-    /// Listens there, in the place of whoever did so before.
+    /// Listens on the socket, replacing the process that listened before.
     fn listen(&self) -> io::Result<UnixListener> {
-        let own = format!("{NAME}.{}", std::process::id());
-        let (path, _dir) = self.path(&own)?;
+        let temporary_name = format!("{SOCKET_NAME}.{}", std::process::id());
+        let (path, _directory) = self.address_path(&temporary_name)?;
         let _ = std::fs::remove_file(&path);
         let listener = UnixListener::bind(&path)?;
-        std::fs::rename(&path, self.0.join(NAME))?;
+        std::fs::rename(&path, self.0.join(SOCKET_NAME))?;
         Ok(listener)
     }
 
     async fn connect(&self) -> io::Result<UnixStream> {
-        let (path, _dir) = self.path(NAME)?;
+        let (path, _directory) = self.address_path(SOCKET_NAME)?;
         UnixStream::connect(path).await
     }
 
-    /// The path of the socket, as far as it has one.
+    /// The path of the socket. It may be too long for a socket address.
     pub fn socket(&self) -> PathBuf {
-        Path::new(&self.0).join(NAME)
+        Path::new(&self.0).join(SOCKET_NAME)
     }
 }
 
-/// The predecessor, once it has handed over.
+/// A connected predecessor that has sent its handover state.
 pub struct Predecessor {
     stream: UnixStream,
     lines: LineBuffer,
-    standing: ProcessStatus,
-    /// What it leaves.
-    pub estate: Option<Box<HandoverState>>,
+    status: ProcessStatus,
+    /// The state from which this process continues.
+    pub handover_state: Option<Box<HandoverState>>,
 }
 
 impl Predecessor {
-    /// Meets the predecessor, if there is one that lives. What is wrong with it is told in one line.
-    pub async fn meet(place: &HandoverDirectory, log: &Log) -> Option<Predecessor> {
-        let met = timeout(HAND_OVER, Predecessor::try_meet(place)).await;
-        match met.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())) {
-            Ok(elder) => elder,
+    /// Connects to the predecessor, if one runs. Failures are logged in one line.
+    pub async fn connect(directory: &HandoverDirectory, log: &Log) -> Option<Predecessor> {
+        let result = timeout(HANDSHAKE_TIMEOUT, Predecessor::try_connect(directory)).await;
+        match result.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into())) {
+            Ok(predecessor) => predecessor,
             Err(error) => {
                 log.line(format!("handover: starting without a predecessor: {error}"));
                 None
@@ -107,72 +113,75 @@
         }
     }
 
-    async fn try_meet(place: &HandoverDirectory) -> io::Result<Option<Predecessor>> {
+    async fn try_connect(directory: &HandoverDirectory) -> io::Result<Option<Predecessor>> {
         let mut waited = Duration::ZERO;
         let mut stream = loop {
-            match place.connect().await {
+            match directory.connect().await {
                 Ok(stream) => break stream,
                 Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(None),
-                Err(error) if error.kind() == io::ErrorKind::ConnectionRefused && waited < REFUSED[1] => {
-                    sleep(REFUSED[0]).await;
-                    waited += REFUSED[0];
+                Err(error)
+                    if error.kind() == io::ErrorKind::ConnectionRefused && waited < REFUSED_RETRY_PERIOD =>
+                {
+                    sleep(REFUSED_RETRY_DELAY).await;
+                    waited += REFUSED_RETRY_DELAY;
                 }
                 Err(error) => return Err(error),
             }
         };
-        is_ours(&stream)?;
-        stream.write_all(&Message::Hello { v: VERSION }.line()).await?;
-        let mut lines = LineBuffer::new(LINE_BYTES);
-        let Some(Message::HandoverState(estate)) = hear(&mut stream, &mut lines).await? else {
-            return Err(io::Error::other("it leaves nothing"));
+        check_peer_user(&stream)?;
+        stream.write_all(&Message::Hello { v: VERSION }.to_line()).await?;
+        let mut lines = LineBuffer::new(MAX_LINE_BYTES);
+        let Some(Message::HandoverState(state)) = read_message(&mut stream, &mut lines).await? else {
+            return Err(io::Error::other("the predecessor sent no handover state"));
         };
-        let Some(Message::Status(standing)) = hear(&mut stream, &mut lines).await? else {
-            return Err(io::Error::other("it does not say how it stands"));
+        let Some(Message::Status(status)) = read_message(&mut stream, &mut lines).await? else {
+            return Err(io::Error::other("the predecessor sent no status"));
         };
-        Ok(Some(Predecessor { stream, lines, standing, estate: Some(estate) }))
+        Ok(Some(Predecessor { stream, lines, status, handover_state: Some(state) }))
     }
 }
 
-/// Only processes of the same user are believed.
-fn is_ours(stream: &UnixStream) -> io::Result<()> {
+/// Fails unless the peer process runs as the same user: only such processes are trusted.
+fn check_peer_user(stream: &UnixStream) -> io::Result<()> {
     match sockopt::socket_peercred(stream)?.uid == geteuid() {
         true => Ok(()),
-        false => Err(io::Error::other("it is another user's")),
+        false => Err(io::Error::other("the peer process runs as another user")),
     }
 }
 
-/// The next message; `None` at the end.
-async fn hear<R: AsyncReadExt + Unpin>(
+/// Reads the next message; `None` at the end of the stream.
+async fn read_message<R: AsyncReadExt + Unpin>(
     stream: &mut R,
     lines: &mut LineBuffer,
 ) -> io::Result<Option<Message>> {
     loop {
         if let Some(line) = lines.next_line() {
-            return Message::read(&line).map(Some).map_err(io::Error::other);
+            return Message::parse(&line).map(Some).map_err(io::Error::other);
         }
-        let mut chunk = [0; READ_BYTES];
-        let got = stream.read(&mut chunk).await?;
-        if got == 0 {
+        let mut chunk = [0; READ_CHUNK_BYTES];
+        let read = stream.read(&mut chunk).await?;
+        if read == 0 {
             return Ok(None);
         }
-        lines.push(&chunk[..got]).map_err(io::Error::other)?;
+        lines.push(&chunk[..read]).map_err(io::Error::other)?;
     }
 }
 
-/// Which of the two a peer is.
+/// The position of a peer relative to this process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Side {
-    Elder,
-    Younger,
+enum PeerSide {
+    Predecessor,
+    Successor,
 }
 
-/// What one of the peers says; nothing when it has ended.
-type Heard = (Side, u64, Option<Message>);
+/// A message with the side and number of the peer that sent it. The message is `None` once the peer has
+/// ended.
+type PeerMessage = (PeerSide, u64, Option<Message>);
 
-/// A peer that lives. Its tasks end with it.
+/// A connected peer. Dropping it ends its tasks and closes the connection.
 struct Peer {
     number: u64,
-    told: mpsc::Sender<Arc<Vec<u8>>>,
+    outgoing: mpsc::Sender<Arc<Vec<u8>>>,
     tasks: [JoinHandle<()>; 2],
 }
 
@@ -180,24 +189,24 @@
     fn new(
         stream: UnixStream,
         lines: LineBuffer,
-        side: Side,
+        side: PeerSide,
         number: u64,
-        heard: mpsc::Sender<Heard>,
+        incoming: mpsc::Sender<PeerMessage>,
     ) -> Peer {
-        let (reads, writes) = stream.into_split();
-        let (told, telling) = mpsc::channel(WAITING);
-        let gone = heard.clone();
-        let reader = tokio::spawn(read(reads, lines, side, number, heard));
+        let (read_half, write_half) = stream.into_split();
+        let (outgoing, outgoing_receiver) = mpsc::channel(MESSAGE_QUEUE_CAPACITY);
+        let writer_incoming = incoming.clone();
+        let reader = tokio::spawn(read_messages(read_half, lines, side, number, incoming));
         let writer = tokio::spawn(async move {
-            write(writes, telling).await;
-            let _ = gone.send((side, number, None)).await;
+            write_lines(write_half, outgoing_receiver).await;
+            let _ = writer_incoming.send((side, number, None)).await;
         });
-        Peer { number, told, tasks: [reader, writer] }
+        Peer { number, outgoing, tasks: [reader, writer] }
     }
 
-    fn tell(&self, message: &Arc<Vec<u8>>) {
-        // Full: see WAITING.
-        let _ = self.told.try_send(message.clone());
+    fn send(&self, line: &Arc<Vec<u8>>) {
+        // Dropped if the queue is full: see MESSAGE_QUEUE_CAPACITY.
+        let _ = self.outgoing.try_send(line.clone());
     }
 }
 
@@ -207,63 +216,66 @@
     }
 }
 
-async fn read(
+async fn read_messages(
     mut stream: OwnedReadHalf,
     mut lines: LineBuffer,
-    side: Side,
+    side: PeerSide,
     number: u64,
-    heard: mpsc::Sender<Heard>,
+    incoming: mpsc::Sender<PeerMessage>,
 ) {
-    // What cannot be read is taken for its end.
-    while let Ok(Some(message)) = hear(&mut stream, &mut lines).await {
-        if heard.send((side, number, Some(message))).await.is_err() {
+    // An invalid message is treated like the end of the stream.
+    while let Ok(Some(message)) = read_message(&mut stream, &mut lines).await {
+        if incoming.send((side, number, Some(message))).await.is_err() {
             return;
         }
     }
-    let _ = heard.send((side, number, None)).await;
+    let _ = incoming.send((side, number, None)).await;
 }
 
-async fn write(mut stream: OwnedWriteHalf, mut telling: mpsc::Receiver<Arc<Vec<u8>>>) {
-    while let Some(line) = telling.recv().await {
-        if !matches!(timeout(TAKE, stream.write_all(&line)).await, Ok(Ok(()))) {
+async fn write_lines(mut stream: OwnedWriteHalf, mut outgoing: mpsc::Receiver<Arc<Vec<u8>>>) {
+    while let Some(line) = outgoing.recv().await {
+        if !matches!(timeout(WRITE_TIMEOUT, stream.write_all(&line)).await, Ok(Ok(()))) {
             return;
         }
     }
 }
 
-/// What the processes of a sidecar share, as one of them sees it.
+/// Shares the resource limits and host lists of this process with its predecessor and its successor.
 pub struct Succession {
-    place: HandoverDirectory,
+    directory: HandoverDirectory,
     control: Control,
     budgets: Budgets,
-    whole: ResourceCounts,
-    sidecars: u32,
+    /// The configured limits, which all processes share.
+    configured_limits: ResourceCounts,
+    /// The configured number of sidecars.
+    configured_sidecars: u32,
     log: Log,
     shares: Shares,
-    elder: Option<Peer>,
-    younger: Option<Peer>,
-    /// How many processes the module was told of.
-    processes: u32,
-    peers: u64,
-    succeeded: Arc<AtomicBool>,
+    predecessor: Option<Peer>,
+    successor: Option<Peer>,
+    /// The process count from which the decision module's number of sidecars was last computed.
+    applied_process_count: u32,
+    /// Number of the latest peer. The predecessor has number 0.
+    last_peer_number: u64,
+    successor_serving: Arc<AtomicBool>,
 }
 
-/// The hold on it. It ends when this is dropped.
+/// Handle of the task that runs a succession. Dropping it ends the task.
 pub struct SuccessionHandle {
     task: JoinHandle<()>,
-    serves: Arc<Notify>,
-    succeeded: Arc<AtomicBool>,
+    started_serving: Arc<Notify>,
+    successor_serving: Arc<AtomicBool>,
 }
 
 impl SuccessionHandle {
-    /// This process serves now: who comes next is to ask it.
-    pub fn serves(&self) {
-        self.serves.notify_one();
+    /// Reports that this process serves clients: from now on it listens for successors.
+    pub fn set_serving(&self) {
+        self.started_serving.notify_one();
     }
 
-    /// Whether a successor serves.
-    pub fn is_succeeded(&self) -> bool {
-        self.succeeded.load(Ordering::Acquire)
+    /// Whether a successor serves clients.
+    pub fn has_serving_successor(&self) -> bool {
+        self.successor_serving.load(Ordering::Acquire)
     }
 }
 
@@ -273,212 +285,227 @@
     }
 }
 
-/// Shares with the predecessor, if there is one, and with successors, from now on.
+/// Starts to share with the predecessor, if there is one, and with later successors.
 pub fn run(
-    place: HandoverDirectory,
-    elder: Option<Predecessor>,
+    directory: HandoverDirectory,
+    predecessor: Option<Predecessor>,
     control: Control,
     budgets: Budgets,
-    sidecars: u32,
+    configured_sidecars: u32,
     log: Log,
 ) -> SuccessionHandle {
-    let whole = budgets.limits();
-    let (heard, hears) = mpsc::channel(WAITING);
-    let mut shares = Shares::new(whole);
-    shares.elder(elder.as_ref().map(|elder| elder.standing));
-    let elder = elder.map(|elder| Peer::new(elder.stream, elder.lines, Side::Elder, 0, heard.clone()));
-    let succeeded = Arc::new(AtomicBool::new(false));
+    let configured_limits = budgets.limits();
+    let (incoming, incoming_receiver) = mpsc::channel(MESSAGE_QUEUE_CAPACITY);
+    let mut shares = Shares::new(configured_limits);
+    shares.set_predecessor(predecessor.as_ref().map(|predecessor| predecessor.status));
+    let predecessor = predecessor.map(|predecessor| {
+        Peer::new(predecessor.stream, predecessor.lines, PeerSide::Predecessor, 0, incoming.clone())
+    });
+    let successor_serving = Arc::new(AtomicBool::new(false));
     let mut succession = Succession {
-        place,
+        directory,
         control,
         budgets,
-        whole,
-        sidecars,
+        configured_limits,
+        configured_sidecars,
         log,
         shares,
-        elder,
-        younger: None,
-        processes: 1,
-        peers: 1,
-        succeeded: succeeded.clone(),
+        predecessor,
+        successor: None,
+        applied_process_count: 1,
+        last_peer_number: 1,
+        successor_serving: successor_serving.clone(),
     };
-    // Before the first client comes.
-    succession.apply();
-    let serves = Arc::new(Notify::new());
-    let task = tokio::spawn(succession.run(serves.clone(), heard, hears));
-    SuccessionHandle { task, serves, succeeded }
+    // The reduced limits must apply before the first client connects.
+    succession.apply_shares();
+    let started_serving = Arc::new(Notify::new());
+    let task = tokio::spawn(succession.run(started_serving.clone(), incoming, incoming_receiver));
+    SuccessionHandle { task, started_serving, successor_serving }
 }
 
 impl Succession {
     async fn run(
         mut self,
-        serves: Arc<Notify>,
-        heard: mpsc::Sender<Heard>,
-        mut hears: mpsc::Receiver<Heard>,
+        started_serving: Arc<Notify>,
+        incoming: mpsc::Sender<PeerMessage>,
+        mut incoming_receiver: mpsc::Receiver<PeerMessage>,
     ) {
-        let (news, mut told) = mpsc::channel(WAITING);
-        self.control.forward_lists(news);
+        let (lists, mut lists_receiver) = mpsc::channel(MESSAGE_QUEUE_CAPACITY);
+        self.control.forward_lists(lists);
         let mut listener: Option<UnixListener> = None;
         let mut serving = false;
-        let mut ticks = interval(TELL);
-        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut status_ticks = interval(STATUS_INTERVAL);
+        status_ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            let shared = self.elder.is_some() || self.younger.is_some();
+            let has_peers = self.predecessor.is_some() || self.successor.is_some();
             tokio::select! {
-                () = serves.notified() => {
+                () = started_serving.notified() => {
                     serving = true;
                     listener = self.listen();
-                    // The end of the other may begin at once.
-                    self.stand();
+                    // Sent at once: the predecessor may be about to end.
+                    self.send_status();
                 }
                 accepted = accept(listener.as_ref()) => if let Ok((stream, _)) = accepted {
-                    self.accepted(stream, &heard).await;
+                    self.accept_successor(stream, &incoming).await;
                 },
-                Some(message) = hears.recv() => {
-                    let younger = self.younger.is_some();
-                    self.heard(message);
-                    // Its successor has taken its place, and has ended.
-                    if younger && self.younger.is_none() && serving {
+                Some(message) = incoming_receiver.recv() => {
+                    let had_successor = self.successor.is_some();
+                    self.handle(message);
+                    // The successor may have replaced the socket before it ended, so listen again.
+                    if had_successor && self.successor.is_none() && serving {
                         listener = self.listen();
                     }
                 }
-                Some(list) = told.recv(), if shared => self.tell(&Message::HostListUpdate { list }, None),
-                _ = ticks.tick(), if shared => {
+                Some(list) = lists_receiver.recv(), if has_peers => {
+                    self.send(&Message::HostListUpdate { list }, None);
+                }
+                _ = status_ticks.tick(), if has_peers => {
                     if self.control.lifecycle().is_ending() {
-                        self.shares.leave();
+                        self.shares.set_ending();
                     }
-                    self.apply();
-                    self.stand();
+                    self.apply_shares();
+                    self.send_status();
                 }
             }
         }
     }
 
     fn listen(&self) -> Option<UnixListener> {
-        match self.place.listen() {
+        match self.directory.listen() {
             Ok(listener) => Some(listener),
             Err(error) => {
-                self.log.line(format!("handover: successors cannot ask this process: {error}"));
+                self.log.line(format!("handover: cannot listen for successors: {error}"));
                 None
             }
         }
     }
 
-    /// Hands over to a successor.
-    async fn accepted(&mut self, stream: UnixStream, heard: &mpsc::Sender<Heard>) {
-        if self.younger.is_some() {
-            // One at a time; it starts without what this one knows.
+    /// Sends the handover state to a successor that has connected.
+    async fn accept_successor(&mut self, stream: UnixStream, incoming: &mpsc::Sender<PeerMessage>) {
+        if self.successor.is_some() {
+            // There is one successor at a time. This one starts without the handover state.
             return;
         }
-        match timeout(HAND_OVER, self.hand_over(stream)).await {
+        match timeout(HANDSHAKE_TIMEOUT, self.hand_over(stream)).await {
             Ok(Ok((stream, lines))) => {
-                self.peers += 1;
-                self.younger = Some(Peer::new(stream, lines, Side::Younger, self.peers, heard.clone()));
-                let nothing = ResourceCounts::default();
-                // Until it says how it stands.
-                self.shares.younger(Some(ProcessStatus {
-                    in_use: nothing,
-                    limits: self.whole,
+                self.last_peer_number += 1;
+                self.successor = Some(Peer::new(
+                    stream,
+                    lines,
+                    PeerSide::Successor,
+                    self.last_peer_number,
+                    incoming.clone(),
+                ));
+                // Assumed until the successor sends its own status.
+                self.shares.set_successor(Some(ProcessStatus {
+                    in_use: ResourceCounts::default(),
+                    limits: self.configured_limits,
                     ending: false,
                     serving: false,
                     process_count: 1,
                 }));
-                self.apply();
+                self.apply_shares();
                 self.log.line("handover: a successor has begun");
             }
-            Ok(Err(error)) => self.log.line(format!("handover: a successor is not served: {error}")),
-            Err(_) => self.log.line("handover: a successor does not listen"),
+            Ok(Err(error)) => self.log.line(format!("handover: the handover to a successor failed: {error}")),
+            Err(_) => self.log.line("handover: the handover to a successor timed out"),
         }
     }
 
     async fn hand_over(&self, mut stream: UnixStream) -> io::Result<(UnixStream, LineBuffer)> {
-        is_ours(&stream)?;
-        let mut lines = LineBuffer::new(LINE_BYTES);
-        match hear(&mut stream, &mut lines).await? {
+        check_peer_user(&stream)?;
+        let mut lines = LineBuffer::new(MAX_LINE_BYTES);
+        match read_message(&mut stream, &mut lines).await? {
             Some(Message::Hello { v: VERSION }) => {}
             Some(Message::Hello { v }) => {
-                return Err(io::Error::other(format!("it speaks version {v}, this program {VERSION}")));
+                return Err(io::Error::other(format!(
+                    "the successor uses protocol version {v}, this process version {VERSION}"
+                )));
             }
-            _ => return Err(io::Error::other("it does not say hello")),
+            _ => return Err(io::Error::other("the successor sent no hello")),
         }
-        let estate = self.control.handover_state().await.map_err(io::Error::other)?;
-        stream.write_all(&Message::HandoverState(Box::new(estate)).line()).await?;
-        let standing = self.shares.to_younger(self.budgets.in_use());
-        stream.write_all(&Message::Status(self.complete(standing)).line()).await?;
+        let state = self.control.handover_state().await.map_err(io::Error::other)?;
+        stream.write_all(&Message::HandoverState(Box::new(state)).to_line()).await?;
+        let status = self.shares.status_for_successor(self.budgets.in_use());
+        stream.write_all(&Message::Status(self.with_serving(status)).to_line()).await?;
         Ok((stream, lines))
     }
 
-    /// A standing with what the shares do not know.
-    fn complete(&self, standing: ProcessStatus) -> ProcessStatus {
-        let life = self.control.lifecycle();
-        ProcessStatus { serving: matches!(life.stage(), Stage::Serving | Stage::Evacuating), ..standing }
+    /// The status with `serving` taken from the lifecycle, which the shares do not know.
+    fn with_serving(&self, status: ProcessStatus) -> ProcessStatus {
+        let lifecycle = self.control.lifecycle();
+        ProcessStatus { serving: matches!(lifecycle.stage(), Stage::Serving | Stage::Evacuating), ..status }
     }
 
-    fn heard(&mut self, (side, number, message): Heard) {
+    fn handle(&mut self, (side, number, message): PeerMessage) {
         let peer = match side {
-            Side::Elder => &mut self.elder,
-            Side::Younger => &mut self.younger,
+            PeerSide::Predecessor => &mut self.predecessor,
+            PeerSide::Successor => &mut self.successor,
         };
         if peer.as_ref().is_none_or(|peer| peer.number != number) {
             return;
         }
         match message {
-            Some(Message::Status(standing)) => match side {
-                Side::Elder => self.shares.elder(Some(standing)),
-                Side::Younger => {
-                    self.shares.younger(Some(standing));
-                    self.succeeded.store(standing.serving, Ordering::Release);
+            Some(Message::Status(status)) => match side {
+                PeerSide::Predecessor => self.shares.set_predecessor(Some(status)),
+                PeerSide::Successor => {
+                    self.shares.set_successor(Some(status));
+                    self.successor_serving.store(status.serving, Ordering::Release);
                 }
             },
             Some(Message::HostListUpdate { list }) => self.control.apply_peer_list(list),
-            // Out of turn it means nothing.
+            // Only valid during the handshake; ignored afterwards.
             Some(Message::Hello { .. } | Message::HandoverState(_)) => {}
             None => {
                 *peer = None;
                 match side {
-                    Side::Elder => {
-                        self.shares.elder(None);
+                    PeerSide::Predecessor => {
+                        self.shares.set_predecessor(None);
                         self.log.line("handover: the predecessor has ended");
                     }
-                    Side::Younger => {
-                        self.shares.younger(None);
-                        self.succeeded.store(false, Ordering::Release);
+                    PeerSide::Successor => {
+                        self.shares.set_successor(None);
+                        self.successor_serving.store(false, Ordering::Release);
                         self.log.line("handover: the successor has ended");
                     }
                 }
             }
         }
-        self.apply();
+        self.apply_shares();
     }
 
-    /// Brings limits and the module into line with what the peers have said.
-    fn apply(&mut self) {
-        self.budgets.set_limits(self.shares.allowed(self.budgets.in_use()));
-        let processes = self.shares.processes();
-        if std::mem::replace(&mut self.processes, processes) != processes {
-            self.control.set_sidecar_count(self.sidecars.saturating_mul(processes));
+    /// Sets the limits of this process, and the decision module's number of sidecars, by the status of the
+    /// peers.
+    fn apply_shares(&mut self) {
+        self.budgets.set_limits(self.shares.own_limits(self.budgets.in_use()));
+        let process_count = self.shares.process_count();
+        if std::mem::replace(&mut self.applied_process_count, process_count) != process_count {
+            self.control.set_sidecar_count(self.configured_sidecars.saturating_mul(process_count));
         }
     }
 
-    /// Tells both how this one stands.
-    fn stand(&self) {
-        let held = self.budgets.in_use();
-        let to_elder = Message::Status(self.complete(self.shares.to_elder(held)));
-        let to_younger = Message::Status(self.complete(self.shares.to_younger(held)));
-        self.tell(&to_elder, Some(Side::Elder));
-        self.tell(&to_younger, Some(Side::Younger));
+    /// Sends the status of this process to both peers.
+    fn send_status(&self) {
+        let in_use = self.budgets.in_use();
+        let for_predecessor = Message::Status(self.with_serving(self.shares.status_for_predecessor(in_use)));
+        let for_successor = Message::Status(self.with_serving(self.shares.status_for_successor(in_use)));
+        self.send(&for_predecessor, Some(PeerSide::Predecessor));
+        self.send(&for_successor, Some(PeerSide::Successor));
     }
 
-    fn tell(&self, message: &Message, side: Option<Side>) {
-        let line = Arc::new(message.line());
-        for (which, peer) in [(Side::Elder, &self.elder), (Side::Younger, &self.younger)] {
-            if let Some(peer) = peer.as_ref().filter(|_| side.is_none_or(|side| side == which)) {
-                peer.tell(&line);
+    /// Sends a message to the peer on one side, or to both.
+    fn send(&self, message: &Message, only: Option<PeerSide>) {
+        let line = Arc::new(message.to_line());
+        let peers = [(PeerSide::Predecessor, &self.predecessor), (PeerSide::Successor, &self.successor)];
+        for (side, peer) in peers {
+            if let Some(peer) = peer.as_ref().filter(|_| only.is_none_or(|only| only == side)) {
+                peer.send(&line);
             }
         }
     }
 }
 
+/// Accepts a successor; never ready without a listener.
 async fn accept(listener: Option<&UnixListener>) -> io::Result<(UnixStream, tokio::net::unix::SocketAddr)> {
     match listener {
         Some(listener) => listener.accept().await,
--- a/crates/sidecar/src/handover/message.rs
+++ b/crates/sidecar/src/handover/message.rs
@@ -1,4 +1,4 @@
-//! What processes of one sidecar tell each other: lines of JSON, each bounded and checked by itself.
+//! Messages between processes of one sidecar: lines of JSON, each of bounded length and checked on its own.
 
 use sagemast_decide::settings::Config as SettingsObject;
 use sagemast_decide::snapshot::{ServerSnapshot, SharedSnapshot, Snapshot};
@@ -7,62 +7,62 @@
 use super::shares::ProcessStatus;
 use crate::hosts::HostList;
 
-/// The version of what is said.
+/// Version of the protocol.
 pub const VERSION: u32 = 1;
-/// The longest line: the list and memory of some ten thousand upstreams.
-pub const LINE_BYTES: usize = 8 << 20;
+/// Longest line: a host list with the estimates of about ten thousand upstreams.
+pub const MAX_LINE_BYTES: usize = 8 << 20;
 
-/// One line.
+/// One message, sent as one line.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "kind", rename_all = "kebab-case")]
 pub enum Message {
-    /// By the younger, first.
+    /// First message of the successor.
     Hello {
-        /// Its version.
+        /// Protocol version of the successor.
         v: u32,
     },
-    /// By the elder, in answer.
+    /// Answer of the predecessor to the hello.
     #[serde(rename = "estate")]
     HandoverState(Box<HandoverState>),
-    /// How one of them stands; often.
+    /// Status of the sender, sent periodically by both.
     #[serde(rename = "stands")]
     Status(ProcessStatus),
-    /// What discovery told one of them.
+    /// A list that the sender received from discovery.
     #[serde(rename = "news")]
     HostListUpdate {
-        /// The list, or what changed.
+        /// The complete list, or the changed entries.
         list: HostList,
     },
 }
 
-/// What a process leaves to its successor.
+/// State from which a successor continues.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HandoverState {
-    /// The names that numbers stand for in the memory.
+    /// Names for the numeric ids in the estimates.
     pub names: SettingNames,
-    /// The list of upstreams, with its version.
+    /// The host list with its version.
     pub list: HostList,
-    /// What was learnt of all.
+    /// Estimates that all upstreams share.
     #[serde(rename = "all")]
     pub shared: SharedSnapshot,
-    /// What was learnt of each.
+    /// Estimates of each upstream.
     pub servers: Vec<ServerState>,
 }
 
-/// What was learnt of an upstream, by its name and life.
+/// Estimates of one incarnation of an upstream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServerState {
-    /// As discovery names it.
+    /// Name of the upstream in discovery.
     pub host: String,
-    /// When it last started, in Unix milliseconds.
+    /// Start of the incarnation, in Unix milliseconds.
     #[serde(rename = "born_ms")]
     pub started_ms: f64,
-    /// What was learnt.
+    /// The estimates.
     #[serde(rename = "memory")]
     pub snapshot: ServerSnapshot,
 }
 
-/// Names that the settings give numbers to.
+/// Names to which the settings assign numeric ids. Estimates of a process with other names cannot be used.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SettingNames {
     classes: Vec<String>,
@@ -72,7 +72,7 @@
 }
 
 impl SettingNames {
-    /// Those of these settings.
+    /// The names in these settings.
     pub fn from_settings(settings: &SettingsObject) -> SettingNames {
         SettingNames {
             classes: settings.classes().into_iter().map(|form| form.name).collect(),
@@ -84,30 +84,32 @@
 }
 
 impl HandoverState {
-    /// The memory in the module's terms, where an upstream's number is found by its name and life.
-    pub fn snapshot(&self, number: impl Fn(&str, f64) -> Option<u64>) -> Snapshot {
-        let servers = self.servers.iter().filter_map(|known| {
-            let id = number(&known.host, known.started_ms)?;
-            Some((id, known.snapshot))
+    /// Converts the estimates to a snapshot for the decision module. `id_of` finds the id of an upstream by
+    /// its name and start time; upstreams without an id are omitted.
+    pub fn snapshot(&self, id_of: impl Fn(&str, f64) -> Option<u64>) -> Snapshot {
+        let servers = self.servers.iter().filter_map(|server| {
+            let id = id_of(&server.host, server.started_ms)?;
+            Some((id, server.snapshot))
         });
         Snapshot { servers: servers.collect(), all: self.shared.clone() }
     }
 }
 
 impl Message {
-    /// The line that says it.
-    pub fn line(&self) -> Vec<u8> {
-        // Plain values always have a form; an empty line says nothing, which a reader takes for the end.
+    /// Serializes the message as a line, with its line end.
+    pub fn to_line(&self) -> Vec<u8> {
+        // Serialization of plain values cannot fail. If it did, the line would be empty, and the reader would
+        // close the connection.
         let mut line = serde_json::to_vec(self).unwrap_or_default();
         line.push(b'\n');
         line
     }
 
-    /// What a line says.
+    /// Parses a line without its line end.
     ///
     /// # Errors
-    /// It says nothing that is known.
-    pub fn read(line: &[u8]) -> Result<Message, serde_json::Error> {
+    /// The line is not a known message.
+    pub fn parse(line: &[u8]) -> Result<Message, serde_json::Error> {
         serde_json::from_slice(line)
     }
 }
@@ -124,7 +126,7 @@
         "allowed":{"max_attempts":3},"peers_total":3,"membership_mode":"automatic","telemetry":{},"kinds":["k"],
         "invariants":{"cold_share":0.1,"warm_up":2e4,"fall_multiple":2.5,"fall":1500.0}}"#;
 
-    fn estate() -> HandoverState {
+    fn handover_state() -> HandoverState {
         let settings: SettingsObject = serde_json::from_str(SETTINGS).unwrap();
         let mut module = Balancer::new(settings.settings(), 1);
         module.handle(5.0, Event::ListReceived(ListUpdate::Complete(Vec::new())), &mut Vec::new());
@@ -137,8 +139,8 @@
         }
     }
 
-    fn sound() -> Vec<Message> {
-        let standing = ProcessStatus {
+    fn valid_messages() -> Vec<Message> {
+        let status = ProcessStatus {
             in_use: ResourceCounts::default(),
             limits: ResourceCounts::default(),
             ending: true,
@@ -147,40 +149,41 @@
         };
         vec![
             Message::Hello { v: VERSION },
-            Message::HandoverState(Box::new(estate())),
-            Message::Status(standing),
+            Message::HandoverState(Box::new(handover_state())),
+            Message::Status(status),
             Message::HostListUpdate { list: HostList { seq: 7, complete: false, hosts: Vec::new() } },
         ]
     }
 
     #[test]
-    fn what_is_said_is_heard() {
-        for message in sound() {
-            let line = message.line();
+    fn each_message_survives_a_round_trip_in_one_line() {
+        for message in valid_messages() {
+            let line = message.to_line();
             assert_eq!(line.iter().filter(|byte| **byte == b'\n').count(), 1);
-            assert_eq!(Message::read(&line[..line.len() - 1]).unwrap(), message);
+            assert_eq!(Message::parse(&line[..line.len() - 1]).unwrap(), message);
         }
     }
 
     #[test]
-    fn no_cut_and_no_noise_is_taken_for_what_was_said() {
+    fn truncated_line_is_rejected_and_corrupted_line_causes_no_panic() {
         let mut rng = oorandom::Rand64::new(2);
-        for message in sound() {
-            let line = message.line();
+        for message in valid_messages() {
+            let line = message.to_line();
             for cut in 0..line.len() - 1 {
-                assert!(Message::read(&line[..cut]).is_err(), "cut at {cut}");
+                assert!(Message::parse(&line[..cut]).is_err(), "truncated at byte {cut}");
             }
             for _ in 0..2_000 {
-                let mut noise = line.clone();
+                let mut corrupted = line.clone();
                 for _ in 0..rng.rand_range(1..6) {
-                    let at = rng.rand_range(0..noise.len() as u64) as usize;
-                    noise[at] = rng.rand_range(0..256) as u8;
+                    let at = rng.rand_range(0..corrupted.len() as u64) as usize;
+                    corrupted[at] = rng.rand_range(0..256) as u8;
                 }
-                // Whatever it is taken for, nothing panics, and the module checks what it would believe.
-                if let Ok(Message::HandoverState(estate)) = Message::read(&noise) {
+                // A corrupted line may still parse; the decision module checks the estimates that it
+                // restores.
+                if let Ok(Message::HandoverState(state)) = Message::parse(&corrupted) {
                     let settings: SettingsObject = serde_json::from_str(SETTINGS).unwrap();
                     let _ =
-                        Balancer::new(settings.settings(), 1).remember(0.0, &estate.snapshot(|_, _| Some(1)));
+                        Balancer::new(settings.settings(), 1).remember(0.0, &state.snapshot(|_, _| Some(1)));
                 }
             }
         }
--- a/crates/sidecar/src/handover/mod.rs
+++ b/crates/sidecar/src/handover/mod.rs
@@ -1,14 +1,15 @@
-//! From one process of a sidecar to the next, while both run: a Unix socket in `$TMPDIR` that the newest listens on.
+//! Handover from one process of a sidecar to its successor while both run, over a Unix socket in `$TMPDIR` on
+//! which the newest serving process listens.
 //!
 //! ```text
-//! elder                                      younger
-//!                                         <- hello: version, names of the settings
-//!   estate: list, version, memory         ->
-//!   held, news                           <->   held, news      until one of them ends
+//! predecessor                                        successor
+//!                                                 <- hello: protocol version
+//!   estate: setting names, host list, estimates   ->
+//!   stands, news                                 <->   stands, news      until one of them ends
 //! ```
 //!
-//! The end of the connection tells each that it is alone. A successor that ends before it serves leaves everything as it
-//! was.
+//! Each process detects the end of the other by the end of the connection. A successor that ends before it
+//! serves changes nothing for its predecessor.
 
 mod link;
 pub mod message;
--- a/crates/sidecar/src/handover/shares.rs
+++ b/crates/sidecar/src/handover/shares.rs
@@ -1,234 +1,257 @@
-//! How two processes that are one sidecar share what one may hold. Pure.
+//! How two processes of one sidecar share its resource limits while both run. Pure.
 //!
-//! While both serve each has half, or what the other leaves if it holds more than that already. One that leaves keeps
-//! what it holds, and a small part to finish with; the rest is the other's.
+//! While both serve, each may use half of the limits; a process whose peer already uses more than half gets
+//! the rest. An ending process keeps what it uses and a reserve to finish with; everything else belongs to
+//! its peer.
 
 use serde::{Deserialize, Serialize};
 
 use crate::budget::ResourceCounts;
 
-/// What a process that leaves may hold beside what it held when it began to: an eighth, for second attempts.
-const TO_FINISH: usize = 8;
+/// An ending process may use an eighth of the limits, even if it used less when it began to end: it needs
+/// that for second attempts.
+const ENDING_RESERVE_DIVISOR: usize = 8;
 
-/// What one process tells the other of itself.
+/// Status that one process sends to the other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ProcessStatus {
-    /// What it holds.
+    /// Resources that the process uses.
     #[serde(rename = "held")]
     pub in_use: ResourceCounts,
-    /// What there is for the two of them.
+    /// Limits for both processes together.
     #[serde(rename = "whole")]
     pub limits: ResourceCounts,
-    /// Whether it takes no new clients.
+    /// Whether the process accepts no new clients because it is ending.
     #[serde(rename = "leaving")]
     pub ending: bool,
-    /// Whether it takes clients.
+    /// Whether the process accepts clients.
     pub serving: bool,
-    /// How many processes there are on its side, itself included.
+    /// Number of processes on the sender's side of the connection, the sender included.
     #[serde(rename = "side")]
     pub process_count: u32,
 }
 
-/// What a process may hold of the whole, beside a peer that told this of itself.
-fn beside(
-    whole: ResourceCounts,
-    held: ResourceCounts,
-    leaving: bool,
+/// The part of the limits that a process may use beside a peer with this status.
+fn share_beside(
+    limits: ResourceCounts,
+    in_use: ResourceCounts,
+    ending: bool,
     peer: &ProcessStatus,
 ) -> ResourceCounts {
-    let part = |whole: usize| whole / TO_FINISH;
-    if leaving && !peer.ending {
-        return held.zip_with(whole, |held, whole| held.max(part(whole)).min(whole));
+    let reserve = |limit: usize| limit / ENDING_RESERVE_DIVISOR;
+    if ending && !peer.ending {
+        return in_use.zip_with(limits, |in_use, limit| in_use.max(reserve(limit)).min(limit));
     }
-    let theirs = |held: usize, whole: usize| held.max(if peer.ending { part(whole) } else { whole / 2 });
-    whole.zip_with(peer.in_use.zip_with(whole, theirs), |whole, theirs| whole.saturating_sub(theirs))
+    let peer_share =
+        |in_use: usize, limit: usize| in_use.max(if peer.ending { reserve(limit) } else { limit / 2 });
+    limits.zip_with(peer.in_use.zip_with(limits, peer_share), |limit, peer_share| {
+        limit.saturating_sub(peer_share)
+    })
 }
 
-/// One process between the one before it and the one after it, of which there may be none.
+/// The shares of one process beside its predecessor and its successor, if it has them.
 #[derive(Debug, Clone, Copy)]
 pub struct Shares {
-    whole: ResourceCounts,
-    elder: Option<ProcessStatus>,
-    younger: Option<ProcessStatus>,
-    leaving: bool,
+    limits: ResourceCounts,
+    predecessor: Option<ProcessStatus>,
+    successor: Option<ProcessStatus>,
+    ending: bool,
 }
 
 impl Shares {
-    /// One that is alone and may hold this.
-    pub fn new(whole: ResourceCounts) -> Shares {
-        Shares { whole, elder: None, younger: None, leaving: false }
+    /// A process without peers that may use these limits.
+    pub fn new(limits: ResourceCounts) -> Shares {
+        Shares { limits, predecessor: None, successor: None, ending: false }
     }
 
-    /// What the one before it tells; `None` once it has ended.
-    pub fn elder(&mut self, standing: Option<ProcessStatus>) {
-        self.elder = standing;
+    /// Sets the status of the predecessor; `None` once it has ended.
+    pub fn set_predecessor(&mut self, status: Option<ProcessStatus>) {
+        self.predecessor = status;
     }
 
-    /// What the one after it tells; `None` once it has ended.
-    pub fn younger(&mut self, standing: Option<ProcessStatus>) {
-        self.younger = standing;
+    /// Sets the status of the successor; `None` once it has ended.
+    pub fn set_successor(&mut self, status: Option<ProcessStatus>) {
+        self.successor = status;
     }
 
-    /// It takes no new clients from now on.
-    pub fn leave(&mut self) {
-        self.leaving = true;
+    /// Records that this process accepts no new clients from now on.
+    pub fn set_ending(&mut self) {
+        self.ending = true;
     }
 
-    /// What there is for it and who comes after it.
-    fn ours(&self, held: ResourceCounts) -> ResourceCounts {
-        match &self.elder {
-            // The elder's word counts where it has less to share than the configuration says.
-            Some(elder) => {
-                let whole = self.whole.zip_with(elder.limits, usize::min);
-                beside(whole, held, self.leaving, elder)
+    /// The limits for this process and its successors together.
+    fn limits_beside_predecessor(&self, in_use: ResourceCounts) -> ResourceCounts {
+        match &self.predecessor {
+            // The predecessor may have been configured with smaller limits, or share with one of its own.
+            Some(predecessor) => {
+                let limits = self.limits.zip_with(predecessor.limits, usize::min);
+                share_beside(limits, in_use, self.ending, predecessor)
             }
-            None => self.whole,
+            None => self.limits,
         }
     }
 
-    /// What it may hold, where it holds this.
-    pub fn allowed(&self, held: ResourceCounts) -> ResourceCounts {
-        let ours = self.ours(held);
-        match &self.younger {
-            Some(younger) => beside(ours, held, self.leaving, younger),
-            None => ours,
+    /// The resources that this process may use, given what it uses now.
+    pub fn own_limits(&self, in_use: ResourceCounts) -> ResourceCounts {
+        let limits = self.limits_beside_predecessor(in_use);
+        match &self.successor {
+            Some(successor) => share_beside(limits, in_use, self.ending, successor),
+            None => limits,
         }
     }
 
-    /// How many processes there are, itself included.
-    pub fn processes(&self) -> u32 {
-        let side =
-            |peer: &Option<ProcessStatus>| peer.map_or(0, |peer| peer.process_count.clamp(1, MOST_PROCESSES));
-        1 + side(&self.elder) + side(&self.younger)
+    /// Number of processes, this one included.
+    pub fn process_count(&self) -> u32 {
+        let reported_count = |peer: &Option<ProcessStatus>| {
+            peer.map_or(0, |peer| peer.process_count.clamp(1, MAX_PROCESSES_PER_SIDE))
+        };
+        1 + reported_count(&self.predecessor) + reported_count(&self.successor)
     }
 
-    /// What it tells the one before it.
-    pub fn to_elder(&self, held: ResourceCounts) -> ProcessStatus {
-        let side = 1 + self.younger.map_or(0, |peer| peer.process_count.clamp(1, MOST_PROCESSES));
+    /// The status to send to the predecessor.
+    pub fn status_for_predecessor(&self, in_use: ResourceCounts) -> ProcessStatus {
+        let process_count =
+            1 + self.successor.map_or(0, |peer| peer.process_count.clamp(1, MAX_PROCESSES_PER_SIDE));
         ProcessStatus {
-            in_use: held,
-            limits: self.whole,
-            ending: self.leaving,
-            serving: !self.leaving,
-            process_count: side,
+            in_use,
+            limits: self.limits,
+            ending: self.ending,
+            serving: !self.ending,
+            process_count,
         }
     }
 
-    /// What it tells the one after it.
-    pub fn to_younger(&self, held: ResourceCounts) -> ProcessStatus {
-        let side = 1 + self.elder.map_or(0, |peer| peer.process_count.clamp(1, MOST_PROCESSES));
+    /// The status to send to the successor.
+    pub fn status_for_successor(&self, in_use: ResourceCounts) -> ProcessStatus {
+        let process_count =
+            1 + self.predecessor.map_or(0, |peer| peer.process_count.clamp(1, MAX_PROCESSES_PER_SIDE));
         ProcessStatus {
-            in_use: held,
-            limits: self.ours(held),
-            ending: self.leaving,
-            serving: !self.leaving,
-            process_count: side,
+            in_use,
+            limits: self.limits_beside_predecessor(in_use),
+            ending: self.ending,
+            serving: !self.ending,
+            process_count,
         }
     }
 }
 
-/// More never run at once.
-const MOST_PROCESSES: u32 = 8;
+/// Bounds the number of processes that a peer may report. More never run at once.
+const MAX_PROCESSES_PER_SIDE: u32 = 8;
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn all(count: usize) -> ResourceCounts {
+    fn counts(count: usize) -> ResourceCounts {
         ResourceCounts { clients: count, upstreams: count, transfers: count }
     }
 
-    fn count(amounts: ResourceCounts) -> usize {
-        assert_eq!((amounts.clients, amounts.upstreams), (amounts.upstreams, amounts.transfers));
-        amounts.clients
+    fn single_count(counts: ResourceCounts) -> usize {
+        assert_eq!((counts.clients, counts.upstreams), (counts.upstreams, counts.transfers));
+        counts.clients
     }
 
-    /// Two processes that tell each other what they hold, with some delay.
+    /// A predecessor and a successor, in this order in arrays, that exchange their status with some delay.
     struct Pair {
-        elder: Shares,
-        younger: Shares,
-        held: [usize; 2],
+        predecessor: Shares,
+        successor: Shares,
+        in_use: [usize; 2],
     }
 
     impl Pair {
-        fn new(whole: usize, held: usize) -> Pair {
-            let mut pair =
-                Pair { elder: Shares::new(all(whole)), younger: Shares::new(all(whole)), held: [held, 0] };
-            pair.tell();
+        fn new(limit: usize, predecessor_in_use: usize) -> Pair {
+            let mut pair = Pair {
+                predecessor: Shares::new(counts(limit)),
+                successor: Shares::new(counts(limit)),
+                in_use: [predecessor_in_use, 0],
+            };
+            pair.exchange_status();
             pair
         }
 
-        fn tell(&mut self) {
-            self.elder.younger(Some(self.younger.to_elder(all(self.held[1]))));
-            self.younger.elder(Some(self.elder.to_younger(all(self.held[0]))));
+        fn exchange_status(&mut self) {
+            let [predecessor_in_use, successor_in_use] = self.in_use.map(counts);
+            self.predecessor.set_successor(Some(self.successor.status_for_predecessor(successor_in_use)));
+            self.successor.set_predecessor(Some(self.predecessor.status_for_successor(predecessor_in_use)));
         }
 
-        fn allowed(&self) -> [usize; 2] {
-            [count(self.elder.allowed(all(self.held[0]))), count(self.younger.allowed(all(self.held[1])))]
+        fn own_limits(&self) -> [usize; 2] {
+            [
+                single_count(self.predecessor.own_limits(counts(self.in_use[0]))),
+                single_count(self.successor.own_limits(counts(self.in_use[1]))),
+            ]
         }
     }
 
     #[test]
-    fn half_is_each_ones_and_what_the_other_holds_is_its_own() {
-        assert_eq!(Pair::new(100, 10).allowed(), [50, 50]);
-        assert_eq!(Pair::new(100, 70).allowed(), [50, 30], "the elder takes no more until it holds less");
+    fn each_process_gets_half_or_the_rest_beside_its_peers_use() {
+        assert_eq!(Pair::new(100, 10).own_limits(), [50, 50]);
+        assert_eq!(
+            Pair::new(100, 70).own_limits(),
+            [50, 30],
+            "the predecessor may take no more until it uses less than its half"
+        );
         let mut pair = Pair::new(100, 70);
-        pair.elder.leave();
-        pair.tell();
-        assert_eq!(pair.allowed(), [70, 30]);
-        pair.held = [20, 25];
-        pair.tell();
-        assert_eq!(pair.allowed(), [20, 80]);
-        pair.held[0] = 0;
-        pair.tell();
-        assert_eq!(pair.allowed(), [12, 88]);
-        pair.younger.elder(None);
-        assert_eq!(count(pair.younger.allowed(all(25))), 100);
-        assert_eq!((pair.younger.processes(), pair.elder.processes()), (1, 2));
+        pair.predecessor.set_ending();
+        pair.exchange_status();
+        assert_eq!(pair.own_limits(), [70, 30]);
+        pair.in_use = [20, 25];
+        pair.exchange_status();
+        assert_eq!(pair.own_limits(), [20, 80]);
+        pair.in_use[0] = 0;
+        pair.exchange_status();
+        assert_eq!(pair.own_limits(), [12, 88]);
+        pair.successor.set_predecessor(None);
+        assert_eq!(single_count(pair.successor.own_limits(counts(25))), 100);
+        assert_eq!((pair.successor.process_count(), pair.predecessor.process_count()), (1, 2));
     }
 
     #[test]
-    fn three_in_a_row_know_of_each_other() {
+    fn three_processes_in_a_row_count_each_other_and_stay_within_the_limits() {
         let (mut first, mut second, mut third) =
-            (Shares::new(all(80)), Shares::new(all(80)), Shares::new(all(80)));
+            (Shares::new(counts(80)), Shares::new(counts(80)), Shares::new(counts(80)));
         for _ in 0..3 {
-            first.younger(Some(second.to_elder(all(0))));
-            second.elder(Some(first.to_younger(all(30))));
-            second.younger(Some(third.to_elder(all(0))));
-            third.elder(Some(second.to_younger(all(10))));
+            first.set_successor(Some(second.status_for_predecessor(counts(0))));
+            second.set_predecessor(Some(first.status_for_successor(counts(30))));
+            second.set_successor(Some(third.status_for_predecessor(counts(0))));
+            third.set_predecessor(Some(second.status_for_successor(counts(10))));
         }
-        assert_eq!([first, second, third].map(|one| one.processes()), [3, 3, 3]);
-        let allowed = [first.allowed(all(30)), second.allowed(all(10)), third.allowed(all(0))].map(count);
-        assert!(allowed.iter().sum::<usize>() <= 80, "{allowed:?}");
+        assert_eq!([first, second, third].map(|process| process.process_count()), [3, 3, 3]);
+        let own_limits =
+            [first.own_limits(counts(30)), second.own_limits(counts(10)), third.own_limits(counts(0))]
+                .map(single_count);
+        assert!(own_limits.iter().sum::<usize>() <= 80, "{own_limits:?}");
     }
 
-    /// Both take whenever they are allowed to and let go at will; each hears of the other now and then.
+    /// Guards against two processes together exceeding the limits of one: both acquire and release at random,
+    /// and their status is exchanged only now and then.
     #[test]
-    fn together_they_hold_no_more_than_one_may() {
+    fn two_processes_together_stay_within_the_limits_of_one() {
         let mut rng = oorandom::Rand64::new(8);
         for round in 0..400 {
-            let whole = 8 + rng.rand_range(0..300) as usize;
-            let mut pair = Pair::new(whole, rng.rand_range(0..whole as u64 + 1) as usize);
-            let mut leaving = false;
+            let limit = 8 + rng.rand_range(0..300) as usize;
+            let mut pair = Pair::new(limit, rng.rand_range(0..limit as u64 + 1) as usize);
+            let mut ending = false;
             for step in 0..300 {
-                let who = rng.rand_range(0..2) as usize;
-                let allowed = pair.allowed()[who];
-                if rng.rand_range(0..3) > 0 && pair.held[who] < allowed && !(who == 0 && leaving) {
-                    pair.held[who] += 1;
+                let process = rng.rand_range(0..2) as usize;
+                let own_limit = pair.own_limits()[process];
+                if rng.rand_range(0..3) > 0 && pair.in_use[process] < own_limit && !(process == 0 && ending) {
+                    pair.in_use[process] += 1;
                 } else {
-                    pair.held[who] = pair.held[who].saturating_sub(1);
+                    pair.in_use[process] = pair.in_use[process].saturating_sub(1);
                 }
                 if rng.rand_range(0..8) == 0 {
-                    pair.tell();
+                    pair.exchange_status();
                 }
                 if step == 150 {
-                    pair.elder.leave();
-                    leaving = true;
+                    pair.predecessor.set_ending();
+                    ending = true;
                 }
-                // What grew since it was told is an eighth at most: who leaves may finish with that.
-                let slack = whole / TO_FINISH + 1;
-                let held: usize = pair.held.iter().sum();
-                assert!(held <= whole + slack, "round {round}: {held} of {whole}");
+                // Since the last exchange, the use can have grown by the reserve of an ending process at
+                // most.
+                let slack = limit / ENDING_RESERVE_DIVISOR + 1;
+                let in_use: usize = pair.in_use.iter().sum();
+                assert!(in_use <= limit + slack, "round {round}: {in_use} of {limit}");
             }
         }
     }
--- a/crates/sidecar/src/instance.rs
+++ b/crates/sidecar/src/instance.rs
@@ -1,6 +1,6 @@
-//! One instance: clients on one side, upstreams on the other, the driver between them. It has no globals; the
-//! listener and all that it may hold are handed to it. [`Instance::run`] is its whole life, and [`Control`] is
-//! how its owner reaches it, from any thread.
+//! One instance: clients on one side, upstreams on the other, the driver between them. An instance uses no
+//! global state; its owner passes in the listener and all resource limits. [`Instance::run`] runs it from
+//! start to end, and [`Control`] controls it from any thread.
 
 use std::any::Any;
 use std::net::SocketAddr;
@@ -26,266 +26,302 @@
 
 pub use crate::lifecycle::Drain;
 
-/// Once the driver has failed, its open requests are answered as failed at once; a client that does not read its
-/// answer must not hold up the restart for longer than this.
-const LAST_WORDS: Duration = Duration::from_millis(500);
+/// After a failure of the driver, its open requests are answered as failed within this time. A client that
+/// does not read its answer must not delay the restart any longer.
+const FAILURE_ANSWERS_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What an instance is made of.
+/// Configuration of an instance.
 pub struct InstanceConfig {
-    /// The settings.
+    /// Settings.
     pub settings: SettingsObject,
-    /// For random numbers.
+    /// Seed for random numbers.
     pub seed: u64,
-    /// Where discovery is.
+    /// Address of discovery.
     pub discovery: SocketAddr,
-    /// The list of upstreams as a predecessor last had it.
+    /// The last host list of a predecessor that has ended.
     pub initial_host_list: Option<HostList>,
-    /// What a predecessor that still runs has left: it counts before the list.
+    /// State from a predecessor that still runs. It takes precedence over `initial_host_list`.
     pub handover_state: Option<Box<HandoverState>>,
-    /// Where clients connect. Registered with the runtime that the instance is run on.
+    /// Listener for clients, registered with the runtime that runs the instance.
     pub listener: Arc<TcpListener>,
-    /// What it may hold.
+    /// Limits on the resources that the instance may use.
     pub budgets: Budgets,
-    /// Budgets for traffic between zones, if there are any.
+    /// Budgets for cross-zone traffic, if any.
     pub cross_zone_budget: Option<CrossZoneBudget>,
-    /// Where it logs.
+    /// Log.
     pub log: Log,
-    /// Whom it tells how it fares.
+    /// Receives events for the instance's owner.
     pub events: EventSink<InstanceEvent>,
-    /// Whether it accepts nothing until [`Control::open`], since a predecessor still does.
+    /// Whether the instance accepts no clients before [`Control::open`], because a predecessor still does.
     pub standby: bool,
 }
 
-/// How an instance has ended.
+/// Why an instance has ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ExitReason {
-    /// All that it had taken was answered.
+    /// A drain has completed: every accepted request was answered.
     Drained,
-    /// Its time for that was up.
+    /// The time limit of a drain has passed, or every [`Control`] was dropped.
     Overdue,
-    /// A part of it failed; what was open was answered as failed.
+    /// A task of the instance has failed; its open requests were answered as failed.
     Failed(String),
 }
 
-/// An instance that is about to run.
+/// An instance that has not been started yet.
 pub struct Instance {
     driver: Driver,
     front: Arc<Front>,
     listener: Arc<TcpListener>,
-    known: Option<HostList>,
-    estate: Option<Box<HandoverState>>,
-    life: Arc<watch::Sender<Lifecycle>>,
-    held: watch::Receiver<()>,
-    telling: EventSink<InstanceEvent>,
+    initial_host_list: Option<HostList>,
+    handover_state: Option<Box<HandoverState>>,
+    lifecycle: Arc<watch::Sender<Lifecycle>>,
+    /// Closed when the last [`Control`] is dropped.
+    control_alive: watch::Receiver<()>,
+    events: EventSink<InstanceEvent>,
 }
 
-/// The owner's hold on an instance. All calls return at once.
+/// Controls an instance. No method blocks, and commands to an instance that has ended have no effect.
 #[derive(Clone)]
 pub struct Control {
-    happenings: mpsc::UnboundedSender<DriverEvent>,
-    life: Arc<watch::Sender<Lifecycle>>,
-    /// Dropped with the last hold.
-    _held: Arc<watch::Sender<()>>,
+    driver_events: mpsc::UnboundedSender<DriverEvent>,
+    lifecycle: Arc<watch::Sender<Lifecycle>>,
+    /// Dropped with the last clone, which ends the instance.
+    _alive: Arc<watch::Sender<()>>,
     metrics: Arc<Metrics>,
-    longest: Duration,
+    longest_deadline: Duration,
 }
 
 impl Instance {
-    /// An instance and the hold on it.
-    pub fn new(parts: InstanceConfig) -> (Instance, Control) {
+    /// Creates an instance and its control.
+    pub fn new(config: InstanceConfig) -> (Instance, Control) {
         let InstanceConfig {
             settings,
             seed,
             discovery,
-            initial_host_list: known,
-            handover_state: estate,
+            initial_host_list,
+            handover_state,
             listener,
             budgets,
-            cross_zone_budget: crossing,
+            cross_zone_budget,
             log,
-            events: listening,
+            events,
             standby,
-        } = parts;
+        } = config;
         let names = RequestNames { classes: settings.classes(), tenants: settings.tenant_names() };
         let metrics = Arc::new(Metrics::new(names.classes.iter().map(|form| form.name.as_str())));
-        let longest = Duration::try_from_secs_f64(settings.longest_deadline_ms() / 1e3).unwrap_or_default();
+        let longest_deadline =
+            Duration::try_from_secs_f64(settings.longest_deadline_ms() / 1e3).unwrap_or_default();
         let (clients, transfers) = (budgets.clients.clone(), budgets.transfers.clone());
-        let (life, lives) = watch::channel(Lifecycle::new(standby, Instant::now()));
-        let (driver, happenings) = Driver::new(driver::DriverConfig {
+        let (lifecycle, lifecycle_receiver) = watch::channel(Lifecycle::new(standby, Instant::now()));
+        let lifecycle = Arc::new(lifecycle);
+        let (driver, driver_events) = Driver::new(driver::DriverConfig {
             settings,
             seed,
             discovery,
             budgets,
-            cross_zone_budget: crossing,
+            cross_zone_budget,
             metrics: metrics.clone(),
             log: log.clone(),
-            events: listening.clone(),
-            lifecycle: lives.clone(),
+            events: events.clone(),
+            lifecycle: lifecycle_receiver.clone(),
         });
-        let (life, (hold, held)) = (Arc::new(life), watch::channel(()));
-        let told = EventSink::new(happenings.clone());
-        let front = Arc::new(Front::new(names, lives, told, clients, transfers, metrics.clone(), log));
-        let instance =
-            Instance { driver, front, listener, known, estate, life: life.clone(), held, telling: listening };
-        (instance, Control { happenings, life, _held: Arc::new(hold), metrics, longest })
+        let (alive, control_alive) = watch::channel(());
+        let client_events = EventSink::new(driver_events.clone());
+        let front = Arc::new(Front::new(
+            names,
+            lifecycle_receiver,
+            client_events,
+            clients,
+            transfers,
+            metrics.clone(),
+            log,
+        ));
+        let control = Control {
+            driver_events,
+            lifecycle: lifecycle.clone(),
+            _alive: Arc::new(alive),
+            metrics,
+            longest_deadline,
+        };
+        let instance = Instance {
+            driver,
+            front,
+            listener,
+            initial_host_list,
+            handover_state,
+            lifecycle,
+            control_alive,
+            events,
+        };
+        (instance, control)
     }
 
-    /// Runs until it has drained or failed. When this future is dropped, everything that belongs to the instance
-    /// ends with it: connections are closed as they are.
+    /// Runs until the instance has drained or failed. Dropping this future ends all tasks of the instance and
+    /// closes its connections at once.
     pub async fn run(self) -> ExitReason {
-        let Instance { driver, front, listener, known, estate, life, mut held, telling } = self;
-        let mut driver = Part(tokio::spawn(driver.run(known, estate)));
-        let let_go = move || {
-            telling.send(InstanceEvent::ListenerReleased);
+        let Instance {
+            driver,
+            front,
+            listener,
+            initial_host_list,
+            handover_state,
+            lifecycle,
+            mut control_alive,
+            events,
+        } = self;
+        let mut driver = AbortOnDrop(tokio::spawn(driver.run(initial_host_list, handover_state)));
+        let on_listener_released = move || {
+            events.send(InstanceEvent::ListenerReleased);
         };
-        let mut serving = Part(tokio::spawn(front::serve(listener, front, let_go)));
-        let mut lives = life.subscribe();
+        let mut serving = AbortOnDrop(tokio::spawn(front::serve(listener, front, on_listener_released)));
+        let mut lifecycle_receiver = lifecycle.subscribe();
         loop {
-            let now = *lives.borrow_and_update();
+            let current = *lifecycle_receiver.borrow_and_update();
             tokio::select! {
-                ended = &mut driver.0 => {
-                    // Its open requests have lost their replies: they are answered as failed. Who is still to be
-                    // accepted is for the successor.
-                    life.send_modify(|life| life.fail(Instant::now()));
-                    let _ = timeout(LAST_WORDS, &mut serving.0).await;
-                    return ExitReason::Failed(reason("the driver", ended));
+                result = &mut driver.0 => {
+                    // The reply channels of open requests are closed, so the front answers these requests as
+                    // failed. Connections that wait to be accepted are left to the successor.
+                    lifecycle.send_modify(|lifecycle| lifecycle.fail(Instant::now()));
+                    let _ = timeout(FAILURE_ANSWERS_TIMEOUT, &mut serving.0).await;
+                    return ExitReason::Failed(failure_reason("the driver", result));
                 }
-                ended = &mut serving.0 => return match ended {
-                    // It may have ended as soon as it was told to.
-                    Ok(()) if life.borrow().is_ending() => ExitReason::Drained,
-                    ended => ExitReason::Failed(reason("the listener", ended)),
+                result = &mut serving.0 => return match result {
+                    // Read again: the lifecycle may have changed since `current` was read.
+                    Ok(()) if lifecycle.borrow().is_ending() => ExitReason::Drained,
+                    result => ExitReason::Failed(failure_reason("the listener", result)),
                 },
-                _ = lives.changed() => {}
-                // Nobody holds it any more.
-                _ = held.changed() => return ExitReason::Overdue,
-                () = until(now.next_deadline()) => {
-                    if now.is_overdue(Instant::now()) {
+                _ = lifecycle_receiver.changed() => {}
+                // Every control was dropped.
+                _ = control_alive.changed() => return ExitReason::Overdue,
+                () = sleep_until_deadline(current.next_deadline()) => {
+                    if current.is_overdue(Instant::now()) {
                         return ExitReason::Overdue;
                     }
-                    life.send_if_modified(|life| life.advance(Instant::now()));
+                    lifecycle.send_if_modified(|lifecycle| lifecycle.advance(Instant::now()));
                 }
             }
         }
     }
 }
 
-/// Comes back at that time; never where there is none.
-async fn until(at: Option<Instant>) {
-    match at {
-        Some(at) => sleep_until(at).await,
+/// Sleeps until the deadline; forever if there is none.
+async fn sleep_until_deadline(deadline: Option<Instant>) {
+    match deadline {
+        Some(deadline) => sleep_until(deadline).await,
         None => std::future::pending().await,
     }
 }
 
 impl Control {
-    /// Watches discovery at another address from now on. List and connections stay.
-    pub fn watch_discovery(&self, to: SocketAddr) {
-        // An instance that has ended has nothing left to move; this holds for the other orders, too.
-        let _ = self.happenings.send(DriverEvent::Command(InstanceCommand::WatchDiscovery(to)));
+    /// Watches discovery at this address from now on. The host list and the connections stay.
+    pub fn watch_discovery(&self, address: SocketAddr) {
+        let _ = self.driver_events.send(DriverEvent::Command(InstanceCommand::WatchDiscovery(address)));
     }
 
-    /// Accepts clients from now on, unless the end has begun.
+    /// Accepts clients from now on, unless the instance is ending.
     pub fn open(&self) {
-        self.wish(LifecycleRequest::Open);
+        self.request(LifecycleRequest::Open);
     }
 
-    /// Sends clients away: `/up` says no, and nothing of theirs is held once it is answered.
+    /// Sends clients away: `/up` answers 503, and every answer closes its connection.
     pub fn evacuate(&self) {
-        self.wish(LifecycleRequest::Evacuate);
+        self.request(LifecycleRequest::Evacuate);
     }
 
-    /// Takes clients again. False if the end has begun.
+    /// Accepts clients again after an evacuation. Returns false if the instance is ending.
     pub fn rejoin(&self) -> bool {
-        self.wish(LifecycleRequest::Rejoin)
+        self.request(LifecycleRequest::Rejoin)
     }
 
-    /// Begins the end. Called again it changes nothing, but that a drain which closes the listener may become one
-    /// that leaves it to a successor.
-    pub fn drain(&self, how: Drain) {
-        self.wish(LifecycleRequest::Drain(how));
-        if matches!(how, Drain::HandOver { .. }) {
-            // Both generations hold connections out of the same budget, and the successor has more use for them.
-            let _ = self.happenings.send(DriverEvent::Command(InstanceCommand::Retire));
+    /// Begins a drain. A second call has no effect, except that it may turn a drain which closes the listener
+    /// into a handover to a successor.
+    pub fn drain(&self, drain: Drain) {
+        self.request(LifecycleRequest::Drain(drain));
+        if matches!(drain, Drain::HandOver { .. }) {
+            // Both generations share one connection budget, and the successor needs the connections more.
+            let _ = self.driver_events.send(DriverEvent::Command(InstanceCommand::Retire));
         }
     }
 
-    fn wish(&self, wish: LifecycleRequest) -> bool {
+    fn request(&self, request: LifecycleRequest) -> bool {
         let mut granted = false;
-        self.life.send_if_modified(|life| {
-            let before = *life;
-            granted = life.request(wish, Instant::now());
-            *life != before
+        self.lifecycle.send_if_modified(|lifecycle| {
+            let before = *lifecycle;
+            granted = lifecycle.request(request, Instant::now());
+            *lifecycle != before
         });
         granted
     }
 
-    /// Its life as it stands.
+    /// The current state of the lifecycle.
     pub fn lifecycle(&self) -> Lifecycle {
-        *self.life.borrow()
+        *self.lifecycle.borrow()
     }
 
-    /// Tells the module how many sidecars there are from now on.
+    /// Sets the number of sidecars, this one included, on which the decision module bases its limits.
     pub fn set_sidecar_count(&self, count: u32) {
-        let _ = self.happenings.send(DriverEvent::Command(InstanceCommand::SetSidecarCount(count)));
+        let _ = self.driver_events.send(DriverEvent::Command(InstanceCommand::SetSidecarCount(count)));
     }
 
-    /// Brings other budgets for traffic between zones into force, or none. What it counts in the same place goes on.
-    pub fn set_cross_zone_budget(&self, crossing: Option<CrossZoneBudget>) {
-        let _ = self.happenings.send(DriverEvent::Command(InstanceCommand::SetCrossZoneBudget(crossing)));
+    /// Replaces the budgets for cross-zone traffic, or removes them. Budgets that share the counts of the
+    /// current ones keep their state.
+    pub fn set_cross_zone_budget(&self, budget: Option<CrossZoneBudget>) {
+        let _ = self.driver_events.send(DriverEvent::Command(InstanceCommand::SetCrossZoneBudget(budget)));
     }
 
-    /// The list of upstreams as the instance has it. The receiver fails when the instance has ended.
+    /// Requests the current host list. The receiver fails if the instance has ended.
     pub fn host_list(&self) -> oneshot::Receiver<HostList> {
-        let (reply, list) = oneshot::channel();
-        let _ = self.happenings.send(DriverEvent::Command(InstanceCommand::GetHostList(reply)));
-        list
+        let (reply, host_list) = oneshot::channel();
+        let _ = self.driver_events.send(DriverEvent::Command(InstanceCommand::GetHostList(reply)));
+        host_list
     }
 
-    /// What a successor goes on from. The receiver fails when the instance has ended.
+    /// Requests the state from which a successor continues. The receiver fails if the instance has ended.
     pub fn handover_state(&self) -> oneshot::Receiver<HandoverState> {
-        let (reply, estate) = oneshot::channel();
-        let _ = self.happenings.send(DriverEvent::Command(InstanceCommand::GetHandoverState(reply)));
-        estate
+        let (reply, handover_state) = oneshot::channel();
+        let _ = self.driver_events.send(DriverEvent::Command(InstanceCommand::GetHandoverState(reply)));
+        handover_state
     }
 
-    /// Sends there what discovery tells, from now on; what finds no room there is dropped.
-    pub fn forward_lists(&self, news: mpsc::Sender<HostList>) {
-        let _ = self.happenings.send(DriverEvent::Command(InstanceCommand::ForwardLists(news)));
+    /// Forwards each list from discovery to this channel from now on. Lists are dropped while the channel is
+    /// full.
+    pub fn forward_lists(&self, lists: mpsc::Sender<HostList>) {
+        let _ = self.driver_events.send(DriverEvent::Command(InstanceCommand::ForwardLists(lists)));
     }
 
-    /// Another process of the same sidecar was told this by discovery.
+    /// Applies a list that another process of the same sidecar received from discovery.
     pub fn apply_peer_list(&self, list: HostList) {
-        let _ = self.happenings.send(DriverEvent::Command(InstanceCommand::PeerList(list)));
+        let _ = self.driver_events.send(DriverEvent::Command(InstanceCommand::PeerList(list)));
     }
 
-    /// Has the driver panic, for the rig and for tests.
+    /// Makes the driver panic. Only the rig and tests use this.
     pub fn inject_panic(&self) {
-        let _ = self.happenings.send(DriverEvent::Command(InstanceCommand::Panic));
+        let _ = self.driver_events.send(DriverEvent::Command(InstanceCommand::Panic));
     }
 
-    /// What is counted.
+    /// The metrics of the instance.
     pub fn metrics(&self) -> &Metrics {
         &self.metrics
     }
 
-    /// The longest that a client of any class waits.
+    /// The longest deadline of any class.
     pub fn longest_deadline(&self) -> Duration {
-        self.longest
+        self.longest_deadline
     }
 }
 
-/// Answers for an instance that is down for a while: every sound request is refused, to come back soon, and every
-/// connection closed. Runs until it is told to leave and has answered those that it took.
+/// Serves clients while an instance is down: every valid request is refused with a short retry-after, and
+/// every connection is closed. Runs until it is stopped and has answered the requests that it accepted.
 pub struct StandIn {
     front: Arc<Front>,
     listener: Arc<TcpListener>,
 }
 
-/// The hold on a stand-in. When it is dropped, the stand-in ends as it is.
+/// Controls a stand-in. Dropping it ends the stand-in at once.
 pub struct StandInControl(watch::Sender<Lifecycle>);
 
 impl StandIn {
-    /// A stand-in for an instance with these settings, and the hold on it.
+    /// Creates a stand-in for an instance with these settings, and its control.
     pub fn new(
         settings: &SettingsObject,
         listener: Arc<TcpListener>,
@@ -293,87 +329,88 @@
         log: Log,
     ) -> (StandIn, StandInControl) {
         let names = RequestNames { classes: settings.classes(), tenants: settings.tenant_names() };
-        let refuse = EventSink::from_fn(|message| {
-            if let ClientEvent::Arrived(arrival) = message {
-                // Its client may have gone.
-                let _ = arrival.reply.send(FinalAnswer::Refused(STAND_IN_RETRY_MS));
+        let refuse_all = EventSink::from_fn(|event| {
+            if let ClientEvent::Arrived(arrival) = event {
+                // Fails if the client has disconnected.
+                let _ = arrival.reply.send(FinalAnswer::Refused(STAND_IN_RETRY_AFTER_MS));
             }
             true
         });
-        // Draining: it accepts, and every answer closes its connection.
-        let mut life = Lifecycle::new(false, Instant::now());
-        life.request(
-            LifecycleRequest::Drain(Drain::Close { linger: FOR_GOOD, max_duration: FOR_GOOD }),
+        // While draining, connections are accepted and every answer closes its connection.
+        let mut lifecycle = Lifecycle::new(false, Instant::now());
+        lifecycle.request(
+            LifecycleRequest::Drain(Drain::Close { linger: UNLIMITED, max_duration: UNLIMITED }),
             Instant::now(),
         );
-        let (life, lives) = watch::channel(life);
-        // What it refuses is not told of an instance.
+        let (lifecycle, lifecycle_receiver) = watch::channel(lifecycle);
+        // Requests refused by a stand-in are not counted for the instance.
         let metrics = Arc::new(Metrics::new(std::iter::empty()));
         let front = Front::new(
             names,
-            lives,
-            refuse,
+            lifecycle_receiver,
+            refuse_all,
             budgets.clients.clone(),
             budgets.transfers.clone(),
             metrics,
             log,
         );
-        (StandIn { front: Arc::new(front), listener }, StandInControl(life))
+        (StandIn { front: Arc::new(front), listener }, StandInControl(lifecycle))
     }
 
-    /// Answers.
+    /// Serves clients until the stand-in is stopped.
     pub async fn run(self) {
         front::serve(self.listener, self.front, || ()).await;
     }
 }
 
 impl StandInControl {
-    /// Has it leave: the listener to a successor, or nobody's any more.
+    /// Stops the stand-in. `handed_over` is whether a successor accepts clients on the same socket; otherwise
+    /// the listener is released once the accept queue is empty.
     pub fn stop(&self, handed_over: bool) {
         let now = Instant::now();
-        self.0.send_modify(|life| match handed_over {
+        self.0.send_modify(|lifecycle| match handed_over {
             true => {
-                life.request(
+                lifecycle.request(
                     LifecycleRequest::Drain(Drain::HandOver {
                         linger: Duration::ZERO,
-                        max_duration: FOR_GOOD,
+                        max_duration: UNLIMITED,
                     }),
                     now,
                 );
             }
-            false => drop(life.advance(now + FOR_GOOD)),
+            false => drop(lifecycle.advance(now + UNLIMITED)),
         });
     }
 }
 
-/// A stand-in is told when to leave, and has no time of its own for it.
-const FOR_GOOD: Duration = Duration::from_secs(365 * 24 * 3_600);
+/// A stand-in has no time limit of its own: its control stops it.
+const UNLIMITED: Duration = Duration::from_secs(365 * 24 * 3_600);
 
-/// Restarts are quicker than this but for one that has failed several times in a row.
-const STAND_IN_RETRY_MS: f64 = 500.0;
+/// An instance restarts within this time, unless it has failed several times in a row.
+const STAND_IN_RETRY_AFTER_MS: f64 = 500.0;
 
-/// A task that ends with its owner.
-struct Part(JoinHandle<()>);
+/// A task that is aborted when its owner is dropped.
+struct AbortOnDrop(JoinHandle<()>);
 
-impl Drop for Part {
+impl Drop for AbortOnDrop {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-/// Why a part that should go on has ended.
-fn reason(part: &str, ended: Result<(), JoinError>) -> String {
-    match ended {
-        Ok(()) => format!("{part} has ended"),
+/// Describes why a task that should run on has ended.
+fn failure_reason(task: &str, result: Result<(), JoinError>) -> String {
+    match result {
+        Ok(()) => format!("{task} has ended"),
         Err(error) => match error.try_into_panic() {
-            Ok(panic) => format!("{part} has panicked: {}", panic_text(&*panic)),
-            Err(error) => format!("{part} was ended: {error}"),
+            Ok(payload) => format!("{task} has panicked: {}", panic_message(&*payload)),
+            Err(error) => format!("{task} was aborted: {error}"),
         },
     }
 }
 
 /// The message of a panic.
-fn panic_text(payload: &(dyn Any + Send)) -> &str {
+fn panic_message(payload: &(dyn Any + Send)) -> &str {
     let text = payload.downcast_ref::<String>().map(String::as_str);
     text.or_else(|| payload.downcast_ref::<&str>().copied()).unwrap_or("no message")
 }
--- a/crates/sidecar/src/lib.rs
+++ b/crates/sidecar/src/lib.rs
@@ -1,6 +1,6 @@
-//! One sidecar on real sockets, as a library: [`instance::Instance`] is the whole of it, and its owner hands it
-//! the listener and all that it may hold. The driver alone owns the decision module; everything else tells it
-//! what happened through a channel, in the messages of [`messages`].
+//! One sidecar on real sockets, as a library. [`instance::Instance`] is the complete sidecar; its owner
+//! passes in the listener and all resource limits. Only the driver has access to the decision module; all
+//! other parts send it events through a channel, with the types of [`messages`].
 
 pub mod budget;
 pub mod client;
--- a/crates/sidecar/src/log.rs
+++ b/crates/sidecar/src/log.rs
@@ -1,77 +1,84 @@
-//! The log: lines on standard error, so many a second at most for each instance.
+//! The log: lines on standard error, with a rate limit for each instance.
 
 use std::fmt::Display;
 use std::io::Write;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Lines a second. What a broken peer can cause must not fill the disk that holds the log.
-const LINES_A_SECOND: u32 = 20;
-/// Longer lines are cut: part of them may come from the network.
-const LINE_BYTES: usize = 300;
+/// Rate limit of a log. A broken peer must not be able to fill the disk that holds the log.
+const MAX_LINES_PER_SECOND: u32 = 20;
+/// Longer lines are truncated, since parts of them may come from the network.
+const MAX_LINE_CHARS: usize = 300;
 
-/// The variable that, set to 1, has each attempt's end and each final answer traced.
-pub const TRACE: &str = "SAGEMAST_TRACE";
+/// Environment variable that, if set to 1, enables a trace line for the end of each attempt and for each
+/// final answer.
+pub const TRACE_VARIABLE: &str = "SAGEMAST_TRACE";
 
-/// Where one instance, or the process, writes its lines. Each has its own allowance, so that one that is noisy
-/// does not silence the others.
+/// The log of one instance, or of the process. Each log has its own rate limit, so that one instance with
+/// many lines does not suppress those of the others.
 #[derive(Clone)]
 pub struct Log(Arc<Inner>);
 
 struct Inner {
     prefix: String,
-    /// Whether it follows each attempt and each final answer.
-    traces: bool,
+    /// Whether trace lines are written.
+    tracing: bool,
+    /// Start of the current window of one second, and the number of lines in it, suppressed ones included.
     window: Mutex<Option<(Instant, u32)>>,
 }
 
 impl Log {
-    /// The process's own.
+    /// The log of the process.
     pub fn process() -> Log {
         Log::with_prefix(String::new())
     }
 
-    /// That of a named instance.
+    /// The log of a named instance.
     pub fn instance(name: &str) -> Log {
         Log::with_prefix(format!("[{name}] "))
     }
 
     fn with_prefix(prefix: String) -> Log {
-        let traces = std::env::var_os(TRACE).is_some_and(|value| value == "1");
-        Log(Arc::new(Inner { prefix, traces, window: Mutex::new(None) }))
+        let tracing = std::env::var_os(TRACE_VARIABLE).is_some_and(|value| value == "1");
+        Log(Arc::new(Inner { prefix, tracing, window: Mutex::new(None) }))
     }
 
-    /// Writes one line of the trace, where one is kept. No limit holds for these.
+    /// Writes a trace line if tracing is enabled. Trace lines have no rate limit.
     pub fn trace(&self, line: impl FnOnce() -> String) {
-        if self.0.traces {
+        if self.0.tracing {
             self.write(&format!("trace: {}", line()));
         }
     }
 
-    /// Writes one line, unless too many were written in this second.
+    /// Writes a line, unless the rate limit has been reached.
     pub fn line(&self, text: impl Display) {
         let now = Instant::now();
-        // A panic elsewhere while the lock was held leaves a count that is as good as any.
+        // After a panic of another holder of the lock, the window is still valid.
         let mut window = self.0.window.lock().unwrap_or_else(PoisonError::into_inner);
-        let (since, written) = match *window {
-            Some((since, written)) if now - since < Duration::from_secs(1) => (since, written),
-            Some((_, written)) if written > LINES_A_SECOND => {
-                self.write(&format!("{} lines left out", written - LINES_A_SECOND));
+        let (window_start, lines) = match *window {
+            Some((window_start, lines)) if now - window_start < Duration::from_secs(1) => {
+                (window_start, lines)
+            }
+            Some((_, lines)) if lines > MAX_LINES_PER_SECOND => {
+                self.write(&format!("{} lines suppressed", lines - MAX_LINES_PER_SECOND));
                 (now, 0)
             }
             _ => (now, 0),
         };
-        *window = Some((since, written.saturating_add(1)));
+        *window = Some((window_start, lines.saturating_add(1)));
         drop(window);
-        if written < LINES_A_SECOND {
+        if lines < MAX_LINES_PER_SECOND {
             self.write(&text.to_string());
         }
     }
 
-    /// A log that cannot be written to is no reason to stop serving.
+    /// Writes to standard error. Failures are ignored: the process serves on without its log.
     fn write(&self, text: &str) {
-        let plain: String =
-            text.chars().map(|c| if c.is_control() { ' ' } else { c }).take(LINE_BYTES).collect();
-        let _ = writeln!(std::io::stderr(), "sagemast: {}{plain}", self.0.prefix);
+        let printable: String = text
+            .chars()
+            .map(|char| if char.is_control() { ' ' } else { char })
+            .take(MAX_LINE_CHARS)
+            .collect();
+        let _ = writeln!(std::io::stderr(), "sagemast: {}{printable}", self.0.prefix);
     }
 }
--- a/crates/sidecar/src/metrics.rs
+++ b/crates/sidecar/src/metrics.rs
@@ -1,64 +1,67 @@
-//! What can be seen of an instance from outside while it runs: counts, and how far it has come.
+//! Metrics of a running instance: its readiness, and counters.
 //!
-//! The driver alone counts, where it takes a request, ends it, and hears of its attempts; anyone may read.
+//! The driver counts requests and their outcomes and updates the figures of the host list; connections to
+//! upstreams count written attempts and unheld answers. Any thread may read them.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 
 use sagemast_decide::api::ClassId;
 
-/// Counts of one instance, from its start on.
+/// Metrics of one instance since its start.
 #[derive(Debug)]
 pub struct Metrics {
-    /// Whether it has a list of upstreams, so that `/up` answers 200.
+    /// Whether the instance has a host list, so that `/up` answers 200.
     pub ready: AtomicBool,
-    /// By class.
+    /// Indexed by class id.
     classes: Box<[ClassMetrics]>,
-    /// Attempts whose last byte was written.
+    /// Attempts whose request was written to its last byte.
     pub attempts_written: AtomicU64,
-    /// Answers of unknown length that were passed on as they came, since there was no room to hold them.
+    /// Answers of unknown length that were streamed to the client because there was no buffer space to hold
+    /// them.
     pub unheld_answers: AtomicU64,
-    /// The version of the list of upstreams.
+    /// Version of the host list.
     pub host_list_version: AtomicU64,
-    /// How many upstreams are listed.
+    /// Number of upstreams in the host list.
     pub listed_upstreams: AtomicU64,
-    /// How many of them are avoided: ejected, or leaving.
+    /// Number of listed upstreams that are avoided because they are ejected or draining.
     pub avoided_upstreams: AtomicU64,
 }
 
-/// Counts of one class.
+/// Counters of one class.
 #[derive(Debug)]
 pub struct ClassMetrics {
-    /// Its name.
+    /// Name of the class.
     pub name: Box<str>,
-    /// Requests taken: their last byte was read, they were sound, and their id was not that of an open one.
+    /// Accepted requests: they were read to their last byte, they are valid, and their id is not that of an
+    /// open request.
     pub accepted: AtomicU64,
-    /// Of these, answered with an upstream's answer.
+    /// Accepted requests that were answered with an upstream's answer.
     pub served: AtomicU64,
-    /// Refused: trying again is harmless.
+    /// Refused requests: they were not executed, and the client may retry them.
     pub refused: AtomicU64,
-    /// Failed: no promise.
+    /// Failed requests: they may have been executed.
     pub failed: AtomicU64,
-    /// Those whose client went away before its answer.
+    /// Requests whose client disconnected before its answer.
     pub disconnected: AtomicU64,
 }
 
-/// What a request came to.
+/// How a request has ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// An upstream's answer.
+    /// Answered with an upstream's answer.
     Served,
-    /// A refusal.
+    /// Refused.
     Refused,
-    /// A failure.
+    /// Failed.
     Failed,
-    /// Its client left first.
+    /// The client disconnected before its answer.
     ClientDisconnected,
 }
 
-/// The counts of one class, or of all, at one moment.
+/// Counts of one class, or of all classes, at one moment.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Requests taken.
+    /// Accepted requests.
     pub accepted: u64,
     /// See [`ClassMetrics`].
     pub served: u64,
@@ -71,14 +74,14 @@
 }
 
 impl Counts {
-    /// Requests without their final answer.
+    /// Number of accepted requests without a final answer.
     pub fn open(&self) -> u64 {
         self.accepted.saturating_sub(self.served + self.refused + self.failed + self.disconnected)
     }
 }
 
 impl Metrics {
-    /// Nothing yet, of classes with these names.
+    /// Creates metrics for classes with these names, all at zero.
     pub fn new<'a>(names: impl Iterator<Item = &'a str>) -> Metrics {
         let zero = || AtomicU64::new(0);
         let classes = names.map(|name| ClassMetrics {
@@ -100,17 +103,17 @@
         }
     }
 
-    /// Counts a request that was taken.
+    /// Counts an accepted request.
     pub fn count_accepted(&self, class: ClassId) {
         if let Some(class) = self.classes.get(class.0) {
             class.accepted.fetch_add(1, Ordering::Release);
         }
     }
 
-    /// Counts what one came to.
-    pub fn count_outcome(&self, class: ClassId, came: RequestOutcome) {
+    /// Counts the outcome of an accepted request.
+    pub fn count_outcome(&self, class: ClassId, outcome: RequestOutcome) {
         let Some(class) = self.classes.get(class.0) else { return };
-        let counter = match came {
+        let counter = match outcome {
             RequestOutcome::Served => &class.served,
             RequestOutcome::Refused => &class.refused,
             RequestOutcome::Failed => &class.failed,
@@ -119,35 +122,31 @@
         counter.fetch_add(1, Ordering::Release);
     }
 
-    /// The counts by class, each true by itself.
+    /// The counts of each class. They are read one after another, not as one snapshot.
     pub fn classes(&self) -> impl Iterator<Item = (&str, Counts)> {
         self.classes.iter().map(|class| (&*class.name, class.counts()))
     }
 
-    /// The counts of all classes together.
+    /// The sums over all classes.
     pub fn totals(&self) -> Counts {
-        self.classes.iter().map(ClassMetrics::counts).fold(Counts::default(), |sum, one| Counts {
-            accepted: sum.accepted + one.accepted,
-            served: sum.served + one.served,
-            refused: sum.refused + one.refused,
-            failed: sum.failed + one.failed,
-            disconnected: sum.disconnected + one.disconnected,
+        self.classes.iter().map(ClassMetrics::counts).fold(Counts::default(), |sum, class| Counts {
+            accepted: sum.accepted + class.accepted,
+            served: sum.served + class.served,
+            refused: sum.refused + class.refused,
+            failed: sum.failed + class.failed,
+            disconnected: sum.disconnected + class.disconnected,
         })
     }
 }
 
 impl ClassMetrics {
     fn counts(&self) -> Counts {
-        // The ends first: a request that ends in between must not make what is open negative.
-        let [served, refused, failed, left] = [&self.served, &self.refused, &self.failed, &self.disconnected]
-            .map(|c| c.load(Ordering::Acquire));
-        Counts {
-            accepted: self.accepted.load(Ordering::Acquire),
-            served,
-            refused,
-            failed,
-            disconnected: left,
-        }
+        // Outcomes are read first: a request that ends in between must not make the number of open requests
+        // negative.
+        let [served, refused, failed, disconnected] =
+            [&self.served, &self.refused, &self.failed, &self.disconnected]
+                .map(|counter| counter.load(Ordering::Acquire));
+        Counts { accepted: self.accepted.load(Ordering::Acquire), served, refused, failed, disconnected }
     }
 }
 
@@ -156,7 +155,7 @@
     use super::*;
 
     #[test]
-    fn what_was_taken_is_what_came_of_it_and_what_is_open_at_every_moment() {
+    fn accepted_requests_are_never_fewer_than_ended_ones_while_counting() {
         let metrics = Metrics::new(["a", "b"].into_iter());
         std::thread::scope(|threads| {
             threads.spawn(|| {
@@ -164,21 +163,20 @@
                 for _ in 0..50_000 {
                     let class = ClassId(rng.rand_range(0..3) as usize);
                     metrics.count_accepted(class);
-                    let came = [
+                    let outcomes = [
                         RequestOutcome::Served,
                         RequestOutcome::Refused,
                         RequestOutcome::Failed,
                         RequestOutcome::ClientDisconnected,
                     ];
-                    metrics.count_outcome(class, came[rng.rand_range(0..4) as usize]);
+                    metrics.count_outcome(class, outcomes[rng.rand_range(0..4) as usize]);
                 }
             });
             threads.spawn(|| {
                 for _ in 0..20_000 {
-                    let Counts { accepted: taken, served, refused, failed, disconnected: left } =
-                        metrics.totals();
-                    let ended = served + refused + failed + left;
-                    assert!(taken >= ended, "{taken} taken, {ended} ended");
+                    let Counts { accepted, served, refused, failed, disconnected } = metrics.totals();
+                    let ended = served + refused + failed + disconnected;
+                    assert!(accepted >= ended, "{accepted} accepted, {ended} ended");
                 }
             });
         });
--- a/crates/sidecar/src/resource_limits.rs
+++ b/crates/sidecar/src/resource_limits.rs
@@ -1,68 +1,71 @@
-//! How what the surroundings allow a sidecar is divided: among its processes, clients, upstreams, long bodies and the
-//! console. Pure. What cannot be divided is told as a sum.
+//! Divides the platform's resource limits for a sidecar among its processes, clients, upstreams, long bodies
+//! and the console. Pure. Limits that are too small are reported with the calculation of the required amount.
 
 use crate::config::Limits;
 use crate::console::{MAX_CALLERS, OWN_DESCRIPTORS};
 
-/// Descriptors for standard streams, the listener, discovery and the runtime, and for connections that are closing.
-const OWN_SOCKETS: usize = 24;
-/// And for the socket between processes: its listener and two peers.
-const LINK_SOCKETS: usize = 4;
-/// What a process holds before anyone comes, in MiB.
-const OWN_MB: usize = 6;
-/// What a client's connection and one to an upstream hold together while they are busy, in KiB: their buffers, and a body
-/// one way. Few are at their most at once.
-const PAIR_KIB: usize = 96;
-/// What a long body that passes through holds, in KiB: pieces of 32 KiB on their way through two connections.
+/// Descriptors per process for standard streams, the listener, discovery, the runtime and connections that
+/// are being closed.
+const PROCESS_DESCRIPTORS: usize = 24;
+/// Descriptors per process for the handover socket: its listener and the connections to two peers.
+const HANDOVER_DESCRIPTORS: usize = 4;
+/// Memory of a process without connections, in MiB.
+const PROCESS_MIB: usize = 6;
+/// Memory of a busy client connection together with a connection to an upstream, in KiB: their buffers, and a
+/// body one way. Few connections use the maximum at the same time.
+const CONNECTION_PAIR_KIB: usize = 96;
+/// Memory of a long body that is streamed, in KiB: chunks of 32 KiB on their way through two connections.
 pub const TRANSFER_KIB: usize = 256;
-/// Fewer connections on each side, or long bodies at once, are no service.
-const LEAST: [usize; 2] = [8, 4];
+/// With fewer connections on each side a sidecar is of no use.
+const MIN_CONNECTIONS: usize = 8;
+/// With fewer long bodies at the same time a sidecar is of no use.
+const MIN_TRANSFERS: usize = 4;
 
-/// What is divided among whom.
+/// Limits that all processes of a sidecar share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ResourceLimits {
     /// Connections on each side.
     pub connections: usize,
-    /// Long bodies that pass through at once.
+    /// Long bodies that are streamed at the same time.
     pub transfers: usize,
 }
 
-/// Divides limits for a sidecar with a console or none, of which so many processes may run at once.
+/// Divides the limits for a sidecar with or without a console, of which up to `max_processes` run at once.
 ///
 /// # Errors
-/// There is too little: what is needed, as a sum.
-pub fn divide(limits: &Limits, console: bool, processes: usize) -> Result<ResourceLimits, String> {
-    let link = if processes > 1 { LINK_SOCKETS } else { 0 };
-    let own = OWN_SOCKETS + link + if console { MAX_CALLERS + OWN_DESCRIPTORS } else { 0 };
-    let [connections, transfers] = LEAST;
-    let needed = processes * own + 2 * connections;
-    if limits.sockets < needed {
+/// The limits are too small. The text contains the calculation of the required amount.
+pub fn divide(limits: &Limits, console: bool, max_processes: usize) -> Result<ResourceLimits, String> {
+    let handover_descriptors = if max_processes > 1 { HANDOVER_DESCRIPTORS } else { 0 };
+    let per_process =
+        PROCESS_DESCRIPTORS + handover_descriptors + if console { MAX_CALLERS + OWN_DESCRIPTORS } else { 0 };
+    let required = max_processes * per_process + 2 * MIN_CONNECTIONS;
+    if limits.sockets < required {
         return Err(format!(
-            "limits.sockets is {}; {needed} are needed: {processes} times {own} for a process itself{}, and twice \
-             {connections} for connections",
+            "limits.sockets is {}; {required} are needed: {max_processes} times {per_process} for a process \
+             itself{}, and twice {MIN_CONNECTIONS} for connections",
             limits.sockets,
             if console { " and its console" } else { "" },
         ));
     }
-    let least_kib = connections * PAIR_KIB + transfers * TRANSFER_KIB;
-    let own_kib = processes * OWN_MB * 1024;
-    let kib = limits.memory_mb.saturating_mul(1024);
-    if kib < own_kib + least_kib {
+    let min_traffic_kib = MIN_CONNECTIONS * CONNECTION_PAIR_KIB + MIN_TRANSFERS * TRANSFER_KIB;
+    let processes_kib = max_processes * PROCESS_MIB * 1024;
+    let limit_kib = limits.memory_mb.saturating_mul(1024);
+    if limit_kib < processes_kib + min_traffic_kib {
         return Err(format!(
-            "limits.memory_mb is {}; {} are needed: {processes} times {OWN_MB} for a process itself, and {} for bodies \
-             and connections",
+            "limits.memory_mb is {}; {} are needed: {max_processes} times {PROCESS_MIB} for a process itself, \
+             and {} for bodies and connections",
             limits.memory_mb,
-            (own_kib + least_kib).div_ceil(1024),
-            least_kib.div_ceil(1024),
+            (processes_kib + min_traffic_kib).div_ceil(1024),
+            min_traffic_kib.div_ceil(1024),
         ));
     }
-    // Half of the rest each.
-    let half = (kib - own_kib) / 2;
-    let by_memory = half / PAIR_KIB;
-    let by_sockets = (limits.sockets - processes * own) / 2;
+    // The remaining memory is split in half between connections and transfers.
+    let half_kib = (limit_kib - processes_kib) / 2;
+    let max_by_memory = half_kib / CONNECTION_PAIR_KIB;
+    let max_by_descriptors = (limits.sockets - max_processes * per_process) / 2;
     Ok(ResourceLimits {
-        connections: by_memory.min(by_sockets).max(connections),
-        transfers: (half / TRANSFER_KIB).max(transfers),
+        connections: max_by_memory.min(max_by_descriptors).max(MIN_CONNECTIONS),
+        transfers: (half_kib / TRANSFER_KIB).max(MIN_TRANSFERS),
     })
 }
 
@@ -75,29 +78,31 @@
     }
 
     #[test]
-    fn no_sum_is_above_its_limit() {
+    fn divided_resources_never_exceed_the_limits() {
         for memory_mb in (1..200).chain([2_000]) {
             for sockets in (16..400).step_by(7).chain([1_024, 60_000]) {
-                for (console, processes) in [(false, 1), (true, 1), (true, 2)] {
-                    let Ok(division) = divide(&limits(memory_mb, sockets), console, processes) else {
+                for (console, max_processes) in [(false, 1), (true, 1), (true, 2)] {
+                    let Ok(divided) = divide(&limits(memory_mb, sockets), console, max_processes) else {
                         continue;
                     };
-                    let ResourceLimits { connections, transfers } = division;
-                    let own = OWN_SOCKETS
+                    let ResourceLimits { connections, transfers } = divided;
+                    let per_process = PROCESS_DESCRIPTORS
                         + usize::from(console) * (MAX_CALLERS + OWN_DESCRIPTORS)
-                        + (processes - 1) * LINK_SOCKETS;
-                    assert!(processes * own + 2 * connections <= sockets);
-                    let kib = processes * OWN_MB * 1024 + connections * PAIR_KIB + transfers * TRANSFER_KIB;
-                    // What is least is granted where half would be less.
-                    let most = memory_mb * 1024 + LEAST[1] * TRANSFER_KIB;
-                    assert!(kib <= most, "{memory_mb} MB, {sockets}: {kib} KiB");
+                        + (max_processes - 1) * HANDOVER_DESCRIPTORS;
+                    assert!(max_processes * per_process + 2 * connections <= sockets);
+                    let used_kib = max_processes * PROCESS_MIB * 1024
+                        + connections * CONNECTION_PAIR_KIB
+                        + transfers * TRANSFER_KIB;
+                    // The minimum of transfers is granted even where half of the memory would allow fewer.
+                    let max_kib = memory_mb * 1024 + MIN_TRANSFERS * TRANSFER_KIB;
+                    assert!(used_kib <= max_kib, "{memory_mb} MB, {sockets} descriptors: {used_kib} KiB");
                 }
             }
         }
     }
 
     #[test]
-    fn what_is_too_little_is_told_as_a_sum() {
+    fn insufficient_limits_are_rejected_with_the_required_amount() {
         let sockets = divide(&limits(192, 90), true, 2).unwrap_err();
         assert!(sockets.contains("104 are needed: 2 times 44"), "{sockets}");
         let memory = divide(&limits(13, 1_024), false, 2).unwrap_err();
