--- a/crates/decide/src/api.rs
+++ b/crates/decide/src/api.rs
@@ -140,7 +140,7 @@
         /// How many there are.
         count: u32,
     },
-    /// A number drawn from its name ([`crate::subset::key`]): the same after a restart.
+    /// A number drawn from its name ([`crate::subset::name_key`]): the same after a restart.
     Named(u64),
 }
 
@@ -199,7 +199,7 @@
     pub weight: f64,
     /// When it last started, where that is not long ago.
     pub started: Option<Millis>,
-    /// A number drawn from its name, the same at every sidecar ([`crate::subset::key`]).
+    /// A number drawn from its name, the same at every sidecar ([`crate::subset::name_key`]).
     pub key: u64,
 }
 
--- a/crates/decide/src/balancer.rs
+++ b/crates/decide/src/balancer.rs
@@ -138,7 +138,7 @@
 
     /// How many times a server was looked at so far: what draws have cost, the same on any machine.
     pub fn looks(&self) -> u64 {
-        self.upstreams.looks
+        self.upstreams.examined_count
     }
 
     /// Takes in one event and appends the actions that answer it.
@@ -193,20 +193,20 @@
             return out.push(Action::Refuse { request, retry_after: 0.0 });
         }
         self.estimates.retry_tokens = (self.estimates.retry_tokens + RETRY_SHARE).min(RETRY_BURST);
-        self.probe_budget.arrived();
-        self.subset_size.arrived(self.now);
+        self.probe_budget.record_arrival();
+        self.subset_size.record_arrival(self.now);
         for (number, share) in self.estimates.tenant_shares.iter_mut().enumerate() {
             *share += SMOOTH_ALL * (f64::from(u8::from(number == held.tenant.0)) - *share);
         }
-        let service = self.estimates.service[held.class.0].time;
-        let mean = self.estimates.usual_service.get_or_insert(service);
+        let service = self.estimates.classes[held.class.0].service_time;
+        let mean = self.estimates.mean_service_time.get_or_insert(service);
         *mean += SMOOTH_ALL * (service - *mean);
         let (density, usual) =
-            (self.density(&held), self.estimates.usual_density.unwrap_or(self.density(&held)));
-        self.estimates.usual_density = Some(usual + SMOOTH_ALL * (density - usual));
+            (self.density(&held), self.estimates.mean_density.unwrap_or(self.density(&held)));
+        self.estimates.mean_density = Some(usual + SMOOTH_ALL * (density - usual));
         // Where servers tell of their load, room is judged by that.
         let aim = self.settings.classes[held.class.0].aim;
-        let blind = self.estimates.first_at.is_none();
+        let blind = self.estimates.first_report_at.is_none();
         let chance = if blind { self.estimates.throttle.chance(self.now, aim) } else { 0.0 };
         self.requests.insert(request, held);
         // Luck is drawn only where it decides something.
@@ -227,12 +227,12 @@
             return self.hold(request, pair, again, out);
         }
         let refused = f64::from(u8::from(chosen.is_none()));
-        self.estimates.refused += SMOOTH_ALL * (refused - self.estimates.refused);
-        let class = &mut self.estimates.service[held.class.0];
-        class.refused += SMOOTH_ALL * (refused - class.refused);
+        self.estimates.refused_share += SMOOTH_ALL * (refused - self.estimates.refused_share);
+        let class = &mut self.estimates.classes[held.class.0];
+        class.refused_share += SMOOTH_ALL * (refused - class.refused_share);
         let by_use = chosen.map(|[a, b]| if b.projected_load < a.projected_load { [b, a] } else { [a, b] });
         let taker = by_use.into_iter().flatten().find(|c| self.admits(c, &held, again));
-        let other = |_| self.warm_one(&held).or_else(|| self.cold_one(&held));
+        let other = |_| self.warm_one(&held).or_else(|| self.find_warming_up_server(&held));
         match taker.or_else(|| chosen.and_then(other)) {
             Some(chosen) => self.send(request, chosen, out),
             None => self.give_up(request, out),
@@ -254,8 +254,8 @@
         let odds = if again { held.draw_share } else { self.odds(held) };
         // Where there is no room elsewhere, more requests come than servers can carry, and more to this one.
         let multiple = self.settings.slow_start.overload_multiple * to.warm_up_fraction;
-        let share = COLD_MARGIN * multiple / 2.0 * odds * (1.0 - self.estimates.refused);
-        self.affords(to, held.class, share)
+        let share = COLD_MARGIN * multiple / 2.0 * odds * (1.0 - self.estimates.refused_share);
+        self.try_spend_allowance(to, held.class, share)
     }
 
     /// Waits for the probes of a pair. Timers are numbered in 63 bits: two requests may share one.
@@ -290,10 +290,10 @@
     /// to it, so work that earns less for its service time than the usual is the first to be refused.
     fn room(&self, held: &PendingRequest) -> f64 {
         let density = self.density(held);
-        let worth = (density / self.estimates.usual_density.unwrap_or(density)).powf(FAVOUR).clamp(0.5, 1.5);
+        let worth = (density / self.estimates.mean_density.unwrap_or(density)).powf(FAVOUR).clamp(0.5, 1.5);
         // By worth alone one class would bear all refusals.
-        let even =
-            (1.0 + EVEN * (self.estimates.service[held.class.0].refused - self.estimates.refused)).max(0.5);
+        let class = &self.estimates.classes[held.class.0];
+        let even = (1.0 + EVEN * (class.refused_share - self.estimates.refused_share)).max(0.5);
         self.estimates.wait_scale * ROOM * worth * even
     }
 
@@ -306,7 +306,7 @@
         let within = if quota > 0.0 && share > 0.0 { (quota / quotas / share).min(1.0) } else { 1.0 };
         let worth = self.settings.classes[held.class.0].worth;
         worth * (within + (1.0 - within) * self.settings.over_quota_worth)
-            / self.estimates.service[held.class.0].time.max(1.0)
+            / self.estimates.classes[held.class.0].service_time.max(1.0)
     }
 
     /// Time until the answer loses its worth.
@@ -356,7 +356,7 @@
 
     /// How much longer times are here than where the mean service time is the usual.
     fn scale(&self) -> f64 {
-        (self.estimates.usual_service.unwrap_or(USUAL_SERVICE) / USUAL_SERVICE).clamp(1.0, MOST_SCALE)
+        (self.estimates.mean_service_time.unwrap_or(USUAL_SERVICE) / USUAL_SERVICE).clamp(1.0, MOST_SCALE)
     }
 
     /// What all servers are looked at with.
@@ -367,7 +367,7 @@
         // exp(-aim/wait): while that is below the fee, crossing does not pay.
         let terms = self.cross_zone_budget.as_ref().map(|plan| plan.terms(self.now, held.class));
         let limit = |fee: f64| if fee > 0.0 { aim_left / (1.0 / fee).ln().max(1.0) } else { 0.0 };
-        let service = self.estimates.service[held.class.0].time;
+        let service = self.estimates.classes[held.class.0].service_time;
         let soon = self.estimates.probe_time.is_none_or(|time| time <= HOLD_WORTH * service);
         SelectionContext {
             service,
@@ -376,7 +376,7 @@
             max_report_age: (HOLD_AFTER * service).max(FRESH * self.scale()),
             means: self.upstreams.means(),
             may_wait_for_probe: self.settings.limits.probes
-                && self.probe_budget.can(2.0)
+                && self.probe_budget.can_afford(2.0)
                 && held.probe_waits < HOLDS
                 && spare
                 && soon,
@@ -393,7 +393,7 @@
         held: &PendingRequest,
         view: &SelectionContext,
     ) -> Option<Candidate> {
-        let (id, upstream) = self.upstreams.at(slot)?;
+        let (id, upstream) = self.upstreams.at_slot(slot)?;
         let (in_flight, kappa) = (self.in_flight(upstream, &view.means), self.kappa(upstream));
         let warm_up_fraction = upstream.warmth(self.now, &self.settings.slow_start);
         let slowness = self.slowness(upstream) / warm_up_fraction;
@@ -414,7 +414,7 @@
             // An empty one is idle whatever its size: else nothing could ever correct what was learnt.
             idle: self.says_idle(upstream)
                 || in_flight + 1.0
-                    <= (IDLE * kappa).max((2.5 - IDLE_CROWDED * self.estimates.refused).max(1.0)),
+                    <= (IDLE * kappa).max((2.5 - IDLE_CROWDED * self.estimates.refused_share).max(1.0)),
             wait: view.service * slowness * depth,
             failure_rate: upstream.failure_rate,
             warm_up_fraction,
@@ -442,13 +442,13 @@
     }
 
     pub(crate) fn kappa(&self, upstream: &Upstream) -> f64 {
-        self.estimates.kappa(upstream, self.upstreams.known_of(upstream.kind), self.now, self.scale())
+        self.estimates.capacity(upstream, self.upstreams.members_of(upstream.kind), self.now, self.scale())
     }
 
     /// m: the last report and our sends since; an unheard server takes the mean m of the known ones.
     fn in_flight(&self, upstream: &Upstream, means: &FleetMeans) -> f64 {
         let own = upstream.outstanding.len() as f64;
-        if !upstream.has_valid_report || !self.estimates.believes() {
+        if !upstream.has_valid_report || !self.estimates.reports_are_trusted() {
             // What all send to a cold one is kept to what it surely does: others' queues are not its.
             let cold = upstream.warmth(self.now, &self.settings.slow_start) < 1.0;
             return own + if cold { 0.0 } else { means.in_flight };
@@ -462,7 +462,7 @@
     fn says_idle(&self, upstream: &Upstream) -> bool {
         let sent = upstream.unreported_sends as f64;
         let believed = upstream.has_valid_report
-            && self.estimates.believes()
+            && self.estimates.reports_are_trusted()
             && sent <= upstream.reported_in_flight + 1.0;
         upstream.capacity.is_none() && believed && upstream.utilisation.is_some_and(|u| u < IDLE)
     }
@@ -473,13 +473,14 @@
         // A server that hangs gives no answers to learn from: the time since its last one tells.
         let ageing = upstream.outstanding.oldest().map_or(0.0, |(_, oldest)| {
             AGEING * (self.now - oldest.sent.max(upstream.answered_at))
-                / (oldest.depth * self.estimates.service[oldest.class.0].time)
+                / (oldest.depth * self.estimates.classes[oldest.class.0].service_time)
         });
         learnt.max(ageing).max(0.05)
     }
 
     pub(crate) fn remembered(&self, upstream: &Upstream) -> f64 {
-        self.estimates.slowness(upstream, self.upstreams.known_of(upstream.kind), self.now, self.scale())
+        let members = self.upstreams.members_of(upstream.kind);
+        self.estimates.relative_service_time(upstream, members, self.now, self.scale())
     }
 
     fn takes_part(&self, upstream: &Upstream) -> bool {
@@ -501,11 +502,11 @@
         let reach = self.reach(held)?;
         let view = self.view(held);
         let before = self.asked_for(held, &view);
-        let inside = reach.inside();
+        let inside = reach.within_subset();
         let near =
             if before.is_none() && held.probe_waits == 0 { self.near(inside, held, &view) } else { None };
         let mut pair = before.or(near).or_else(|| self.open(inside, held, &view));
-        if pair.is_none() && inside != reach && self.upstreams.size(reach) != self.upstreams.size(inside) {
+        if pair.is_none() && inside != reach && self.upstreams.sizes(reach) != self.upstreams.sizes(inside) {
             // A refusal is honest only after a look outside; what is found there widens the subset.
             pair = self.open(reach, held, &SelectionContext { outside: true, ..view });
             if pair.is_some() {
@@ -523,16 +524,17 @@
 
     /// Brings the subset into line with the traffic and with what has become of its members.
     fn know(&mut self) {
-        if self.estimates.observed_capacity.is_due(self.now) {
+        if self.estimates.observed_capacity.is_review_due(self.now) {
             let warm = self.upstreams.warm_servers(self.now, &self.settings.slow_start);
             self.estimates.observed_capacity.review(self.now, warm);
         }
-        let wanted = self.subset_size.wanted(self.now, self.upstreams.serving(), self.settings.sidecars);
-        if self.upstreams.is_settled(wanted, self.now) {
+        let serving = self.upstreams.serving_count();
+        let wanted = self.subset_size.target(self.now, serving, self.settings.sidecars);
+        if self.upstreams.is_subset_current(wanted, self.now) {
             return;
         }
         let mut fleet = std::mem::replace(&mut self.upstreams, Fleet::new(self.ranking, None));
-        fleet.settle(wanted, self.now, |_, server| self.standing(server));
+        fleet.update_subset(wanted, self.now, |_, server| self.warm_up_status(server));
         self.upstreams = fleet;
     }
 
@@ -541,7 +543,7 @@
         let mut looks = CandidateSampler::new(&self.upstreams, reach, true);
         for _ in 0..2 {
             let slot = looks.next(&mut self.upstreams, &mut self.rng);
-            let Some((id, upstream)) = slot.and_then(|slot| self.upstreams.at(slot)) else { return };
+            let Some((id, upstream)) = slot.and_then(|slot| self.upstreams.at_slot(slot)) else { return };
             if self.now - upstream.reported_at > view.max_report_age {
                 self.probe(id, out);
             }
@@ -577,7 +579,7 @@
             return None;
         }
         let reach = if reach == CandidateScope::Members {
-            CandidateScope::MembersIn(self.settings.zone)
+            CandidateScope::MembersInZone(self.settings.zone)
         } else {
             reach
         };
@@ -625,11 +627,11 @@
 
     /// The share of the servers within reach that a pair is drawn from. Only asked where one of it is cold.
     fn odds(&mut self, held: &PendingRequest) -> f64 {
-        let Some(reach) = self.reach(held).map(CandidateScope::inside) else { return 1.0 };
+        let Some(reach) = self.reach(held).map(CandidateScope::within_subset) else { return 1.0 };
         let view = self.view(held);
-        let whole = self.upstreams.size(reach).1.max(1) as f64;
+        let whole = self.upstreams.sizes(reach).1.max(1) as f64;
         let zone = if reach == CandidateScope::Members {
-            CandidateScope::MembersIn(self.settings.zone)
+            CandidateScope::MembersInZone(self.settings.zone)
         } else {
             reach
         };
@@ -660,7 +662,7 @@
             let suits = self.look(slot, held, view).is_some_and(|c| c.healthy && wanted(&c));
             found += f64::from(u8::from(suits));
         }
-        found / f64::max(seen, 1.0) * self.upstreams.size(reach).0 as f64
+        found / f64::max(seen, 1.0) * self.upstreams.sizes(reach).0 as f64
     }
 
     fn is_serving(&self, id: UpstreamId) -> bool {
@@ -668,7 +670,7 @@
     }
 
     pub(crate) fn probe(&mut self, id: UpstreamId, out: &mut Vec<Action>) {
-        let may_probe = self.settings.limits.probes && self.probe_budget.can(1.0);
+        let may_probe = self.settings.limits.probes && self.probe_budget.can_afford(1.0);
         let (now, next) = (self.now, self.next_send);
         let (fresh, lost) = (FRESH * self.scale(), STALE * self.scale());
         let ask = |upstream: &mut Upstream| {
@@ -680,7 +682,7 @@
             }
             due
         };
-        if self.upstreams.change(id, ask) == Some(true) {
+        if self.upstreams.update(id, ask) == Some(true) {
             self.tell_probed(id);
             self.probe_budget.spend();
             out.push(Action::Probe(id));
@@ -703,7 +705,7 @@
             }
             false => (left, None),
         };
-        let usual = &mut self.estimates.service[held.class.0].wait;
+        let usual = &mut self.estimates.classes[held.class.0].expected_latency;
         *usual += SMOOTH_ALL * (to.wait - *usual);
         let (class, attempt, held_bend) = (held.class, AttemptNo(held.attempts.len() as u32), held.exemption);
         let (sent, number) = (self.now, self.next_send);
@@ -712,7 +714,7 @@
             upstream.enter(number, OutstandingSend { class, sent, depth, wait });
             Attempt::new(to.id, upstream, sent)
         };
-        let Some(this) = self.upstreams.change(to.id, enter) else { return };
+        let Some(this) = self.upstreams.update(to.id, enter) else { return };
         self.next_send += 1;
         self.sends.insert((request, attempt), (number, to.id));
         if let Some(held) = self.requests.get_mut(&request) {
@@ -786,12 +788,12 @@
         let known = self.upstreams.get(id).filter(|_| unanswered).and_then(|upstream| {
             Some(self.evidence_of(upstream, number, &upstream.outstanding.get(number)?))
         });
-        let Some(sent) = self.upstreams.change(id, |upstream| upstream.take(number)).flatten() else {
+        let Some(sent) = self.upstreams.update(id, |upstream| upstream.take(number)).flatten() else {
             return;
         };
         self.tell_of_zone(id, outcome);
         self.carried(id, &sent, outcome);
-        let law = &mut self.estimates.service[sent.class.0].latencies;
+        let law = &mut self.estimates.classes[sent.class.0].latencies;
         let silent = known.map_or(0.0, |known| known.silent(law, latency));
         let mute = known.is_some_and(|known| !known.answers && latency >= MUTE * known.crowd * known.wait);
         match outcome {
@@ -822,10 +824,10 @@
             // Under overload good servers time out too.
             Outcome::TimedOut if silent >= SILENT || mute => true,
             Outcome::Cancelled if given_up && silent >= SILENT => true,
-            _ => return self.upstreams.forget_gone(id),
+            _ => return self.upstreams.remove_if_gone(id),
         };
         self.judge(id, failed, outcome == Outcome::Unreachable, out);
-        self.upstreams.forget_gone(id);
+        self.upstreams.remove_if_gone(id);
     }
 
     /// Counts what a warm server has done of an attempt that has ended.
@@ -836,7 +838,7 @@
             let answered = f64::from(u8::from(outcome == Outcome::Ok));
             self.estimates
                 .observed_capacity
-                .ended(self.now, answered * self.estimates.service[sent.class.0].time);
+                .record_attempt(self.now, answered * self.estimates.classes[sent.class.0].service_time);
         }
     }
 
@@ -848,22 +850,22 @@
         let (known, warmth) = (self.remembered(server), server.warmth(self.now, &self.settings.slow_start));
         let kind = server.kind;
         let alone = latency * warmth / sent.depth;
-        let service = &mut self.estimates.service[sent.class.0];
-        let pace = alone / service.time;
+        let service = &mut self.estimates.classes[sent.class.0];
+        let pace = alone / service.service_time;
         let (seen, weight) = if answered { (pace, SMOOTH) } else { (known.max(AGEING * pace), 1.0) };
         let now = self.now;
         let answers = self.estimates.kinds.get(&kind).map_or(0.0, |kind| kind.answers);
-        self.upstreams.change(id, |upstream| {
+        self.upstreams.update(id, |upstream| {
             upstream.relative_service_time = known + weight * (seen - known);
             (upstream.estimated_at, upstream.kind_answers_at_estimate) = (now, answers);
             upstream.answered_at = if answered { now } else { upstream.answered_at };
         });
-        self.estimates.kinds.entry(kind).or_default().answered(seen, SMOOTH_ALL);
-        self.estimates.fleet.answered(seen, SMOOTH_ALL);
+        self.estimates.kinds.entry(kind).or_default().record_answer(seen, SMOOTH_ALL);
+        self.estimates.fleet.record_answer(seen, SMOOTH_ALL);
         // The median of sends that met no queue tells the service time: behind one that we underrate, answers
         // are late, and a service time learnt from them would have us refuse work that there is room for.
         if answered && sent.depth <= 1.0 {
-            service.add(alone, SMOOTH_ALL);
+            service.record_service_time(alone, SMOOTH_ALL);
         }
     }
 
@@ -891,7 +893,7 @@
             }
             (upstream.outstanding.len() - upstream.sends_after_probe, asked_at)
         };
-        let Some((ours, asked_at)) = self.upstreams.change(id, take) else { return };
+        let Some((ours, asked_at)) = self.upstreams.update(id, take) else { return };
         if let Some(time) = asked_at.map(|at| now - at) {
             let mean = self.estimates.probe_time.get_or_insert(time);
             *mean += SMOOTH * (time - *mean);
@@ -902,7 +904,7 @@
         // when many are, none is believed: each server then counts as unheard.
         if let Some(in_flight) = report.in_flight.filter(|_| ours > 1.0) {
             let late = f64::from(u8::from(in_flight + 1.0 < ours));
-            self.estimates.lateness += SMOOTH_ALL * (late - self.estimates.lateness);
+            self.estimates.late_report_share += SMOOTH_ALL * (late - self.estimates.late_report_share);
         }
         self.take_report(id, report, None);
     }
@@ -912,7 +914,7 @@
         let Some(in_flight) = sound_in_flight(&report) else { return };
         let (now, scale) = (self.now, self.scale());
         let (until, utilisation) = (now + STALE * scale, report.utilisation.filter(|u| *u >= 0.0));
-        let early = now < *self.estimates.first_at.get_or_insert(now) + settled_after(scale);
+        let early = now < *self.estimates.first_report_at.get_or_insert(now) + settled_after(scale);
         let kinds = &self.estimates.kinds;
         let take = |upstream: &mut Upstream| {
             let weight =
@@ -923,7 +925,7 @@
             upstream.kind_reports_at_report = kinds.get(&upstream.kind).map_or(0.0, |kind| kind.reports);
             upstream.kind
         };
-        let Some(kind) = self.upstreams.change(id, take) else { return };
+        let Some(kind) = self.upstreams.update(id, take) else { return };
         if let Some(utilisation) = utilisation.filter(|_| !early) {
             learn_kind(&mut self.estimates, kind, in_flight, utilisation);
         }
@@ -932,12 +934,12 @@
     /// Counts an outcome for or against a server.
     fn judge(&mut self, id: UpstreamId, failed: bool, lost: bool, out: &mut Vec<Action>) {
         // Of those that it knows: if more look bad, others are known in their place.
-        let known = self.upstreams.size(CandidateScope::Members).1;
-        let may_eject = lost || outlier_ejection::may_eject(self.upstreams.ejected(), known);
-        let (peers, luck) = (self.upstreams.failure_rate(), self.rng.rand_float());
+        let known = self.upstreams.sizes(CandidateScope::Members).1;
+        let may_eject = lost || outlier_ejection::may_eject(self.upstreams.ejected_count(), known);
+        let (peers, luck) = (self.upstreams.mean_failure_rate(), self.rng.rand_float());
         let how = (self.now, peers, may_eject, luck);
         let weigh = |u: &mut Upstream| outlier_ejection::weigh(u, failed, lost, how);
-        if let Some(said) = self.upstreams.change(id, weigh).flatten() {
+        if let Some(said) = self.upstreams.update(id, weigh).flatten() {
             out.push(Action::Log(format!("server {} is {said}", id.0)));
         }
     }
@@ -952,9 +954,9 @@
         match news {
             // Who is missing from a complete list is gone.
             ListUpdate::Restored(list) | ListUpdate::Complete(list) => {
-                self.upstreams.begin_list();
+                self.upstreams.begin_complete_list();
                 list.iter().for_each(|entry| self.list(entry));
-                self.upstreams.end_list();
+                self.upstreams.end_complete_list();
             }
             ListUpdate::Changed(list) => list.iter().for_each(|entry| self.list(entry)),
             ListUpdate::Unavailable => out.push(Action::Log("server list unavailable".to_owned())),
--- a/crates/decide/src/check_schedule.rs
+++ b/crates/decide/src/check_schedule.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use crate::api::{Action, Millis, RequestId};
-use crate::fleet::Due;
+use crate::fleet::Microseconds;
 
 /// The token of its timer. Those of requests that wait for probes are smaller but for one in 2^62.
 pub(crate) const TOKEN: u64 = u64::MAX >> 1;
@@ -14,18 +14,18 @@
 /// Requests by when they are due; one entry for each request that is held, at most.
 #[derive(Debug, Default)]
 pub(crate) struct CheckSchedule {
-    due: BTreeSet<(Due, RequestId)>,
+    due: BTreeSet<(Microseconds, RequestId)>,
     /// When the timer that is set goes off.
-    armed: Option<Due>,
+    armed: Option<Microseconds>,
 }
 
 impl CheckSchedule {
     /// Changes when a request is looked at.
     pub fn set(&mut self, request: RequestId, before: Option<Millis>, at: Option<Millis>) {
         if let Some(before) = before {
-            self.due.remove(&(Due::at(before), request));
+            self.due.remove(&(Microseconds::from_millis(before), request));
         }
-        self.due.extend(at.map(|at| (Due::at(at), request)));
+        self.due.extend(at.map(|at| (Microseconds::from_millis(at), request)));
     }
 
     /// The timer has gone off.
@@ -35,7 +35,7 @@
 
     /// One that is due.
     pub fn next(&mut self, now: Millis) -> Option<RequestId> {
-        let due = *self.due.first().filter(|(due, _)| *due <= Due::at(now + ROUNDING))?;
+        let due = *self.due.first().filter(|(due, _)| *due <= Microseconds::from_millis(now + ROUNDING))?;
         self.due.remove(&due);
         Some(due.1)
     }
@@ -46,7 +46,7 @@
             return;
         };
         self.armed = Some(*due);
-        out.push(Action::SetTimer { at: due.millis(), token: TOKEN });
+        out.push(Action::SetTimer { at: due.to_millis(), token: TOKEN });
     }
 
     /// How many are watched.
--- a/crates/decide/src/cross_zone.rs
+++ b/crates/decide/src/cross_zone.rs
@@ -145,7 +145,7 @@
         let bend_at = plan.terms(now, class).bend_at;
         let home = match reach {
             CandidateScope::All => CandidateScope::Zone(self.settings.zone),
-            CandidateScope::Members => CandidateScope::MembersIn(self.settings.zone),
+            CandidateScope::Members => CandidateScope::MembersInZone(self.settings.zone),
             _ => reach,
         };
         if plan.pays(now, class, None) {
@@ -192,7 +192,7 @@
     /// The better of two warm servers with room, where a pair was cold and neither may be sent more: others may well
     /// have room, near or, where a budget pays or bends, across.
     pub(crate) fn warm_one(&mut self, held: &PendingRequest) -> Option<Candidate> {
-        let (reach, view) = (self.reach(held)?.inside(), self.view(held));
+        let (reach, view) = (self.reach(held)?.within_subset(), self.view(held));
         let (now, class, plan) = (self.now, held.class, self.cross_zone_budget.take());
         let across =
             |to| plan.as_ref().is_none_or(|p| p.pays(now, class, Some(to)) || p.bends(BudgetExemption::Full));
--- a/crates/decide/src/estimates.rs
+++ b/crates/decide/src/estimates.rs
@@ -24,31 +24,31 @@
 #[derive(Debug, Clone)]
 pub(crate) struct ClassEstimates {
     /// Running median.
-    pub time: Millis,
+    pub service_time: Millis,
     pub samples: f64,
     /// Share of its arrivals that was refused.
-    pub refused: f64,
+    pub refused_share: f64,
     /// How long answers are expected to take where its requests go, queues and all, and how long they do take.
-    pub wait: Millis,
+    pub expected_latency: Millis,
     pub latencies: LatencyHistogram,
 }
 
 impl ClassEstimates {
     pub fn new(time: Millis) -> ClassEstimates {
         ClassEstimates {
-            time,
+            service_time: time,
             samples: 0.0,
-            refused: 0.0,
-            wait: time,
+            refused_share: 0.0,
+            expected_latency: time,
             latencies: LatencyHistogram::default(),
         }
     }
 
     /// Steps the median towards a sample, at first in larger steps.
-    pub fn add(&mut self, sample: Millis, step: f64) {
+    pub fn record_service_time(&mut self, sample: Millis, step: f64) {
         self.samples += 1.0;
-        let step = self.time * step.max(0.5 / self.samples);
-        self.time += if sample > self.time { step } else { -step };
+        let step = self.service_time * step.max(0.5 / self.samples);
+        self.service_time += if sample > self.service_time { step } else { -step };
     }
 }
 
@@ -73,9 +73,9 @@
     pub utilisation: f64,
     pub reports: f64,
     /// The fewest that one held with all cores busy: as many cores it has at most.
-    pub held_when_busy: f64,
+    pub min_saturated_in_flight: f64,
     /// Geometric running mean of its service time relative to the mean server's.
-    pub pace: f64,
+    pub relative_service_time: f64,
     pub answers: f64,
 }
 
@@ -85,8 +85,8 @@
             in_flight: 0.0,
             utilisation: 0.0,
             reports: 0.0,
-            held_when_busy: f64::INFINITY,
-            pace: 1.0,
+            min_saturated_in_flight: f64::INFINITY,
+            relative_service_time: 1.0,
             answers: 0.0,
         }
     }
@@ -94,7 +94,7 @@
 
 impl KindEstimates {
     /// Averages in a server's report, the first ones evenly.
-    pub fn reported(&mut self, in_flight: f64, utilisation: f64, step: f64) {
+    pub fn record_report(&mut self, in_flight: f64, utilisation: f64, step: f64) {
         self.reports += 1.0;
         let step = step.max(1.0 / self.reports);
         self.in_flight = typical(self.in_flight, in_flight, step);
@@ -102,23 +102,24 @@
     }
 
     /// A server holds so many while all of its cores are busy.
-    pub fn saturated(&mut self, in_flight: f64) {
-        self.held_when_busy = self.held_when_busy.min(in_flight.max(1.0));
+    pub fn record_saturated_report(&mut self, in_flight: f64) {
+        self.min_saturated_in_flight = self.min_saturated_in_flight.min(in_flight.max(1.0));
     }
 
     /// κ of its mean server, as far as it is known: while none was heard of that had a core free, what the least crowded
     /// of them held.
-    pub fn kappa(&self) -> Option<f64> {
+    pub fn capacity(&self) -> Option<f64> {
         match self.reports > 0.0 {
             true => Some(self.in_flight / self.utilisation),
-            false => Some(self.held_when_busy).filter(|held| held.is_finite()),
+            false => Some(self.min_saturated_in_flight).filter(|held| held.is_finite()),
         }
     }
 
     /// Averages in an answer's time relative to the mean server's.
-    pub fn answered(&mut self, pace: f64, step: f64) {
+    pub fn record_answer(&mut self, pace: f64, step: f64) {
         self.answers += 1.0;
-        self.pace *= (pace.max(0.01) / self.pace).powf(step.max(1.0 / (1.0 + self.answers)));
+        self.relative_service_time *=
+            (pace.max(0.01) / self.relative_service_time).powf(step.max(1.0 / (1.0 + self.answers)));
     }
 }
 
@@ -126,12 +127,12 @@
 #[derive(Debug)]
 pub(crate) struct Estimates {
     /// By class.
-    pub service: Vec<ClassEstimates>,
+    pub classes: Vec<ClassEstimates>,
     /// By kind of machine, and of all together.
     pub kinds: BTreeMap<KindId, KindEstimates>,
     pub fleet: KindEstimates,
     /// Share of the arrivals that no server had room for.
-    pub refused: f64,
+    pub refused_share: f64,
     pub retry_tokens: f64,
     /// How often servers were silent of late.
     pub unresponsive: UnresponsiveRate,
@@ -140,16 +141,16 @@
     /// Room shrinks to this share of the usual while answers are late.
     pub wait_scale: f64,
     /// Worth per service time of the mean arrival.
-    pub usual_density: Option<f64>,
+    pub mean_density: Option<f64>,
     /// Each tenant's share of our arrivals.
     pub tenant_shares: Vec<f64>,
     /// Share of the telling reports that were late.
-    pub lateness: f64,
+    pub late_report_share: f64,
     /// Mean service time of what arrives, and mean time that a probe takes.
-    pub usual_service: Option<Millis>,
+    pub mean_service_time: Option<Millis>,
     pub probe_time: Option<Millis>,
     /// When the first report came.
-    pub first_at: Option<Millis>,
+    pub first_report_at: Option<Millis>,
     /// How much of what comes is sent on.
     pub throttle: Throttle,
 }
@@ -157,36 +158,36 @@
 impl Estimates {
     pub fn new(service: Vec<ClassEstimates>, tenants: usize, retry_tokens: f64) -> Estimates {
         Estimates {
-            service,
+            classes: service,
             kinds: BTreeMap::new(),
             fleet: KindEstimates::default(),
-            refused: 0.0,
+            refused_share: 0.0,
             retry_tokens,
             unresponsive: UnresponsiveRate::default(),
             observed_capacity: ObservedCapacity::default(),
             wait_scale: 1.0,
-            usual_density: None,
+            mean_density: None,
             tenant_shares: vec![0.0; tenants],
-            lateness: 0.0,
-            usual_service: None,
+            late_report_share: 0.0,
+            mean_service_time: None,
             probe_time: None,
-            first_at: None,
+            first_report_at: None,
             throttle: Throttle::default(),
         }
     }
 
     /// Whether reports are believed.
-    pub fn believes(&self) -> bool {
-        self.lateness <= LATE
+    pub fn reports_are_trusted(&self) -> bool {
+        self.late_report_share <= LATE
     }
 
     /// κ of a server: from its own reports, which fade into those of its kind, of which so many are heard from: a small
     /// sidecar hears from one server too seldom to know it. Before any report of the kind, its listed weight and the mean
     /// of all.
-    pub fn kappa(&self, upstream: &Upstream, known: f64, now: Millis, scale: f64) -> f64 {
-        let listed = upstream.weight * self.fleet.kappa().unwrap_or(1.0);
+    pub fn capacity(&self, upstream: &Upstream, known: f64, now: Millis, scale: f64) -> f64 {
+        let listed = upstream.weight * self.fleet.capacity().unwrap_or(1.0);
         let of_kind = self.kinds.get(&upstream.kind);
-        let kind = of_kind.and_then(KindEstimates::kappa).unwrap_or(listed);
+        let kind = of_kind.and_then(KindEstimates::capacity).unwrap_or(listed);
         let reports = of_kind.map_or(0.0, |kind| kind.reports);
         let rounds = (reports - upstream.kind_reports_at_report) / known;
         let trust = upstream.capacity_samples / (upstream.capacity_samples + KIND_READINGS);
@@ -196,9 +197,9 @@
 
     /// What answers told of a server's slowness; as that is forgotten, the slowness of its kind, of which so many are heard
     /// from, takes its place.
-    pub fn slowness(&self, upstream: &Upstream, known: f64, now: Millis, scale: f64) -> f64 {
+    pub fn relative_service_time(&self, upstream: &Upstream, known: f64, now: Millis, scale: f64) -> f64 {
         let kind = self.kinds.get(&upstream.kind).filter(|kind| kind.answers > 0.0);
-        let pace = kind.unwrap_or(&self.fleet).pace;
+        let pace = kind.unwrap_or(&self.fleet).relative_service_time;
         let rounds = (kind.map_or(0.0, |kind| kind.answers) - upstream.kind_answers_at_estimate) / known;
         pace + (upstream.relative_service_time - pace) * fade(now - upstream.estimated_at, rounds, scale)
     }
@@ -215,13 +216,13 @@
         let mut kind = KindEstimates::default();
         for number in 0..200 {
             let (in_flight, utilisation) = if number % 5 == 0 { (60.0, 0.85) } else { (2.0, 0.7) };
-            kind.reported(in_flight, utilisation, 0.02);
+            kind.record_report(in_flight, utilisation, 0.02);
         }
-        let kappa = kind.kappa().expect("it was heard of");
+        let kappa = kind.capacity().expect("it was heard of");
         assert!((2.0..8.0).contains(&kappa), "{kappa}: by plain means 19");
         // One that works on many at once is as large as it says.
         let mut large = KindEstimates::default();
-        (0..200).for_each(|number| large.reported(30.0 + f64::from(number % 9), 0.5, 0.02));
-        assert!((60.0..76.0).contains(&large.kappa().expect("it was heard of")));
+        (0..200).for_each(|number| large.record_report(30.0 + f64::from(number % 9), 0.5, 0.02));
+        assert!((60.0..76.0).contains(&large.capacity().expect("it was heard of")));
     }
 }
--- a/crates/decide/src/fleet.rs
+++ b/crates/decide/src/fleet.rs
@@ -23,16 +23,16 @@
     Cell(CellId),
     /// The members of the subset, and those of them in a zone.
     Members,
-    MembersIn(ZoneId),
+    MembersInZone(ZoneId),
 }
 
 impl CandidateScope {
     /// What of it is in the subset. A cell is few servers, that hold what others do not.
-    pub fn inside(self) -> CandidateScope {
+    pub fn within_subset(self) -> CandidateScope {
         match self {
             CandidateScope::All => CandidateScope::Members,
-            CandidateScope::Zone(zone) => CandidateScope::MembersIn(zone),
-            CandidateScope::Cell(_) | CandidateScope::Members | CandidateScope::MembersIn(_) => self,
+            CandidateScope::Zone(zone) => CandidateScope::MembersInZone(zone),
+            CandidateScope::Cell(_) | CandidateScope::Members | CandidateScope::MembersInZone(_) => self,
         }
     }
 }
@@ -44,7 +44,7 @@
         CandidateScope::Zone(zone),
         CandidateScope::Cell(cell),
         CandidateScope::Members,
-        CandidateScope::MembersIn(zone),
+        CandidateScope::MembersInZone(zone),
     ]
 }
 
@@ -61,11 +61,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum WarmUpStatus {
     /// It takes what it is sent.
-    Warm,
+    WarmedUp,
     /// Its zone is out.
-    Out,
+    ZoneUnreachable,
     /// It is cold, and of its allowance a part is ours, or none.
-    Cold { ours: bool },
+    WarmingUp { owned: bool },
 }
 
 /// Servers that can be drawn from, in no order: those that take part, and those that are ejected.
@@ -104,8 +104,8 @@
     places: Option<Places>,
     /// When it is to be looked whether its last report still counts, and when it may be tried again, as they stand in
     /// the calendars.
-    heard_until: Option<Due>,
-    trial_at: Option<Due>,
+    heard_until: Option<Microseconds>,
+    trial_at: Option<Microseconds>,
     /// The last complete list that named it.
     list: u64,
 }
@@ -121,15 +121,15 @@
 
 /// A time that can be ordered: microseconds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Due(i64);
+pub(crate) struct Microseconds(i64);
 
-impl Due {
-    pub fn millis(self) -> Millis {
+impl Microseconds {
+    pub fn to_millis(self) -> Millis {
         self.0 as f64 / 1e3
     }
 
-    pub fn at(time: Millis) -> Due {
-        Due((time * 1e3) as i64)
+    pub fn from_millis(time: Millis) -> Microseconds {
+        Microseconds((time * 1e3) as i64)
     }
 }
 
@@ -156,8 +156,8 @@
     /// Never walked, so that the order of a hash decides nothing. Ids are the caller's own numbers, not outsiders'.
     by_id: FxHashMap<UpstreamId, Slot>,
     groups: FxHashMap<CandidateScope, Group>,
-    heard_until: BTreeSet<(Due, Slot)>,
-    trials: BTreeSet<(Due, Slot)>,
+    heard_until: BTreeSet<(Microseconds, Slot)>,
+    trials: BTreeSet<(Microseconds, Slot)>,
     serving: usize,
     ejected: usize,
     heard: usize,
@@ -167,7 +167,7 @@
     kinds: BTreeMap<KindId, usize>,
     lists: u64,
     /// What the looks at servers have cost so far, for the guard of the scaling.
-    pub looks: u64,
+    pub examined_count: u64,
 }
 
 impl Fleet {
@@ -193,19 +193,19 @@
             others: 0.0,
             kinds: BTreeMap::new(),
             lists: 0,
-            looks: 0,
+            examined_count: 0,
         }
     }
 
     /// Whether members have to be told anew, if so many are wanted.
-    pub fn is_settled(&self, wanted: usize, now: Millis) -> bool {
-        self.order.is_whole() || !(self.changed || wanted != self.told_for || now >= self.review_at)
+    pub fn is_subset_current(&self, wanted: usize, now: Millis) -> bool {
+        self.order.includes_all() || !(self.changed || wanted != self.told_for || now >= self.review_at)
     }
 
     /// Tells the members anew: of those that can take what they are sent, as many as are wanted, in their order; those
     /// before them that are ejected; and the cold ones of which a part is ours. One that leaves is no member, and none that
     /// others would do in place of is counted, so that what happens to members brings in others.
-    pub fn settle(
+    pub fn update_subset(
         &mut self,
         wanted: usize,
         now: Millis,
@@ -222,13 +222,13 @@
             for &(_, slot) in &order {
                 let Some(entry) = self.entries.get_mut(slot).and_then(Option::as_mut) else { continue };
                 let member = match standing(entry.id, &entry.server) {
-                    WarmUpStatus::Cold { ours } => {
+                    WarmUpStatus::WarmingUp { owned } => {
                         self.review_at = now + REVIEW;
                         cold.push(slot);
-                        ours
+                        owned
                     }
-                    WarmUpStatus::Out => left > 0,
-                    WarmUpStatus::Warm => {
+                    WarmUpStatus::ZoneUnreachable => left > 0,
+                    WarmUpStatus::WarmedUp => {
                         let before = left > 0;
                         left -= usize::from(before && entry.server.health == Health::Ready);
                         before
@@ -254,7 +254,7 @@
     }
 
     /// How servers stand has changed: members have to be told anew.
-    pub fn unsettle(&mut self) {
+    pub fn invalidate_subset(&mut self) {
         self.changed = true;
     }
 
@@ -267,21 +267,21 @@
         self.by_id.get(&id).copied()
     }
 
-    pub fn at(&self, slot: Slot) -> Option<(UpstreamId, &Upstream)> {
+    pub fn at_slot(&self, slot: Slot) -> Option<(UpstreamId, &Upstream)> {
         self.entries.get(slot)?.as_ref().map(|entry| (entry.id, &entry.server))
     }
 
     pub fn get(&self, id: UpstreamId) -> Option<&Upstream> {
-        self.at(self.slot(id)?).map(|(_, server)| server)
+        self.at_slot(self.slot(id)?).map(|(_, server)| server)
     }
 
     /// All of them, in no order that means anything.
-    pub fn all(&self) -> impl Iterator<Item = (UpstreamId, &Upstream)> {
+    pub fn iter(&self) -> impl Iterator<Item = (UpstreamId, &Upstream)> {
         self.entries.iter().flatten().map(|entry| (entry.id, &entry.server))
     }
 
     /// Changes a server, and then everything that is kept of it.
-    pub fn change<T>(&mut self, id: UpstreamId, how: impl FnOnce(&mut Upstream) -> T) -> Option<T> {
+    pub fn update<T>(&mut self, id: UpstreamId, how: impl FnOnce(&mut Upstream) -> T) -> Option<T> {
         let slot = self.slot(id)?;
         let changed = how(&mut self.entries[slot].as_mut()?.server);
         self.refresh(slot);
@@ -289,16 +289,16 @@
     }
 
     /// Servers that are listed as serving.
-    pub fn serving(&self) -> usize {
+    pub fn serving_count(&self) -> usize {
         self.serving
     }
 
-    pub fn ejected(&self) -> usize {
+    pub fn ejected_count(&self) -> usize {
         self.ejected
     }
 
     /// The mean failure rate of those that serve.
-    pub fn failure_rate(&self) -> f64 {
+    pub fn mean_failure_rate(&self) -> f64 {
         if self.serving > 0 { (self.failure_rates / self.serving as f64).max(0.0) } else { 0.0 }
     }
 
@@ -309,9 +309,9 @@
     }
 
     /// How many servers of a kind this sidecar hears from, as far as members are spread as all are.
-    pub fn known_of(&self, kind: KindId) -> f64 {
+    pub fn members_of(&self, kind: KindId) -> f64 {
         let of_kind = self.kinds.get(&kind).copied().unwrap_or(0) as f64;
-        let members = self.size(CandidateScope::Members).1 as f64;
+        let members = self.sizes(CandidateScope::Members).1 as f64;
         (of_kind * members / self.serving.max(1) as f64).max(1.0)
     }
 
@@ -336,13 +336,13 @@
     }
 
     /// How many can be drawn from within a reach: that take part, and in all.
-    pub fn size(&self, reach: CandidateScope) -> (usize, usize) {
+    pub fn sizes(&self, reach: CandidateScope) -> (usize, usize) {
         let group = self.groups.get(&reach);
         group.map_or((0, 0), |group| (group.ready.len(), group.ready.len() + group.out.len()))
     }
 
     /// Takes in what discovery says of a server.
-    pub fn list(&mut self, listing: &Listing) {
+    pub fn apply_listing(&mut self, listing: &Listing) {
         let slot = match self.slot(listing.upstream) {
             Some(slot) => slot,
             None if listing.lifecycle != Lifecycle::Serving => return,
@@ -367,12 +367,12 @@
     }
 
     /// A complete list begins.
-    pub fn begin_list(&mut self) {
+    pub fn begin_complete_list(&mut self) {
         self.lists += 1;
     }
 
     /// It has ended: who was missing from it is gone.
-    pub fn end_list(&mut self) {
+    pub fn end_complete_list(&mut self) {
         for slot in 0..self.entries.len() {
             let lists = self.lists;
             let Some(entry) = self.entries[slot].as_mut().filter(|entry| entry.list < lists) else {
@@ -385,7 +385,7 @@
     }
 
     /// Forgets a server that is gone once nothing is out on it.
-    pub fn forget_gone(&mut self, id: UpstreamId) {
+    pub fn remove_if_gone(&mut self, id: UpstreamId) {
         if let Some(slot) = self.slot(id) {
             self.forget(slot);
         }
@@ -393,13 +393,14 @@
 
     /// Lets time pass: old reports count no more, and ejected servers may be tried again.
     pub fn advance(&mut self, now: Millis) {
-        let now = Due::at(now);
+        let now = Microseconds::from_millis(now);
         while let Some(&(due, slot)) = self.heard_until.first().filter(|(due, _)| *due < now) {
             self.heard_until.remove(&(due, slot));
             if let Some(Some(entry)) = self.entries.get_mut(slot) {
                 entry.heard_until = None;
                 // One that has been heard again meanwhile gets a new entry.
-                entry.server.has_valid_report &= Due::at(entry.server.report_valid_until) >= now;
+                entry.server.has_valid_report &=
+                    Microseconds::from_millis(entry.server.report_valid_until) >= now;
             }
             self.refresh(slot);
         }
@@ -417,9 +418,9 @@
         let entry = Entry {
             id: listing.upstream,
             server: Upstream::new(listing),
-            depth: self.order.depth(listing.key, listing.weight),
+            depth: self.order.position(listing.key, listing.weight),
             side: usize::from(self.home.is_some_and(|home| home != listing.zone)),
-            member: self.order.is_whole(),
+            member: self.order.includes_all(),
             part: Part::default(),
             places: None,
             heard_until: None,
@@ -478,12 +479,14 @@
         }
         self.changed |= (part.serving, part.ejected) != (old.serving, old.ejected);
         if server.has_valid_report && entry.heard_until.is_none() {
-            let due = Due::at(server.report_valid_until);
+            let due = Microseconds::from_millis(server.report_valid_until);
             self.heard_until.insert((due, slot));
             entry.heard_until = Some(due);
         }
         let trial_at = match server.health {
-            Health::Ejected { until, .. } if server.serving && !server.is_half_open => Some(Due::at(until)),
+            Health::Ejected { until, .. } if server.serving && !server.is_half_open => {
+                Some(Microseconds::from_millis(until))
+            }
             _ => None,
         };
         if entry.trial_at != trial_at {
@@ -571,7 +574,7 @@
 impl CandidateSampler {
     /// At so many at most.
     pub fn new(fleet: &Fleet, reach: CandidateScope, all: bool) -> CandidateSampler {
-        let (ready, both) = fleet.size(reach);
+        let (ready, both) = fleet.sizes(reach);
         CandidateSampler { reach, all, next: 0, size: if all { both } else { ready }, moved: Vec::new() }
     }
 
@@ -580,7 +583,7 @@
         if self.next >= self.size {
             return None;
         }
-        fleet.looks += 1;
+        fleet.examined_count += 1;
         let drawn = rng.rand_range(self.next as u64..self.size as u64) as usize;
         let stands =
             |at: usize| self.moved.iter().find(|(place, _)| *place == at).map_or(at, |(_, who)| *who);
@@ -628,9 +631,9 @@
         assert!((fleet.others - heard().map(|entry| others(&entry.server)).sum::<f64>()).abs() < 1e-6);
         assert!((fleet.failure_rates - serving().map(|e| e.server.failure_rate).sum::<f64>()).abs() < 1e-6);
         assert_eq!(fleet.kinds.values().sum::<usize>(), all().count());
-        assert_eq!(fleet.size(CandidateScope::All).1, serving().count());
-        let zones: usize = (0..3).map(|zone| fleet.size(CandidateScope::Zone(ZoneId(zone))).1).sum();
-        let cells: usize = (0..9).map(|cell| fleet.size(CandidateScope::Cell(CellId(cell))).1).sum();
+        assert_eq!(fleet.sizes(CandidateScope::All).1, serving().count());
+        let zones: usize = (0..3).map(|zone| fleet.sizes(CandidateScope::Zone(ZoneId(zone))).1).sum();
+        let cells: usize = (0..9).map(|cell| fleet.sizes(CandidateScope::Cell(CellId(cell))).1).sum();
         assert_eq!((zones, cells), (serving().count(), serving().count()));
         for (slot, entry) in fleet.entries.iter().enumerate() {
             let Some(entry) = entry.as_ref().filter(|entry| entry.server.serving) else { continue };
@@ -653,7 +656,7 @@
     fn check_members(fleet: &Fleet, wanted: usize, now: Millis) {
         let serving = || fleet.entries.iter().flatten().filter(|entry| entry.server.serving);
         let members: Vec<&Entry> = serving().filter(|entry| entry.member).collect();
-        assert_eq!(fleet.size(CandidateScope::Members).1, members.len());
+        assert_eq!(fleet.sizes(CandidateScope::Members).1, members.len());
         assert!(members.is_empty() == (serving().count() == 0), "empty while anything is there");
         let ready = |entry: &&&Entry| entry.server.health == Health::Ready && entry.server.started.is_none();
         let (ready, all_ready) =
@@ -686,40 +689,40 @@
             fleet.advance(now);
             let id = UpstreamId(rng.rand_range(0..40));
             match rng.rand_range(0..10) {
-                0 | 1 => fleet.list(&listing(id.0, &mut rng)),
+                0 | 1 => fleet.apply_listing(&listing(id.0, &mut rng)),
                 2 if rng.rand_range(0..10) == 0 => {
-                    fleet.begin_list();
-                    (0..rng.rand_range(0..40)).for_each(|id| fleet.list(&listing(id, &mut rng)));
-                    fleet.end_list();
+                    fleet.begin_complete_list();
+                    (0..rng.rand_range(0..40)).for_each(|id| fleet.apply_listing(&listing(id, &mut rng)));
+                    fleet.end_complete_list();
                 }
                 3 | 4 => {
                     number += 1;
                     let sent = OutstandingSend { class: ClassId(0), sent: now, depth: 1.0, wait: 1.0 };
                     let serving = fleet.get(id).is_some_and(|server| server.serving);
                     if serving {
-                        fleet.change(id, |server| server.enter(number, sent));
+                        fleet.update(id, |server| server.enter(number, sent));
                     }
                 }
                 5 | 6 => {
-                    fleet.change(id, |server| {
+                    fleet.update(id, |server| {
                         let oldest = server.outstanding.oldest().map(|(number, _)| number);
                         oldest.and_then(|number| server.take(number))
                     });
-                    fleet.forget_gone(id);
+                    fleet.remove_if_gone(id);
                 }
                 7 => {
                     let (in_flight, unheard) = (rng.rand_float() * 20.0, (number + 1, 0));
-                    fleet.change(id, |server| server.reports(in_flight, now, now + 300.0, unheard));
+                    fleet.update(id, |server| server.reports(in_flight, now, now + 300.0, unheard));
                 }
                 8 => {
                     let until = now + rng.rand_float() * 500.0;
-                    fleet.change(id, |server| {
+                    fleet.update(id, |server| {
                         (server.health, server.is_half_open) = (Health::Ejected { until, wait: 1.0 }, false);
                         server.failure_rate += 0.3 * (1.0 - server.failure_rate);
                     });
                 }
                 _ => {
-                    fleet.change(id, |server| {
+                    fleet.update(id, |server| {
                         (server.health, server.is_half_open) = (Health::Ready, false);
                         server.failure_rate *= 0.5;
                     });
@@ -728,14 +731,14 @@
             if round % 7 == 0 {
                 check(&fleet);
             }
-            if round % 5 == 0 && !order.is_whole() {
+            if round % 5 == 0 && !order.includes_all() {
                 let wanted = rng.rand_range(1..30) as usize;
                 let standing = |_, server: &Upstream| match server.started {
-                    Some(_) => WarmUpStatus::Cold { ours: order.is_among(3, 9, server.key) },
-                    None => WarmUpStatus::Warm,
+                    Some(_) => WarmUpStatus::WarmingUp { owned: order.is_owner(3, 9, server.key) },
+                    None => WarmUpStatus::WarmedUp,
                 };
-                fleet.settle(wanted, now, standing);
-                assert!(fleet.is_settled(wanted, now));
+                fleet.update_subset(wanted, now, standing);
+                assert!(fleet.is_subset_current(wanted, now));
                 check_members(&fleet, wanted, now);
                 check(&fleet);
             }
@@ -748,9 +751,13 @@
         let mut rng = Rand64::new(5);
         let mut fleet = Fleet::new(ServerRanking::new(Identity::Anonymous), None);
         for id in 0..4 {
-            fleet.list(&Listing { lifecycle: Lifecycle::Serving, started: None, ..listing(id, &mut rng) });
+            fleet.apply_listing(&Listing {
+                lifecycle: Lifecycle::Serving,
+                started: None,
+                ..listing(id, &mut rng)
+            });
         }
-        fleet.change(UpstreamId(3), |server| server.health = Health::Ejected { until: 1e9, wait: 1.0 });
+        fleet.update(UpstreamId(3), |server| server.health = Health::Ejected { until: 1e9, wait: 1.0 });
         let mut first = [0; 4];
         for _ in 0..9_000 {
             let mut looks = CandidateSampler::new(&fleet, CandidateScope::All, false);
--- a/crates/decide/src/latency_outlier.rs
+++ b/crates/decide/src/latency_outlier.rs
@@ -22,7 +22,7 @@
 impl Balancer {
     /// Long enough for this attempt, short enough for another to make the aim.
     pub(crate) fn timeout(&self, held: &PendingRequest, to: Candidate) -> Millis {
-        let spare = self.aim_left(held) - RETRY_ROOM * self.estimates.service[held.class.0].time;
+        let spare = self.aim_left(held) - RETRY_ROOM * self.estimates.classes[held.class.0].service_time;
         spare.max(MUTE * self.estimates.unresponsive.crowd() * to.wait)
     }
 
@@ -45,7 +45,7 @@
         (attempts as u32) < self.settings.limits.max_attempts
             && class.effect != Effect::NonIdempotent
             && self.estimates.retry_tokens >= 1.0
-            && self.reach(held).is_some_and(|reach| self.upstreams.size(reach).1 > 1)
+            && self.reach(held).is_some_and(|reach| self.upstreams.sizes(reach).1 > 1)
     }
 
     /// What giving up an attempt of a request has to win.
@@ -61,9 +61,9 @@
         known: &AttemptEvidence,
         out: Millis,
     ) -> Option<Millis> {
-        let class = &self.estimates.service[held.class.0];
+        let class = &self.estimates.classes[held.class.0];
         let until = out + self.aim_left(held);
-        let gains = known.look_at(&class.latencies, out, until, class.wait, self.cost(held));
+        let gains = known.look_at(&class.latencies, out, until, class.expected_latency, self.cost(held));
         // When it is overdue its server is asked; and now and then from there on there may be more to go by.
         let again = (LOOKS_APART * out).max(class.latencies.overdue() * known.crowd * known.wait);
         let ask = Some(again).filter(|at| *at < until);
@@ -81,8 +81,8 @@
         };
         let attempt = AttemptNo(number as u32);
         let Some((known, taken)) = self.evidence(request, attempt) else { return };
-        let class = &self.estimates.service[held.class.0];
-        let gain = known.gain(&class.latencies, taken, self.aim_left(&held), class.wait);
+        let class = &self.estimates.classes[held.class.0];
+        let gain = known.gain(&class.latencies, taken, self.aim_left(&held), class.expected_latency);
         if gain > self.cost(&held) && self.may_go_on(&held, held.attempts.len()) {
             if let Some(this) = self.requests.get_mut(&request).and_then(|held| held.attempts.get_mut(number))
             {
@@ -114,7 +114,7 @@
         this: &OutstandingSend,
     ) -> AttemptEvidence {
         let longer = |sent: &OutstandingSend| {
-            self.estimates.service[sent.class.0].latencies.longer((self.now - sent.sent) / sent.wait)
+            self.estimates.classes[sent.class.0].latencies.longer((self.now - sent.sent) / sent.wait)
         };
         // A server answers as many at once as it has cores: of those that wait, so many tell for themselves.
         let kappa = self.kappa(upstream);
@@ -128,9 +128,10 @@
         // A queue that it has told of since explains what was not foreseen.
         let warmth = upstream.warmth(self.now, &self.settings.slow_start);
         let queue = (upstream.reported_in_flight + 1.0) / kappa;
-        let told = (upstream.reported_at > this.sent && self.estimates.believes()).then_some(queue.max(1.0));
+        let told = (upstream.reported_at > this.sent && self.estimates.reports_are_trusted())
+            .then_some(queue.max(1.0));
         let now = told.map_or(0.0, |depth| {
-            self.estimates.service[this.class.0].time * self.remembered(upstream) / warmth * depth
+            self.estimates.classes[this.class.0].service_time * self.remembered(upstream) / warmth * depth
         });
         let late =
             |sent: Millis| self.estimates.probe_time.is_some_and(|time| self.now - sent > UNANSWERED * time);
--- a/crates/decide/src/observed_capacity.rs
+++ b/crates/decide/src/observed_capacity.rs
@@ -47,7 +47,7 @@
 
 impl ObservedCapacity {
     /// An attempt at a warm server has ended, with so much work answered.
-    pub fn ended(&mut self, now: Millis, work: Millis) {
+    pub fn record_attempt(&mut self, now: Millis, work: Millis) {
         let kept = self.kept(now);
         self.answered = self.answered * kept + work;
         self.ended = self.ended * kept + 1.0;
@@ -55,7 +55,7 @@
     }
 
     /// Whether the warm servers are to be counted anew.
-    pub fn is_due(&self, now: Millis) -> bool {
+    pub fn is_review_due(&self, now: Millis) -> bool {
         now >= self.reviewed_at + REVIEW
     }
 
--- a/crates/decide/src/probe_budget.rs
+++ b/crates/decide/src/probe_budget.rs
@@ -24,12 +24,12 @@
     }
 
     /// A request has come.
-    pub fn arrived(&mut self) {
+    pub fn record_arrival(&mut self) {
         self.saved = (self.saved + self.earned).min(self.most);
     }
 
     /// Whether so many probes can be paid.
-    pub fn can(&self, probes: f64) -> bool {
+    pub fn can_afford(&self, probes: f64) -> bool {
         self.saved >= probes
     }
 
@@ -48,9 +48,9 @@
         let mut purse = ProbeBudget::new(fee);
         let mut sent = 0;
         for _ in 0..requests {
-            purse.arrived();
+            purse.record_arrival();
             for _ in 0..2 {
-                if purse.can(1.0) {
+                if purse.can_afford(1.0) {
                     purse.spend();
                     sent += 1;
                 }
--- a/crates/decide/src/query.rs
+++ b/crates/decide/src/query.rs
@@ -7,7 +7,7 @@
 impl Balancer {
     /// How many serving servers take no part in the draw now, for their failures.
     pub fn avoided(&self) -> usize {
-        let (ready, all) = self.upstreams.size(CandidateScope::All);
+        let (ready, all) = self.upstreams.sizes(CandidateScope::All);
         all - ready
     }
 
--- a/crates/decide/src/reports.rs
+++ b/crates/decide/src/reports.rs
@@ -73,10 +73,10 @@
 /// Learns what servers of its kind, and all of them, are like.
 pub(crate) fn learn_kind(seen: &mut Estimates, kind: KindId, in_flight: f64, utilisation: f64) {
     if (UTILISATION_FLOOR..SATURATED).contains(&utilisation) {
-        seen.kinds.entry(kind).or_default().reported(in_flight, utilisation, SMOOTH_ALL);
-        seen.fleet.reported(in_flight, utilisation, SMOOTH_ALL);
+        seen.kinds.entry(kind).or_default().record_report(in_flight, utilisation, SMOOTH_ALL);
+        seen.fleet.record_report(in_flight, utilisation, SMOOTH_ALL);
     } else if utilisation >= SATURATED {
-        seen.kinds.entry(kind).or_default().saturated(in_flight);
-        seen.fleet.saturated(in_flight);
+        seen.kinds.entry(kind).or_default().record_saturated_report(in_flight);
+        seen.fleet.record_saturated_report(in_flight);
     }
 }
--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -198,7 +198,7 @@
 
     /// Tells sidecars apart by their names: this is the one of this name, whatever number it may have.
     pub fn named(mut self, name: &str) -> Config {
-        self.named = Some(subset::key(name));
+        self.named = Some(subset::name_key(name));
         self
     }
 
--- a/crates/decide/src/slow_start.rs
+++ b/crates/decide/src/slow_start.rs
@@ -49,21 +49,21 @@
     }
 
     /// How a server stands for this sidecar.
-    pub(crate) fn standing(&self, server: &Upstream) -> WarmUpStatus {
+    pub(crate) fn warm_up_status(&self, server: &Upstream) -> WarmUpStatus {
         if self.outages.is_out(server.zone) {
-            return WarmUpStatus::Out;
+            return WarmUpStatus::ZoneUnreachable;
         }
         if server.warmth(self.now, &self.settings.slow_start) >= 1.0 {
-            return WarmUpStatus::Warm;
+            return WarmUpStatus::WarmedUp;
         }
         let owners = self.owners(server);
-        WarmUpStatus::Cold { ours: self.ranking.is_among(owners, self.settings.sidecars, server.key) }
+        WarmUpStatus::WarmingUp { owned: self.ranking.is_owner(owners, self.settings.sidecars, server.key) }
     }
 
     /// How many sidecars share a cold server's allowance: so few that a part of it comes to whole requests.
     fn owners(&self, upstream: &Upstream) -> u32 {
-        let classes = &self.estimates.service;
-        let mean = classes.iter().map(|class| class.time).sum::<f64>() / classes.len().max(1) as f64;
+        let classes = &self.estimates.classes;
+        let mean = classes.iter().map(|class| class.service_time).sum::<f64>() / classes.len().max(1) as f64;
         let saved = COLD_SAVED * self.allowance(upstream) * self.settings.slow_start.overload_window;
         let whole = (saved / mean.max(1.0)).max(f64::from(OWNERS)).min(f64::from(u32::MAX >> 1));
         // In steps that all take alike, however differently they estimate.
@@ -80,28 +80,28 @@
         let sharers = match self.settings.identity {
             Identity::Anonymous => sidecars,
             // One that others own is known only where hardly anything is warm, and then perhaps to all.
-            _ if !self.ranking.is_among(self.owners(upstream), self.settings.sidecars, upstream.key) => {
+            _ if !self.ranking.is_owner(self.owners(upstream), self.settings.sidecars, upstream.key) => {
                 2.0 * sidecars
             }
             // In an upgrade there are two of each.
             Identity::Ranked { count, .. } => {
-                self.ranking.at_most(self.owners(upstream)).min(sidecars)
+                self.ranking.max_owners(self.owners(upstream)).min(sidecars)
                     * (sidecars / f64::from(count)).max(1.0)
             }
-            Identity::Named(_) => self.ranking.at_most(self.owners(upstream)).min(sidecars),
+            Identity::Named(_) => self.ranking.max_owners(self.owners(upstream)).min(sidecars),
         };
         let (allowance, cost) =
-            (self.allowance(upstream) / sharers, self.estimates.service[class.0].time.max(1.0));
+            (self.allowance(upstream) / sharers, self.estimates.classes[class.0].service_time.max(1.0));
         let saved = COLD_SAVED * allowance * self.settings.slow_start.overload_window;
         Some(Part { rate: COLD_RATE * allowance, saved, cost })
     }
 
     /// Whether its amount allows a cold server one more. Where that is a chance, it is one of `share` at most.
-    pub(crate) fn affords(&mut self, to: &Candidate, class: ClassId, share: f64) -> bool {
+    pub(crate) fn try_spend_allowance(&mut self, to: &Candidate, class: ClassId, share: f64) -> bool {
         let Some(part) = self.part(to, class) else { return false };
         let (now, luck, whole) = (self.now, self.rng.rand_float(), part.is_whole());
         // Owners are few, and count what they send: chance adds nothing to that.
-        let share = if whole && !self.ranking.is_whole() { 1.0 } else { share };
+        let share = if whole && !self.ranking.includes_all() { 1.0 } else { share };
         let spend = |upstream: &mut Upstream| {
             let credit = (upstream.slow_start_credit + part.rate * (now - upstream.slow_start_credit_at))
                 .min(part.saved);
@@ -111,15 +111,15 @@
             (upstream.slow_start_credit, upstream.slow_start_credit_at) = (credit - spent * part.cost, now);
             won
         };
-        self.upstreams.change(to.id, spend).unwrap_or(false)
+        self.upstreams.update(to.id, spend).unwrap_or(false)
     }
 
     /// A cold server with room that may be sent one more, where neither of a pair may and no warm one has room: near
     /// ones first where crossing has a fee, in random order. Only where parts come to whole requests: what is counted
     /// keeps to the allowance however many come, what is left to chance does not.
-    pub(crate) fn cold_one(&mut self, held: &PendingRequest) -> Option<Candidate> {
-        let (reach, view) = (self.reach(held)?.inside(), self.view(held));
-        let home = CandidateScope::MembersIn(self.settings.zone);
+    pub(crate) fn find_warming_up_server(&mut self, held: &PendingRequest) -> Option<Candidate> {
+        let (reach, view) = (self.reach(held)?.within_subset(), self.view(held));
+        let home = CandidateScope::MembersInZone(self.settings.zone);
         let near = (reach == CandidateScope::Members && view.same_zone_limit != 0.0).then_some(home);
         for reach in near.into_iter().chain([reach]) {
             let mut looks = CandidateSampler::new(&self.upstreams, reach, false);
@@ -131,7 +131,10 @@
                     continue;
                 };
                 let counted = self.part(&cold, held.class).is_some_and(|part| part.is_whole());
-                if counted && self.may_cross(held.class, &cold) && self.affords(&cold, held.class, 1.0) {
+                if counted
+                    && self.may_cross(held.class, &cold)
+                    && self.try_spend_allowance(&cold, held.class, 1.0)
+                {
                     return Some(Candidate {
                         exemption: Some(BudgetExemption::Full).filter(|_| !cold.same_zone),
                         ..cold
--- a/crates/decide/src/snapshot.rs
+++ b/crates/decide/src/snapshot.rs
@@ -81,19 +81,19 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SnapshotError {
     /// It is of other classes or tenants.
-    Other,
+    DifferentClassesOrTenants,
     /// It has more entries than there may be.
-    Long,
+    TooManyEntries,
     /// A figure in it is absurd.
-    Absurd(&'static str),
+    ImplausibleValue(&'static str),
 }
 
 impl fmt::Display for SnapshotError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SnapshotError::Other => write!(f, "it is of other classes or tenants"),
-            SnapshotError::Long => write!(f, "it has more entries than there may be"),
-            SnapshotError::Absurd(what) => write!(f, "its {what} is absurd"),
+            SnapshotError::DifferentClassesOrTenants => write!(f, "it is of other classes or tenants"),
+            SnapshotError::TooManyEntries => write!(f, "it has more entries than there may be"),
+            SnapshotError::ImplausibleValue(what) => write!(f, "its {what} is absurd"),
         }
     }
 }
@@ -117,7 +117,7 @@
 }
 
 fn check(sound: bool, what: &'static str) -> Result<(), SnapshotError> {
-    if sound { Ok(()) } else { Err(SnapshotError::Absurd(what)) }
+    if sound { Ok(()) } else { Err(SnapshotError::ImplausibleValue(what)) }
 }
 
 impl ServerSnapshot {
@@ -177,7 +177,8 @@
 
 impl KindSnapshot {
     fn of(kind: &KindEstimates) -> KindSnapshot {
-        let KindEstimates { in_flight, utilisation, reports, pace, answers, .. } = *kind;
+        let KindEstimates { in_flight, utilisation, reports, relative_service_time: pace, answers, .. } =
+            *kind;
         KindSnapshot { in_flight, utilisation, reports: reports.min(MOST), pace, answers: answers.min(MOST) }
     }
 
@@ -190,7 +191,14 @@
 
     fn kind(&self) -> KindEstimates {
         let KindSnapshot { in_flight, utilisation, reports, pace, answers } = *self;
-        KindEstimates { in_flight, utilisation, reports, pace, answers, ..KindEstimates::default() }
+        KindEstimates {
+            in_flight,
+            utilisation,
+            reports,
+            relative_service_time: pace,
+            answers,
+            ..KindEstimates::default()
+        }
     }
 }
 
@@ -199,10 +207,10 @@
     fn check(&self, classes: usize, tenants: usize) -> Result<(), SnapshotError> {
         let all = &self.all;
         if all.classes.len() != classes || all.tenant_shares.len() != tenants {
-            return Err(SnapshotError::Other);
+            return Err(SnapshotError::DifferentClassesOrTenants);
         }
         if self.servers.len() > MOST_SERVERS || all.kinds.len() > MOST_KINDS {
-            return Err(SnapshotError::Long);
+            return Err(SnapshotError::TooManyEntries);
         }
         self.servers.iter().try_for_each(|(_, server)| server.check())?;
         for (time, samples, refused) in &all.classes {
@@ -222,25 +230,29 @@
 
 impl Balancer {
     /// What has been learnt up to now.
-    pub fn memory(&self, now: Millis) -> Snapshot {
+    pub fn snapshot(&self, now: Millis) -> Snapshot {
         let (seen, now) = (&self.estimates, now.max(self.now));
         let age = |at: Millis| (now - at).clamp(0.0, MOST);
         Snapshot {
-            servers: self.upstreams.all().map(|(id, u)| (id.0, ServerSnapshot::of(u, now))).collect(),
+            servers: self.upstreams.iter().map(|(id, u)| (id.0, ServerSnapshot::of(u, now))).collect(),
             all: SharedSnapshot {
-                classes: seen.service.iter().map(|s| (s.time, s.samples.min(MOST), s.refused)).collect(),
+                classes: seen
+                    .classes
+                    .iter()
+                    .map(|s| (s.service_time, s.samples.min(MOST), s.refused_share))
+                    .collect(),
                 kinds: seen.kinds.iter().map(|(id, kind)| (id.0, KindSnapshot::of(kind))).collect(),
                 fleet: KindSnapshot::of(&seen.fleet),
-                refused: seen.refused,
+                refused: seen.refused_share,
                 // Two may retry now, as often as one.
                 retry_tokens: (seen.retry_tokens / 2.0).max(0.0),
                 room_scale: seen.wait_scale,
-                usual_density: seen.usual_density,
+                usual_density: seen.mean_density,
                 tenant_shares: seen.tenant_shares.clone(),
-                lateness: seen.lateness,
-                usual_service: seen.usual_service,
+                lateness: seen.late_report_share,
+                usual_service: seen.mean_service_time,
                 probe_time: seen.probe_time,
-                first: seen.first_at.map(age),
+                first: seen.first_report_at.map(age),
             },
         }
     }
@@ -249,32 +261,32 @@
     ///
     /// # Errors
     /// It is of other classes or tenants, or a figure in it is absurd: then nothing of it is taken.
-    pub fn remember(&mut self, now: Millis, memory: &Snapshot) -> Result<(), SnapshotError> {
-        memory.check(self.estimates.service.len(), self.estimates.tenant_shares.len())?;
+    pub fn restore(&mut self, now: Millis, memory: &Snapshot) -> Result<(), SnapshotError> {
+        memory.check(self.estimates.classes.len(), self.estimates.tenant_shares.len())?;
         self.now = self.now.max(now);
         let now = self.now;
         for (id, server) in &memory.servers {
-            self.upstreams.change(UpstreamId(*id), |upstream| server.restore(upstream, now));
+            self.upstreams.update(UpstreamId(*id), |upstream| server.restore(upstream, now));
         }
         let (all, seen) = (&memory.all, &mut self.estimates);
         let service = |(time, samples, refused): &(f64, f64, f64)| ClassEstimates {
-            time: *time,
+            service_time: *time,
             samples: *samples,
-            refused: *refused,
+            refused_share: *refused,
             ..ClassEstimates::new(*time)
         };
-        seen.service = all.classes.iter().map(service).collect();
+        seen.classes = all.classes.iter().map(service).collect();
         seen.kinds = all.kinds.iter().map(|(id, kind)| (KindId(*id), kind.kind())).collect();
         seen.fleet = all.fleet.kind();
-        seen.refused = all.refused;
+        seen.refused_share = all.refused;
         seen.retry_tokens = all.retry_tokens.min(seen.retry_tokens);
         seen.wait_scale = all.room_scale;
-        seen.usual_density = all.usual_density;
+        seen.mean_density = all.usual_density;
         seen.tenant_shares.clone_from(&all.tenant_shares);
-        seen.lateness = all.lateness;
-        seen.usual_service = all.usual_service;
+        seen.late_report_share = all.lateness;
+        seen.mean_service_time = all.usual_service;
         seen.probe_time = all.probe_time;
-        seen.first_at = all.first.map(|age| now - age);
+        seen.first_report_at = all.first.map(|age| now - age);
         Ok(())
     }
 }
--- a/crates/decide/src/subset.rs
+++ b/crates/decide/src/subset.rs
@@ -16,7 +16,7 @@
 }
 
 /// The key of a name: FNV-1a, mixed. It must stay what it is: two versions of the program have to agree on it.
-pub fn key(name: &str) -> u64 {
+pub fn name_key(name: &str) -> u64 {
     let fnv = |sum: u64, byte: u8| (sum ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01B3);
     mix(name.bytes().fold(0xCBF2_9CE4_8422_2325, fnv))
 }
@@ -50,7 +50,7 @@
     }
 
     /// Whether it knows all servers, whatever comes.
-    pub fn is_whole(&self) -> bool {
+    pub fn includes_all(&self) -> bool {
         self.identity == Identity::Anonymous
     }
 
@@ -73,14 +73,14 @@
     }
 
     /// How early it takes a server in: the least first. Those of twice the weight are known to twice as many.
-    pub fn depth(&self, key: u64, weight: f64) -> u64 {
+    pub fn position(&self, key: u64, weight: f64) -> u64 {
         let steps = weight.max(f64::MIN_POSITIVE).ln() / WEIGHT_STEP.ln();
         let weight = WEIGHT_STEP.powf(steps.round().clamp(-WEIGHT_STEPS, WEIGHT_STEPS));
         (self.place(key) / weight * (1u64 << 40) as f64) as u64
     }
 
     /// Whether it is one of so many that stand first for a server, of so many in all.
-    pub fn is_among(&self, first: u32, sidecars: u32, key: u64) -> bool {
+    pub fn is_owner(&self, first: u32, sidecars: u32, key: u64) -> bool {
         match self.identity {
             Identity::Anonymous => true,
             Identity::Named(_) => self.place(key) * f64::from(sidecars.max(1)) < f64::from(first),
@@ -89,7 +89,7 @@
     }
 
     /// How many there may be in earnest where so many are meant to be: hashes keep to that on the mean only.
-    pub fn at_most(&self, first: u32) -> f64 {
+    pub fn max_owners(&self, first: u32) -> f64 {
         let first = f64::from(first);
         if matches!(self.identity, Identity::Named(_)) { first + BY_CHANCE * first.sqrt() } else { first }
     }
@@ -132,7 +132,7 @@
 
 impl SubsetSize {
     /// A request has come.
-    pub fn arrived(&mut self, now: Millis) {
+    pub fn record_arrival(&mut self, now: Millis) {
         let since = (now - self.at).max(0.0);
         for (rate, over) in self.rates.iter_mut().zip(TRAFFIC_OVER) {
             *rate = *rate * (-since / over).exp() + 1.0 / over;
@@ -148,7 +148,7 @@
     }
 
     /// How many it is to know of so many servers, where there are so many sidecars.
-    pub fn wanted(&mut self, now: Millis, servers: usize, sidecars: u32) -> usize {
+    pub fn target(&mut self, now: Millis, servers: usize, sidecars: u32) -> usize {
         if now >= self.reviewed_at + NARROW_EVERY {
             self.reviewed_at = now;
             self.review(servers);
@@ -188,7 +188,7 @@
     fn orders(sidecars: u32, ranked: bool) -> Vec<ServerRanking> {
         let identity = |rank| match ranked {
             true => Identity::Ranked { rank, count: sidecars },
-            false => Identity::Named(key(&format!("sidecar-{rank}"))),
+            false => Identity::Named(name_key(&format!("sidecar-{rank}"))),
         };
         (0..sidecars).map(|rank| ServerRanking::new(identity(rank))).collect()
     }
@@ -196,7 +196,7 @@
     /// What a sidecar knows of servers with these keys, where it has little traffic.
     fn members(order: &ServerRanking, keys: &[u64], size: usize) -> Vec<usize> {
         let mut by_depth: Vec<(u64, usize)> =
-            keys.iter().enumerate().map(|(at, key)| (order.depth(*key, 1.0), at)).collect();
+            keys.iter().enumerate().map(|(at, key)| (order.position(*key, 1.0), at)).collect();
         if size < by_depth.len() {
             by_depth.select_nth_unstable(size);
         }
@@ -224,7 +224,7 @@
             let keys: Vec<u64> = (0..servers as u64).map(mix).collect();
             let whole = unevenness(&[(0..servers).collect()], servers);
             for ranked in [true, false] {
-                let size = SubsetSize::default().wanted(0.0, servers, sidecars);
+                let size = SubsetSize::default().target(0.0, servers, sidecars);
                 let known: Vec<Vec<usize>> =
                     orders(sidecars, ranked).iter().map(|order| members(order, &keys, size)).collect();
                 let uneven = unevenness(&known, servers);
@@ -245,7 +245,7 @@
             [(300, 200, true), (300, 200, false), (50, 1_000, true), (1_000, 30, true)]
         {
             let keys: Vec<u64> = (0..servers as u64 + 1).map(mix).collect();
-            let size = SubsetSize::default().wanted(0.0, servers, sidecars);
+            let size = SubsetSize::default().target(0.0, servers, sidecars);
             let (mut pairs, mut moved) = (0, 0);
             for order in orders(sidecars, ranked) {
                 let [mut with, mut without] =
@@ -266,7 +266,7 @@
         for sidecars in [1, 2, 7, 48, 300, 307] {
             let (ranked, named) = (orders(sidecars, true), orders(sidecars, false));
             let owners = |orders: &[ServerRanking], key: u64| {
-                orders.iter().filter(|order| order.is_among(4, sidecars, key)).count() as f64
+                orders.iter().filter(|order| order.is_owner(4, sidecars, key)).count() as f64
             };
             let mut all = 0.0;
             for server in 0..500 {
@@ -275,7 +275,7 @@
                 all += count;
                 let named = owners(&named, mix(server));
                 assert!(
-                    named <= ServerRanking::new(Identity::Named(1)).at_most(4) + 3.0,
+                    named <= ServerRanking::new(Identity::Named(1)).max_owners(4) + 3.0,
                     "{named} of {sidecars}"
                 );
             }
@@ -296,7 +296,7 @@
             let mut by_depth: Vec<(u64, usize)> = keys
                 .iter()
                 .enumerate()
-                .map(|(at, key)| (order.depth(*key, if at < 20 { 4.0 } else { 1.0 }), at))
+                .map(|(at, key)| (order.position(*key, if at < 20 { 4.0 } else { 1.0 }), at))
                 .collect();
             by_depth.sort_unstable();
             by_depth.iter().take(16).for_each(|(_, at)| known[usize::from(*at >= 20)] += 1);
@@ -308,40 +308,41 @@
     #[test]
     fn size_follows_traffic_at_once_upwards_and_slowly_down() {
         let mut size = SubsetSize::default();
-        let quiet = size.wanted(0.0, 200, 300);
+        let quiet = size.target(0.0, 200, 300);
         assert_eq!(quiet, LEAST as usize, "one that has seen nothing yet");
         let mut now = 0.0;
         for _ in 0..1_000 {
             now += 2.0;
-            size.arrived(now);
+            size.record_arrival(now);
         }
-        let busy = size.wanted(now, 200, 300);
+        let busy = size.target(now, 200, 300);
         assert!(busy >= 150, "500 a second for 2 s: {busy}");
-        assert!(size.wanted(now + 1_000.0, 200, 300) > 60, "a pause of a second is no lull");
-        assert_eq!(size.wanted(now + 300_000.0, 200, 300), quiet);
-        assert_eq!(size.wanted(now, 3, 300), 3, "no more than there are");
-        assert_eq!(size.wanted(now + 300_000.0, 0, 300), 0);
+        assert!(size.target(now + 1_000.0, 200, 300) > 60, "a pause of a second is no lull");
+        assert_eq!(size.target(now + 300_000.0, 200, 300), quiet);
+        assert_eq!(size.target(now, 3, 300), 3, "no more than there are");
+        assert_eq!(size.target(now + 300_000.0, 0, 300), 0);
     }
 
     #[test]
     fn it_widens_at_once_and_narrows_slowly() {
         let mut size = SubsetSize::default();
-        let least = size.wanted(0.0, 200, 300);
+        let least = size.target(0.0, 200, 300);
         (0..20).for_each(|_| size.widen());
-        let wide = size.wanted(0.0, 200, 300);
+        let wide = size.target(0.0, 200, 300);
         assert!(wide >= least + 20, "{wide}");
         size.review(200);
         size.review(200);
-        assert!(size.wanted(0.0, 200, 300) > least + 10, "not at once");
+        assert!(size.target(0.0, 200, 300) > least + 10, "not at once");
         (0..200).for_each(|_| size.review(200));
-        assert_eq!(size.wanted(0.0, 200, 300), least);
+        assert_eq!(size.target(0.0, 200, 300), least);
     }
 
     #[test]
     fn keys_are_what_they_were() {
-        assert_eq!(key(""), mix(0xCBF2_9CE4_8422_2325));
-        assert_ne!(key("s-1"), key("s-2"));
-        let [a, b] = [(); 2].map(|()| ServerRanking::new(Identity::Named(key("n3"))).depth(key("s-1"), 1.0));
+        assert_eq!(name_key(""), mix(0xCBF2_9CE4_8422_2325));
+        assert_ne!(name_key("s-1"), name_key("s-2"));
+        let [a, b] = [(); 2]
+            .map(|()| ServerRanking::new(Identity::Named(name_key("n3"))).position(name_key("s-1"), 1.0));
         assert_eq!(a, b, "the same after a restart, and in both processes of an upgrade");
     }
 }
--- a/crates/decide/src/upload.rs
+++ b/crates/decide/src/upload.rs
@@ -19,7 +19,7 @@
         if in_progress {
             // What has passed cannot be sent again, so that nothing is won by giving it up.
             self.watch_no_more(request);
-            let sent = self.upstreams.change(id, |upstream| upstream.take(number)).flatten();
+            let sent = self.upstreams.update(id, |upstream| upstream.take(number)).flatten();
             // Twice is once.
             self.uploads.extend(sent.map(|sent| (key, (sent, now))));
             return;
@@ -29,7 +29,7 @@
         self.next_send += 1;
         let entered = self
             .upstreams
-            .change(id, |upstream| upstream.enter(number, OutstandingSend { sent: now, ..sent }));
+            .update(id, |upstream| upstream.enter(number, OutstandingSend { sent: now, ..sent }));
         match entered {
             Some(()) => drop(self.sends.insert(key, (number, id))),
             // It was forgotten meanwhile, as gone.
--- a/crates/decide/src/zone_outage.rs
+++ b/crates/decide/src/zone_outage.rs
@@ -86,7 +86,7 @@
         for zone in self.outages.due(self.now, luck) {
             let mut looks = CandidateSampler::new(&self.upstreams, CandidateScope::Zone(zone), true);
             let slot = looks.next(&mut self.upstreams, &mut self.rng);
-            match slot.and_then(|slot| self.upstreams.at(slot)) {
+            match slot.and_then(|slot| self.upstreams.at_slot(slot)) {
                 Some((id, _)) if self.settings.limits.probes => self.probe(id, out),
                 // Nobody is left to ask, or requests have to ask.
                 _ => self.zone_lives(zone),
@@ -101,7 +101,7 @@
             Outcome::Unreachable => {
                 let Some(zone) = self.upstreams.get(id).map(|upstream| upstream.zone) else { return };
                 self.outages.lost(zone, id, self.now);
-                self.upstreams.unsettle();
+                self.upstreams.invalidate_subset();
             }
             Outcome::TimedOut | Outcome::Cancelled | Outcome::Reset | Outcome::NotSent => {}
         }
@@ -116,7 +116,7 @@
 
     fn zone_lives(&mut self, zone: ZoneId) {
         if self.outages.lives(zone) {
-            self.upstreams.unsettle();
+            self.upstreams.invalidate_subset();
         }
     }
 
@@ -126,7 +126,7 @@
         if entry.started.is_some() && entry.started > known {
             self.zone_lives(entry.zone);
         }
-        self.upstreams.list(entry);
+        self.upstreams.apply_listing(entry);
     }
 }
 
--- a/crates/decide/tests/many_sidecars.rs
+++ b/crates/decide/tests/many_sidecars.rs
@@ -12,7 +12,9 @@
 const SIDECARS: u32 = 1_200;
 
 fn listings() -> Vec<Listing> {
-    (0..SERVERS).map(|id| Listing { key: subset::key(&format!("server-{id:04}")), ..listing(id) }).collect()
+    (0..SERVERS)
+        .map(|id| Listing { key: subset::name_key(&format!("server-{id:04}")), ..listing(id) })
+        .collect()
 }
 
 fn settings_of(identity: Identity, sidecars: u32) -> Settings {
@@ -47,7 +49,7 @@
 /// Where sidecars have names only, chance leaves out e^-8 of the servers on the mean, 0.4 of 1,200.
 #[test]
 fn hardly_a_server_is_unknown_to_all_named_sidecars() {
-    let (known_by, largest) = known_by(|rank| Identity::Named(subset::key(&format!("sidecar-{rank}"))));
+    let (known_by, largest) = known_by(|rank| Identity::Named(subset::name_key(&format!("sidecar-{rank}"))));
     let unknown = known_by.iter().filter(|sidecars| **sidecars == 0).count();
     assert!(unknown <= 2, "{unknown} of {SERVERS} servers are known to nobody");
     assert!(largest < 20, "{largest} servers known to one sidecar");
--- a/crates/decide/tests/memory.rs
+++ b/crates/decide/tests/memory.rs
@@ -89,13 +89,13 @@
 fn a_successor_knows_what_was_learnt_whatever_its_clock_says() {
     for (start, at) in [(0.0, 7.0), (50_000.0, 3.0), (0.0, 9e6)] {
         let (module, now) = taught(start, 5);
-        let memory = module.memory(now);
+        let memory = module.snapshot(now);
         let mut next = successor(9, at);
-        next.remember(at, &memory).expect("its own memory is sound");
+        next.restore(at, &memory).expect("its own memory is sound");
         // Retries saved up are halved each time they are told.
         let mut halved = serde_json::to_value(&memory).unwrap();
         halved["all"]["retry_tokens"] = (halved["all"]["retry_tokens"].as_f64().unwrap() / 2.0).into();
-        assert_same(&serde_json::from_value(halved).unwrap(), &next.memory(at));
+        assert_same(&serde_json::from_value(halved).unwrap(), &next.snapshot(at));
         assert_eq!(next.avoided(), module.avoided());
         assert!(next.avoided() > 0, "the third is out");
     }
@@ -115,7 +115,7 @@
         out.iter().filter(|a| matches!(a, Action::Send { upstream: UpstreamId(3), .. })).count()
     };
     let mut next = successor(9, 100.0);
-    next.remember(100.0, &module.memory(now)).unwrap();
+    next.restore(100.0, &module.snapshot(now)).unwrap();
     assert_eq!(sent_to_third(&mut next, 100.0), 0);
     assert!(sent_to_third(&mut successor(9, 100.0), 100.0) > 0, "one that knows nothing tries it");
 }
@@ -132,8 +132,8 @@
         let list = vec![cold, listing(2), listing(3)];
         module.handle(0.0, Event::ListReceived(ListUpdate::Complete(list.clone())), &mut Vec::new());
         if inherits {
-            let memory = module.memory(0.0);
-            module.remember(0.0, &memory).unwrap();
+            let memory = module.snapshot(0.0);
+            module.restore(0.0, &memory).unwrap();
         }
         let (mut sent, mut out, mut busy) = (0, Vec::new(), Vec::new());
         for number in 0..1_500_u64 {
@@ -178,9 +178,9 @@
 #[test]
 fn absurd_memories_are_not_believed_and_leave_nothing() {
     let (module, now) = taught(0.0, 5);
-    let sound = serde_json::to_value(module.memory(now)).unwrap();
+    let sound = serde_json::to_value(module.snapshot(now)).unwrap();
     let mut next = successor(9, 0.0);
-    let before = next.memory(0.0);
+    let before = next.snapshot(0.0);
     let absurd = [
         ("/servers/0/1/slowness", serde_json::json!(0.0)),
         ("/servers/1/1/slowness", serde_json::json!(1e300)),
@@ -203,9 +203,9 @@
         let mut broken = sound.clone();
         *broken.pointer_mut(path).unwrap_or_else(|| panic!("{path}")) = value;
         let broken: Snapshot = serde_json::from_value(broken).unwrap();
-        assert!(next.remember(0.0, &broken).is_err(), "{path}");
-        assert_eq!(next.memory(0.0), before, "{path}: nothing of it is taken");
+        assert!(next.restore(0.0, &broken).is_err(), "{path}");
+        assert_eq!(next.snapshot(0.0), before, "{path}: nothing of it is taken");
     }
     let sound: Snapshot = serde_json::from_value(sound).unwrap();
-    assert!(next.remember(0.0, &sound).is_ok());
+    assert!(next.restore(0.0, &sound).is_ok());
 }
--- a/crates/sidecar/src/driver.rs
+++ b/crates/sidecar/src/driver.rs
@@ -522,7 +522,7 @@
 
     /// What a successor goes on from.
     fn estate(&self) -> Estate {
-        let Snapshot { servers, all } = self.module.memory(self.millis(Instant::now()));
+        let Snapshot { servers, all } = self.module.snapshot(self.millis(Instant::now()));
         let known = servers.into_iter().filter_map(|(id, memory)| {
             let host = &self.servers.get(UpstreamId(id))?.host;
             Some(Known { host: host.host.clone(), born_ms: host.born_ms, memory })
@@ -537,7 +537,7 @@
         let memory = estate.memory(|host, born| self.servers.number(host, born).map(|id| id.0));
         let now = self.millis(Instant::now());
         let learnt = match estate.names == Names::of(&self.settings) {
-            true => self.module.remember(now, &memory).map_err(|fault| fault.to_string()),
+            true => self.module.restore(now, &memory).map_err(|fault| fault.to_string()),
             false => Err("the settings name other things".to_owned()),
         };
         let count = self.servers.count();
--- a/crates/sidecar/src/handover/message.rs
+++ b/crates/sidecar/src/handover/message.rs
@@ -122,7 +122,7 @@
         let settings: SettingsObject = serde_json::from_str(SETTINGS).unwrap();
         let mut module = Balancer::new(settings.settings(), 1);
         module.handle(5.0, Event::ListReceived(ListUpdate::Complete(Vec::new())), &mut Vec::new());
-        let Snapshot { all, .. } = module.memory(5.0);
+        let Snapshot { all, .. } = module.snapshot(5.0);
         Estate { names: Names::of(&settings), list: HostList::default(), all, servers: Vec::new() }
     }
 
@@ -169,7 +169,7 @@
                 if let Ok(Message::Estate(estate)) = Message::read(&noise) {
                     let settings: SettingsObject = serde_json::from_str(SETTINGS).unwrap();
                     let _ =
-                        Balancer::new(settings.settings(), 1).remember(0.0, &estate.memory(|_, _| Some(1)));
+                        Balancer::new(settings.settings(), 1).restore(0.0, &estate.memory(|_, _| Some(1)));
                 }
             }
         }
--- a/crates/sidecar/src/servers.rs
+++ b/crates/sidecar/src/servers.rs
@@ -123,7 +123,7 @@
             lifecycle,
             weight: host.share,
             started,
-            key: subset::key(&host.host),
+            key: subset::name_key(&host.host),
         };
         let server = self.by_id.entry(id).or_insert_with(|| Server {
             host: host.clone(),
