--- a/crates/decide/src/fleet.rs
+++ b/crates/decide/src/fleet.rs
@@ -1,6 +1,8 @@
-//! The servers by id, and what the module needs of all of them: who may be drawn, by zone and by cell, who is a member of
-//! this sidecar's subset, and sums. All of it is kept as servers change, so that nothing asked here costs more where there
-//! are more of them; only members are told anew by a walk over all, when a server or the size has changed.
+//! All servers that discovery has listed, by id, with what decisions need of the whole fleet: the servers
+//! that may be sampled (by zone, by cell and by subset), the members of this sidecar's subset, and totals.
+//! Everything is updated as single servers change, so that a query costs the same for any number of servers.
+//! Only the update of the subset walks over all servers; it runs when a server or the subset's target size
+//! has changed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,22 +14,24 @@
 use crate::state::{FleetMeans, Health, Upstream};
 use crate::subset::ServerRanking;
 
-/// A server's place in memory while it is known.
+/// Index of a server in [`Fleet`], valid until the server is removed.
 pub(crate) type Slot = usize;
 
-/// Whom a request may go to, by what may have run already.
+/// A set of servers that candidates are sampled from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum CandidateScope {
     All,
     Zone(ZoneId),
     Cell(CellId),
-    /// The members of the subset, and those of them in a zone.
+    /// The members of the subset.
     Members,
+    /// The members of the subset in one zone.
     MembersInZone(ZoneId),
 }
 
 impl CandidateScope {
-    /// What of it is in the subset. A cell is few servers, that hold what others do not.
+    /// The scope reduced to members of the subset. A cell stays whole: it has few servers, and only they know
+    /// its keys.
     pub fn within_subset(self) -> CandidateScope {
         match self {
             CandidateScope::All => CandidateScope::Members,
@@ -37,8 +41,9 @@
     }
 }
 
-/// The groups that a server can stand in.
-fn groups(zone: ZoneId, cell: CellId) -> [CandidateScope; 5] {
+/// All scopes that a server of this zone and cell can belong to. The first [`SCOPES_OF_NON_MEMBERS`] do not
+/// depend on membership.
+fn scopes(zone: ZoneId, cell: CellId) -> [CandidateScope; 5] {
     [
         CandidateScope::All,
         CandidateScope::Zone(zone),
@@ -48,78 +53,81 @@
     ]
 }
 
-/// So many of them hold servers that are no members, too.
-const OF_ALL: usize = 3;
-/// While servers warm up, what a cold one may be sent and by whom is looked at this often.
-const REVIEW: Millis = 250.0;
-/// Where crossing costs, this share of the size is known of other zones.
-const ACROSS: f64 = 0.5;
-/// No size leaves fewer members than two to draw from, where there are two.
-const PAIR: usize = 2;
+const SCOPES_OF_NON_MEMBERS: usize = 3;
+/// Interval between updates of the subset while servers warm up: their allowances and the number of their
+/// owners grow.
+const WARM_UP_REVIEW_INTERVAL: Millis = 250.0;
+/// Where cross-zone traffic has a cost, the number of members in other zones as a share of the target size.
+const CROSS_ZONE_MEMBER_SHARE: f64 = 0.5;
+/// Members that may receive requests, where that many servers exist: a pair to choose from.
+const MIN_MEMBERS: usize = 2;
 
-/// Who is a member while it warms up: how a server stands for this sidecar.
+/// How a server counts for the subset of this sidecar.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum WarmUpStatus {
-    /// It takes what it is sent.
+    /// It has its full capacity.
     WarmedUp,
-    /// Its zone is out.
+    /// Its zone is unreachable.
     ZoneUnreachable,
-    /// It is cold, and of its allowance a part is ours, or none.
+    /// It is in slow start; `owned` tells whether this sidecar has a share of its allowance.
     WarmingUp { owned: bool },
 }
 
-/// Servers that can be drawn from, in no order: those that take part, and those that are ejected.
+/// The servers of one scope, in arbitrary order. Half-open servers are among the ready ones.
 #[derive(Debug, Default)]
 struct Group {
     ready: Vec<Slot>,
-    out: Vec<Slot>,
+    ejected: Vec<Slot>,
 }
 
 impl Group {
-    fn side(&mut self, ready: bool) -> &mut Vec<Slot> {
-        if ready { &mut self.ready } else { &mut self.out }
+    fn slots_mut(&mut self, is_ready: bool) -> &mut Vec<Slot> {
+        if is_ready { &mut self.ready } else { &mut self.ejected }
     }
 }
 
-/// What one server adds to the sums.
+/// One server's part of the fleet's totals.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-struct Part {
+struct Contribution {
     serving: bool,
     ejected: bool,
-    heard: bool,
+    has_valid_report: bool,
     failure_rate: f64,
-    others: f64,
+    log_other_in_flight: f64,
 }
 
 #[derive(Debug)]
 struct Entry {
     id: UpstreamId,
     server: Upstream,
-    /// How early it is taken into the subset, on which side, and whether it is.
-    depth: u64,
-    side: usize,
-    member: bool,
-    part: Part,
-    /// Where it stands in the groups of all, of its zone and of its cell, and on which side; `None` if in none.
-    places: Option<Places>,
-    /// When it is to be looked whether its last report still counts, and when it may be tried again, as they stand in
-    /// the calendars.
-    heard_until: Option<Microseconds>,
-    trial_at: Option<Microseconds>,
-    /// The last complete list that named it.
-    list: u64,
+    /// Position in this sidecar's ranking, as in [`ServerRanking::position`].
+    position: u64,
+    /// Index into [`Fleet::ranked`].
+    locality: usize,
+    is_member: bool,
+    contribution: Contribution,
+    /// `None` while the server is in no group.
+    placement: Option<Placement>,
+    /// As entered in [`Fleet::report_expiries`].
+    report_expires_at: Option<Microseconds>,
+    /// As entered in [`Fleet::half_open_times`].
+    half_open_at: Option<Microseconds>,
+    /// Number of the last complete list that named the server.
+    last_list: u64,
 }
 
+/// Where a server is entered in the groups.
 #[derive(Debug, Clone, Copy)]
-struct Places {
-    at: [usize; 5],
+struct Placement {
+    /// Index in the group of each of the [`scopes`].
+    indices: [usize; 5],
     zone: ZoneId,
     cell: CellId,
-    ready: bool,
-    member: bool,
+    is_ready: bool,
+    is_member: bool,
 }
 
-/// A time that can be ordered: microseconds.
+/// A time as an integer, so that it can be an ordered key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Microseconds(i64);
 
@@ -133,134 +141,148 @@
     }
 }
 
-/// What a server holds of others, as its logarithm: who hears of a few servers, one of them in a jam, would take all others
-/// for jammed by the plain mean, and refuse what they have room for.
-fn others(server: &Upstream) -> f64 {
+/// Logarithm of the number of requests that other sidecars have in flight at a server. Its mean is a
+/// geometric mean: with a plain mean, one congested server among the few that have reported would make all
+/// others look congested, and requests that they have capacity for would be refused.
+fn log_other_in_flight(server: &Upstream) -> f64 {
     (server.reported_in_flight - server.outstanding.len() as f64).max(0.0).ln_1p()
 }
 
-/// All known servers.
+/// All servers that are listed, or that still have attempts in flight.
 #[derive(Debug)]
 pub(crate) struct Fleet {
-    order: ServerRanking,
-    /// The zone that is cheap to reach, where it matters.
-    home: Option<ZoneId>,
-    /// Those that serve, in the order in which they are taken in: at home, and elsewhere.
-    sides: [BTreeSet<(u64, Slot)>; 2],
-    /// For which size members were told last, when they have to be again at the latest, and whether at once.
-    told_for: usize,
-    review_at: Millis,
-    changed: bool,
+    ranking: ServerRanking,
+    /// This sidecar's zone, where cross-zone traffic has a cost.
+    home_zone: Option<ZoneId>,
+    /// Serving servers in ranking order: those of the home zone (or all, without one), then those of other
+    /// zones.
+    ranked: [BTreeSet<(u64, Slot)>; 2],
+    /// Target size at the last update of the subset.
+    subset_target: usize,
+    /// When the subset has to be updated at the latest.
+    subset_review_at: Millis,
+    /// Whether servers have changed so that the subset has to be updated.
+    subset_outdated: bool,
     entries: Vec<Option<Entry>>,
-    free: Vec<Slot>,
-    /// Never walked, so that the order of a hash decides nothing. Ids are the caller's own numbers, not outsiders'.
+    free_slots: Vec<Slot>,
+    /// Never iterated, so that no decision depends on hash order. Ids are assigned by the caller, never by
+    /// outsiders.
     by_id: FxHashMap<UpstreamId, Slot>,
     groups: FxHashMap<CandidateScope, Group>,
-    heard_until: BTreeSet<(Microseconds, Slot)>,
-    trials: BTreeSet<(Microseconds, Slot)>,
+    /// When servers' last reports expire.
+    report_expiries: BTreeSet<(Microseconds, Slot)>,
+    /// When ejected servers become half-open.
+    half_open_times: BTreeSet<(Microseconds, Slot)>,
     serving: usize,
     ejected: usize,
-    heard: usize,
-    failure_rates: f64,
-    others: f64,
-    /// By kind of machine, how many there are.
-    kinds: BTreeMap<KindId, usize>,
-    lists: u64,
-    /// What the looks at servers have cost so far, for the guard of the scaling.
+    /// Serving servers with a valid report.
+    reporting: usize,
+    failure_rate_sum: f64,
+    log_other_in_flight_sum: f64,
+    kind_counts: BTreeMap<KindId, usize>,
+    /// Complete lists received so far.
+    list_count: u64,
+    /// Candidates examined so far: the cost of sampling, for tests of scaling.
     pub examined_count: u64,
 }
 
 impl Fleet {
-    /// No server is known yet. Where crossing has a fee, most members are of the zone that is home.
-    pub fn new(order: ServerRanking, home: Option<ZoneId>) -> Fleet {
+    /// An empty fleet. With a home zone, most members are taken from it.
+    pub fn new(ranking: ServerRanking, home_zone: Option<ZoneId>) -> Fleet {
         Fleet {
-            order,
-            home,
-            sides: Default::default(),
-            told_for: 0,
-            review_at: f64::INFINITY,
-            changed: false,
+            ranking,
+            home_zone,
+            ranked: Default::default(),
+            subset_target: 0,
+            subset_review_at: f64::INFINITY,
+            subset_outdated: false,
             entries: Vec::new(),
-            free: Vec::new(),
+            free_slots: Vec::new(),
             by_id: FxHashMap::default(),
             groups: FxHashMap::default(),
-            heard_until: BTreeSet::new(),
-            trials: BTreeSet::new(),
+            report_expiries: BTreeSet::new(),
+            half_open_times: BTreeSet::new(),
             serving: 0,
             ejected: 0,
-            heard: 0,
-            failure_rates: 0.0,
-            others: 0.0,
-            kinds: BTreeMap::new(),
-            lists: 0,
+            reporting: 0,
+            failure_rate_sum: 0.0,
+            log_other_in_flight_sum: 0.0,
+            kind_counts: BTreeMap::new(),
+            list_count: 0,
             examined_count: 0,
         }
     }
 
-    /// Whether members have to be told anew, if so many are wanted.
-    pub fn is_subset_current(&self, wanted: usize, now: Millis) -> bool {
-        self.order.includes_all() || !(self.changed || wanted != self.told_for || now >= self.review_at)
+    /// Whether the subset needs no update for this target size.
+    pub fn is_subset_current(&self, target: usize, now: Millis) -> bool {
+        self.ranking.includes_all()
+            || !(self.subset_outdated || target != self.subset_target || now >= self.subset_review_at)
     }
 
-    /// Tells the members anew: of those that can take what they are sent, as many as are wanted, in their order; those
-    /// before them that are ejected; and the cold ones of which a part is ours. One that leaves is no member, and none that
-    /// others would do in place of is counted, so that what happens to members brings in others.
+    /// Determines the members again: serving servers in ranking order until the target number of them is
+    /// ready, warmed up and reachable, and every warming-up server that this sidecar owns. Members that are
+    /// ejected or in an unreachable zone do not count towards the target, so that others compensate for them.
     pub fn update_subset(
         &mut self,
-        wanted: usize,
+        target: usize,
         now: Millis,
-        standing: impl Fn(UpstreamId, &Upstream) -> WarmUpStatus,
+        status: impl Fn(UpstreamId, &Upstream) -> WarmUpStatus,
     ) {
-        (self.changed, self.told_for, self.review_at) = (false, wanted, f64::INFINITY);
-        // What there is too little of at home is made up for elsewhere.
-        let mut short = 0;
-        let across = if self.home.is_some() { (ACROSS * wanted as f64).ceil() as usize } else { 0 };
-        for (side, wanted) in [wanted, across].into_iter().enumerate() {
-            let wanted = if side == 0 || self.home.is_none() { wanted } else { wanted.max(short) };
-            let order = std::mem::take(&mut self.sides[side]);
-            let (mut left, mut cold) = (wanted, Vec::new());
-            for &(_, slot) in &order {
+        (self.subset_outdated, self.subset_target, self.subset_review_at) = (false, target, f64::INFINITY);
+        // Members that the home zone lacks are taken from other zones.
+        let mut missing_at_home = 0;
+        let cross_zone_target = if self.home_zone.is_some() {
+            (CROSS_ZONE_MEMBER_SHARE * target as f64).ceil() as usize
+        } else {
+            0
+        };
+        for (locality, target) in [target, cross_zone_target].into_iter().enumerate() {
+            let target =
+                if locality == 0 || self.home_zone.is_none() { target } else { target.max(missing_at_home) };
+            let ranked = std::mem::take(&mut self.ranked[locality]);
+            let (mut missing, mut warming_up) = (target, Vec::new());
+            for &(_, slot) in &ranked {
                 let Some(entry) = self.entries.get_mut(slot).and_then(Option::as_mut) else { continue };
-                let member = match standing(entry.id, &entry.server) {
+                let is_member = match status(entry.id, &entry.server) {
                     WarmUpStatus::WarmingUp { owned } => {
-                        self.review_at = now + REVIEW;
-                        cold.push(slot);
+                        self.subset_review_at = now + WARM_UP_REVIEW_INTERVAL;
+                        warming_up.push(slot);
                         owned
                     }
-                    WarmUpStatus::ZoneUnreachable => left > 0,
+                    WarmUpStatus::ZoneUnreachable => missing > 0,
                     WarmUpStatus::WarmedUp => {
-                        let before = left > 0;
-                        left -= usize::from(before && entry.server.health == Health::Ready);
-                        before
+                        let is_member = missing > 0;
+                        missing -= usize::from(is_member && entry.server.health == Health::Ready);
+                        is_member
                     }
                 };
-                if member != entry.member {
-                    entry.member = member;
+                if is_member != entry.is_member {
+                    entry.is_member = is_member;
                     self.refresh(slot);
                 }
             }
-            short = left;
-            // Where hardly anything is warm somebody has to know what has just started.
-            let few = wanted.min(PAIR).saturating_sub(wanted - left);
-            for slot in cold.into_iter().take(few) {
+            missing_at_home = missing;
+            // With too few warmed-up members, servers that are warming up become members whoever owns them.
+            let extra = target.min(MIN_MEMBERS).saturating_sub(target - missing);
+            for slot in warming_up.into_iter().take(extra) {
                 if let Some(entry) = self.entries[slot].as_mut() {
-                    entry.member = true;
+                    entry.is_member = true;
                 }
                 self.refresh(slot);
             }
-            self.sides[side] = order;
+            self.ranked[locality] = ranked;
         }
-        self.changed = false;
+        self.subset_outdated = false;
     }
 
-    /// How servers stand has changed: members have to be told anew.
+    /// Has the subset updated at the next request, because the status of servers has changed.
     pub fn invalidate_subset(&mut self) {
-        self.changed = true;
+        self.subset_outdated = true;
     }
 
-    /// Whether this sidecar knows a server now.
+    /// Whether a server is in this sidecar's subset.
     pub fn is_member(&self, id: UpstreamId) -> bool {
-        self.slot(id).and_then(|slot| self.entries[slot].as_ref()).is_some_and(|entry| entry.member)
+        self.slot(id).and_then(|slot| self.entries[slot].as_ref()).is_some_and(|entry| entry.is_member)
     }
 
     pub fn slot(&self, id: UpstreamId) -> Option<Slot> {
@@ -275,139 +297,143 @@
         self.at_slot(self.slot(id)?).map(|(_, server)| server)
     }
 
-    /// All of them, in no order that means anything.
+    /// All servers, in arbitrary order.
     pub fn iter(&self) -> impl Iterator<Item = (UpstreamId, &Upstream)> {
         self.entries.iter().flatten().map(|entry| (entry.id, &entry.server))
     }
 
-    /// Changes a server, and then everything that is kept of it.
-    pub fn update<T>(&mut self, id: UpstreamId, how: impl FnOnce(&mut Upstream) -> T) -> Option<T> {
+    /// Changes a server, then its groups, its deadlines and the totals accordingly.
+    pub fn update<T>(&mut self, id: UpstreamId, change: impl FnOnce(&mut Upstream) -> T) -> Option<T> {
         let slot = self.slot(id)?;
-        let changed = how(&mut self.entries[slot].as_mut()?.server);
+        let result = change(&mut self.entries[slot].as_mut()?.server);
         self.refresh(slot);
-        Some(changed)
+        Some(result)
     }
 
-    /// Servers that are listed as serving.
+    /// The number of servers that are listed as serving.
     pub fn serving_count(&self) -> usize {
         self.serving
     }
 
+    /// The number of serving servers that are ejected, half-open ones included.
     pub fn ejected_count(&self) -> usize {
         self.ejected
     }
 
-    /// The mean failure rate of those that serve.
+    /// Mean failure rate of the serving servers.
     pub fn mean_failure_rate(&self) -> f64 {
-        if self.serving > 0 { (self.failure_rates / self.serving as f64).max(0.0) } else { 0.0 }
+        if self.serving > 0 { (self.failure_rate_sum / self.serving as f64).max(0.0) } else { 0.0 }
     }
 
-    /// Means over those that were heard of late: geometric, so that they tell what a server is likely to hold.
+    /// Geometric means over servers with a valid report, as estimates for a server without one.
     pub fn means(&self) -> FleetMeans {
-        let mean = if self.heard > 0 { self.others / self.heard as f64 } else { 0.0 };
+        let mean =
+            if self.reporting > 0 { self.log_other_in_flight_sum / self.reporting as f64 } else { 0.0 };
         FleetMeans { in_flight: mean.max(0.0).exp_m1() }
     }
 
-    /// How many servers of a kind this sidecar hears from, as far as members are spread as all are.
+    /// The expected number of members of a kind of machine, at least 1: members are assumed to be spread over
+    /// kinds as all servers are.
     pub fn members_of(&self, kind: KindId) -> f64 {
-        let of_kind = self.kinds.get(&kind).copied().unwrap_or(0) as f64;
+        let of_kind = self.kind_counts.get(&kind).copied().unwrap_or(0) as f64;
         let members = self.sizes(CandidateScope::Members).1 as f64;
         (of_kind * members / self.serving.max(1) as f64).max(1.0)
     }
 
+    /// Whether any server is of this kind of machine.
     pub fn has_kind(&self, kind: KindId) -> bool {
-        self.kinds.contains_key(&kind)
+        self.kind_counts.contains_key(&kind)
     }
 
-    /// All servers that take part and have warmed up, members or not.
-    pub fn warm_servers(&self, now: Millis, safety: &SlowStartLimits) -> WarmServers {
+    /// Total weight and mean utilisation of all ready servers that have warmed up, members or not.
+    pub fn warm_servers(&self, now: Millis, limits: &SlowStartLimits) -> WarmServers {
         let serving = self.entries.iter().flatten().filter(|entry| entry.server.serving);
         let ready = serving.filter(|entry| entry.server.health == Health::Ready);
-        let warm = ready.filter(|entry| entry.server.warmth(now, safety) >= 1.0);
-        let (mut weight, mut reports, mut utilisations) = (0.0, 0.0, 0.0);
-        for entry in warm {
+        let warmed_up = ready.filter(|entry| entry.server.warmth(now, limits) >= 1.0);
+        let (mut weight, mut reports, mut utilisation_sum) = (0.0, 0.0, 0.0);
+        for entry in warmed_up {
             weight += entry.server.weight;
             if let Some(utilisation) = entry.server.utilisation.filter(|_| entry.server.has_valid_report) {
                 reports += 1.0;
-                utilisations += utilisation;
+                utilisation_sum += utilisation;
             }
         }
-        WarmServers { weight, utilisation: if reports > 0.0 { utilisations / reports } else { 1.0 } }
+        WarmServers { weight, utilisation: if reports > 0.0 { utilisation_sum / reports } else { 1.0 } }
     }
 
-    /// How many can be drawn from within a reach: that take part, and in all.
-    pub fn sizes(&self, reach: CandidateScope) -> (usize, usize) {
-        let group = self.groups.get(&reach);
-        group.map_or((0, 0), |group| (group.ready.len(), group.ready.len() + group.out.len()))
+    /// The number of servers within a scope: those that are ready or half-open, and all of them.
+    pub fn sizes(&self, scope: CandidateScope) -> (usize, usize) {
+        let group = self.groups.get(&scope);
+        group.map_or((0, 0), |group| (group.ready.len(), group.ready.len() + group.ejected.len()))
     }
 
-    /// Takes in what discovery says of a server.
+    /// Takes over discovery's entry of one server. A server that is unknown and not serving is ignored.
     pub fn apply_listing(&mut self, listing: &Listing) {
         let slot = match self.slot(listing.upstream) {
             Some(slot) => slot,
             None if listing.lifecycle != Lifecycle::Serving => return,
             None => self.add(listing),
         };
-        let side = usize::from(self.home.is_some_and(|home| home != listing.zone));
+        let locality = usize::from(self.home_zone.is_some_and(|home| home != listing.zone));
         let Some(entry) = self.entries[slot].as_mut() else { return };
-        entry.list = self.lists;
-        let before = entry.server.kind;
-        self.changed |= entry.server.started != listing.started;
+        entry.last_list = self.list_count;
+        let old_kind = entry.server.kind;
+        self.subset_outdated |= entry.server.started != listing.started;
         entry.server.relist(listing);
-        if entry.side != side {
-            self.sides[entry.side].remove(&(entry.depth, slot));
-            entry.side = side;
+        if entry.locality != locality {
+            self.ranked[entry.locality].remove(&(entry.position, slot));
+            entry.locality = locality;
         }
-        if before != listing.kind {
-            self.uncount(before);
-            *self.kinds.entry(listing.kind).or_default() += 1;
+        if old_kind != listing.kind {
+            self.decrement_kind(old_kind);
+            *self.kind_counts.entry(listing.kind).or_default() += 1;
         }
         self.refresh(slot);
-        self.forget(slot);
+        self.remove_slot_if_gone(slot);
     }
 
-    /// A complete list begins.
+    /// Starts a complete list; its entries follow with [`Fleet::apply_listing`].
     pub fn begin_complete_list(&mut self) {
-        self.lists += 1;
+        self.list_count += 1;
     }
 
-    /// It has ended: who was missing from it is gone.
+    /// Ends a complete list: servers that it did not name serve no more.
     pub fn end_complete_list(&mut self) {
         for slot in 0..self.entries.len() {
-            let lists = self.lists;
-            let Some(entry) = self.entries[slot].as_mut().filter(|entry| entry.list < lists) else {
+            let list = self.list_count;
+            let Some(entry) = self.entries[slot].as_mut().filter(|entry| entry.last_list < list) else {
                 continue;
             };
             entry.server.serving = false;
             self.refresh(slot);
-            self.forget(slot);
+            self.remove_slot_if_gone(slot);
         }
     }
 
-    /// Forgets a server that is gone once nothing is out on it.
+    /// Removes a server that is not serving and has no attempts in flight.
     pub fn remove_if_gone(&mut self, id: UpstreamId) {
         if let Some(slot) = self.slot(id) {
-            self.forget(slot);
+            self.remove_slot_if_gone(slot);
         }
     }
 
-    /// Lets time pass: old reports count no more, and ejected servers may be tried again.
+    /// Lets reports expire and ejected servers become half-open that are due by `now`.
     pub fn advance(&mut self, now: Millis) {
         let now = Microseconds::from_millis(now);
-        while let Some(&(due, slot)) = self.heard_until.first().filter(|(due, _)| *due < now) {
-            self.heard_until.remove(&(due, slot));
+        while let Some(&(due, slot)) = self.report_expiries.first().filter(|(due, _)| *due < now) {
+            self.report_expiries.remove(&(due, slot));
             if let Some(Some(entry)) = self.entries.get_mut(slot) {
-                entry.heard_until = None;
-                // One that has been heard again meanwhile gets a new entry.
+                entry.report_expires_at = None;
+                // A newer report is still valid; `refresh` then enters its own expiry.
                 entry.server.has_valid_report &=
                     Microseconds::from_millis(entry.server.report_valid_until) >= now;
             }
             self.refresh(slot);
         }
-        while let Some(&(due, slot)) = self.trials.first().filter(|(due, _)| *due <= now) {
-            self.trials.remove(&(due, slot));
+        while let Some(&(due, slot)) = self.half_open_times.first().filter(|(due, _)| *due <= now) {
+            self.half_open_times.remove(&(due, slot));
             if let Some(Some(entry)) = self.entries.get_mut(slot) {
-                entry.trial_at = None;
+                entry.half_open_at = None;
                 entry.server.is_half_open = true;
             }
             self.refresh(slot);
@@ -418,17 +444,17 @@
         let entry = Entry {
             id: listing.upstream,
             server: Upstream::new(listing),
-            depth: self.order.position(listing.key, listing.weight),
-            side: usize::from(self.home.is_some_and(|home| home != listing.zone)),
-            member: self.order.includes_all(),
-            part: Part::default(),
-            places: None,
-            heard_until: None,
-            trial_at: None,
-            list: self.lists,
+            position: self.ranking.position(listing.key, listing.weight),
+            locality: usize::from(self.home_zone.is_some_and(|home| home != listing.zone)),
+            is_member: self.ranking.includes_all(),
+            contribution: Contribution::default(),
+            placement: None,
+            report_expires_at: None,
+            half_open_at: None,
+            last_list: self.list_count,
         };
-        *self.kinds.entry(listing.kind).or_default() += 1;
-        let slot = self.free.pop().unwrap_or(self.entries.len());
+        *self.kind_counts.entry(listing.kind).or_default() += 1;
+        let slot = self.free_slots.pop().unwrap_or(self.entries.len());
         if slot == self.entries.len() {
             self.entries.push(None);
         }
@@ -437,165 +463,170 @@
         slot
     }
 
-    fn forget(&mut self, slot: Slot) {
-        let gone = |entry: &Entry| !entry.server.serving && entry.server.outstanding.is_empty();
-        let Some(entry) = self.entries[slot].take_if(|entry| gone(entry)) else { return };
-        // One that does not serve is in no group, adds nothing and has no trial; its report may still be in time.
-        if let Some(due) = entry.heard_until {
-            self.heard_until.remove(&(due, slot));
+    fn remove_slot_if_gone(&mut self, slot: Slot) {
+        let is_gone = |entry: &Entry| !entry.server.serving && entry.server.outstanding.is_empty();
+        let Some(entry) = self.entries[slot].take_if(|entry| is_gone(entry)) else { return };
+        // A server that is not serving is in no group, no total and not in `half_open_times`.
+        if let Some(due) = entry.report_expires_at {
+            self.report_expiries.remove(&(due, slot));
         }
-        self.sides[entry.side].remove(&(entry.depth, slot));
+        self.ranked[entry.locality].remove(&(entry.position, slot));
         self.by_id.remove(&entry.id);
-        self.uncount(entry.server.kind);
-        self.free.push(slot);
+        self.decrement_kind(entry.server.kind);
+        self.free_slots.push(slot);
     }
 
-    fn uncount(&mut self, kind: KindId) {
-        if let Some(count) = self.kinds.get_mut(&kind) {
+    fn decrement_kind(&mut self, kind: KindId) {
+        if let Some(count) = self.kind_counts.get_mut(&kind) {
             *count -= 1;
             if *count == 0 {
-                self.kinds.remove(&kind);
+                self.kind_counts.remove(&kind);
             }
         }
     }
 
-    /// Brings sums, groups and calendars into line with one server.
+    /// Brings totals, ranking, groups and deadlines into line with one server.
     fn refresh(&mut self, slot: Slot) {
         let Some(Some(entry)) = self.entries.get_mut(slot) else { return };
         let server = &entry.server;
-        let heard = server.serving && server.has_valid_report;
-        let part = Part {
+        let has_valid_report = server.serving && server.has_valid_report;
+        let new = Contribution {
             serving: server.serving,
             ejected: server.serving && server.health != Health::Ready,
-            heard,
+            has_valid_report,
             failure_rate: if server.serving { server.failure_rate } else { 0.0 },
-            others: if heard { others(server) } else { 0.0 },
+            log_other_in_flight: if has_valid_report { log_other_in_flight(server) } else { 0.0 },
         };
-        let old = std::mem::replace(&mut entry.part, part);
-        if part.serving {
-            self.sides[entry.side].insert((entry.depth, slot));
+        let old = std::mem::replace(&mut entry.contribution, new);
+        if new.serving {
+            self.ranked[entry.locality].insert((entry.position, slot));
         } else {
-            self.sides[entry.side].remove(&(entry.depth, slot));
+            self.ranked[entry.locality].remove(&(entry.position, slot));
         }
-        self.changed |= (part.serving, part.ejected) != (old.serving, old.ejected);
-        if server.has_valid_report && entry.heard_until.is_none() {
+        self.subset_outdated |= (new.serving, new.ejected) != (old.serving, old.ejected);
+        if server.has_valid_report && entry.report_expires_at.is_none() {
             let due = Microseconds::from_millis(server.report_valid_until);
-            self.heard_until.insert((due, slot));
-            entry.heard_until = Some(due);
+            self.report_expiries.insert((due, slot));
+            entry.report_expires_at = Some(due);
         }
-        let trial_at = match server.health {
+        let half_open_at = match server.health {
             Health::Ejected { until, .. } if server.serving && !server.is_half_open => {
                 Some(Microseconds::from_millis(until))
             }
             _ => None,
         };
-        if entry.trial_at != trial_at {
-            if let Some(due) = entry.trial_at {
-                self.trials.remove(&(due, slot));
+        if entry.half_open_at != half_open_at {
+            if let Some(due) = entry.half_open_at {
+                self.half_open_times.remove(&(due, slot));
             }
-            self.trials.extend(trial_at.map(|due| (due, slot)));
-            entry.trial_at = trial_at;
+            self.half_open_times.extend(half_open_at.map(|due| (due, slot)));
+            entry.half_open_at = half_open_at;
         }
-        let ready = server.health == Health::Ready || server.is_half_open;
-        let (wanted, zone, cell, member) = (server.serving, server.zone, server.cell, entry.member);
-        let in_place = match entry.places {
-            Some(Places { zone: z, cell: c, ready: r, member: m, .. }) => {
-                wanted && (z, c, r, m) == (zone, cell, ready, member)
+        let is_ready = server.health == Health::Ready || server.is_half_open;
+        let (serving, zone, cell, is_member) = (server.serving, server.zone, server.cell, entry.is_member);
+        let is_placed = match entry.placement {
+            Some(placed) => {
+                serving
+                    && (placed.zone, placed.cell, placed.is_ready, placed.is_member)
+                        == (zone, cell, is_ready, is_member)
             }
-            None => !wanted,
+            None => !serving,
         };
-        if !in_place {
-            self.leave(slot);
-            if wanted {
-                self.enter(slot, zone, cell, ready, member);
+        if !is_placed {
+            self.leave_groups(slot);
+            if serving {
+                self.enter_groups(slot, zone, cell, is_ready, is_member);
             }
         }
-        let count = |sum: &mut usize, old: bool, new: bool| {
-            *sum = *sum + usize::from(new) - usize::from(old);
+        let recount = |total: &mut usize, old: bool, new: bool| {
+            *total = *total + usize::from(new) - usize::from(old);
         };
-        count(&mut self.serving, old.serving, part.serving);
-        count(&mut self.ejected, old.ejected, part.ejected);
-        count(&mut self.heard, old.heard, part.heard);
-        self.failure_rates += part.failure_rate - old.failure_rate;
-        self.others += part.others - old.others;
-        // Nothing adds up to nothing, whatever rounding has left.
-        if self.heard == 0 {
-            self.others = 0.0;
+        recount(&mut self.serving, old.serving, new.serving);
+        recount(&mut self.ejected, old.ejected, new.ejected);
+        recount(&mut self.reporting, old.has_valid_report, new.has_valid_report);
+        self.failure_rate_sum += new.failure_rate - old.failure_rate;
+        self.log_other_in_flight_sum += new.log_other_in_flight - old.log_other_in_flight;
+        // An empty sum is exactly 0: rounding errors must not accumulate.
+        if self.reporting == 0 {
+            self.log_other_in_flight_sum = 0.0;
         }
         if self.serving == 0 {
-            self.failure_rates = 0.0;
+            self.failure_rate_sum = 0.0;
         }
     }
 
-    fn enter(&mut self, slot: Slot, zone: ZoneId, cell: CellId, ready: bool, member: bool) {
-        let mut at = [0; 5];
-        let count = if member { at.len() } else { OF_ALL };
-        for (place, reach) in at.iter_mut().zip(groups(zone, cell)).take(count) {
-            let side = self.groups.entry(reach).or_default().side(ready);
-            side.push(slot);
-            *place = side.len() - 1;
+    fn enter_groups(&mut self, slot: Slot, zone: ZoneId, cell: CellId, is_ready: bool, is_member: bool) {
+        let mut indices = [0; 5];
+        let count = if is_member { indices.len() } else { SCOPES_OF_NON_MEMBERS };
+        for (index, scope) in indices.iter_mut().zip(scopes(zone, cell)).take(count) {
+            let slots = self.groups.entry(scope).or_default().slots_mut(is_ready);
+            slots.push(slot);
+            *index = slots.len() - 1;
         }
         if let Some(Some(entry)) = self.entries.get_mut(slot) {
-            entry.places = Some(Places { at, zone, cell, ready, member });
+            entry.placement = Some(Placement { indices, zone, cell, is_ready, is_member });
         }
     }
 
-    fn leave(&mut self, slot: Slot) {
+    fn leave_groups(&mut self, slot: Slot) {
         let Some(Some(entry)) = self.entries.get_mut(slot) else { return };
-        let Some(Places { at, zone, cell, ready, member }) = entry.places.take() else { return };
-        let count = if member { at.len() } else { OF_ALL };
-        for (number, reach) in groups(zone, cell).into_iter().enumerate().take(count) {
-            let Some(group) = self.groups.get_mut(&reach) else { continue };
-            let side = group.side(ready);
-            side.swap_remove(at[number]);
-            let moved = side.get(at[number]).copied();
-            if group.ready.is_empty() && group.out.is_empty() {
-                self.groups.remove(&reach);
+        let Some(placement) = entry.placement.take() else { return };
+        let Placement { indices, zone, cell, is_ready, is_member } = placement;
+        let count = if is_member { indices.len() } else { SCOPES_OF_NON_MEMBERS };
+        for (number, scope) in scopes(zone, cell).into_iter().enumerate().take(count) {
+            let Some(group) = self.groups.get_mut(&scope) else { continue };
+            let slots = group.slots_mut(is_ready);
+            slots.swap_remove(indices[number]);
+            let moved = slots.get(indices[number]).copied();
+            if group.ready.is_empty() && group.ejected.is_empty() {
+                self.groups.remove(&scope);
             }
-            let moved = moved.and_then(|moved| self.entries[moved].as_mut()?.places.as_mut());
-            if let Some(places) = moved {
-                places.at[number] = at[number];
+            let moved = moved.and_then(|moved| self.entries[moved].as_mut()?.placement.as_mut());
+            if let Some(placement) = moved {
+                placement.indices[number] = indices[number];
             }
         }
     }
 }
 
-/// Looks at the members of a group in random order, each at most once.
+/// Visits the servers of a scope in random order, each at most once.
 pub(crate) struct CandidateSampler {
-    reach: CandidateScope,
-    /// Whether at the ejected as well.
-    all: bool,
-    next: usize,
+    scope: CandidateScope,
+    include_ejected: bool,
+    visited: usize,
     size: usize,
-    /// A shuffle that is made as it is looked at: what stands where not the member of that number does.
-    moved: Vec<(usize, usize)>,
+    /// A Fisher-Yates shuffle made step by step: pairs of a position and the index there, where the two
+    /// differ.
+    displaced: Vec<(usize, usize)>,
 }
 
 impl CandidateSampler {
-    /// At so many at most.
-    pub fn new(fleet: &Fleet, reach: CandidateScope, all: bool) -> CandidateSampler {
-        let (ready, both) = fleet.sizes(reach);
-        CandidateSampler { reach, all, next: 0, size: if all { both } else { ready }, moved: Vec::new() }
+    pub fn new(fleet: &Fleet, scope: CandidateScope, include_ejected: bool) -> CandidateSampler {
+        let (ready, all) = fleet.sizes(scope);
+        let size = if include_ejected { all } else { ready };
+        CandidateSampler { scope, include_ejected, visited: 0, size, displaced: Vec::new() }
     }
 
-    /// The next member.
+    /// The next server, or `None` once all have been visited.
     pub fn next(&mut self, fleet: &mut Fleet, rng: &mut Rand64) -> Option<Slot> {
-        if self.next >= self.size {
+        if self.visited >= self.size {
             return None;
         }
         fleet.examined_count += 1;
-        let drawn = rng.rand_range(self.next as u64..self.size as u64) as usize;
-        let stands =
-            |at: usize| self.moved.iter().find(|(place, _)| *place == at).map_or(at, |(_, who)| *who);
-        let (who, here) = (stands(drawn), stands(self.next));
-        match self.moved.iter_mut().find(|(place, _)| *place == drawn) {
-            Some(entry) => entry.1 = here,
-            None => self.moved.push((drawn, here)),
+        let drawn = rng.rand_range(self.visited as u64..self.size as u64) as usize;
+        let index_at = |at: usize| {
+            self.displaced.iter().find(|(position, _)| *position == at).map_or(at, |(_, index)| *index)
+        };
+        let (index, first_unvisited) = (index_at(drawn), index_at(self.visited));
+        match self.displaced.iter_mut().find(|(position, _)| *position == drawn) {
+            Some(entry) => entry.1 = first_unvisited,
+            None => self.displaced.push((drawn, first_unvisited)),
         }
-        self.next += 1;
-        let group = fleet.groups.get(&self.reach)?;
-        let out = || self.all.then(|| group.out.get(who - group.ready.len()).copied()).flatten();
-        group.ready.get(who).copied().or_else(out)
+        self.visited += 1;
+        let group = fleet.groups.get(&self.scope)?;
+        let ejected =
+            || self.include_ejected.then(|| group.ejected.get(index - group.ready.len()).copied()).flatten();
+        group.ready.get(index).copied().or_else(ejected)
     }
 }
 
@@ -618,72 +649,77 @@
         }
     }
 
-    /// Everything that is kept, told from the servers themselves.
-    fn check(fleet: &Fleet) {
+    /// Compares all totals and groups with a recount over the servers.
+    fn check_totals_and_groups(fleet: &Fleet) {
         let all = || fleet.entries.iter().flatten();
         let serving = || all().filter(|entry| entry.server.serving);
         assert_eq!(fleet.by_id.len(), all().count());
         assert_eq!(fleet.serving, serving().count());
-        let out = |entry: &&Entry| entry.server.health != Health::Ready;
-        assert_eq!(fleet.ejected, serving().filter(out).count());
-        let heard = || serving().filter(|entry| entry.server.has_valid_report);
-        assert_eq!(fleet.heard, heard().count());
-        assert!((fleet.others - heard().map(|entry| others(&entry.server)).sum::<f64>()).abs() < 1e-6);
-        assert!((fleet.failure_rates - serving().map(|e| e.server.failure_rate).sum::<f64>()).abs() < 1e-6);
-        assert_eq!(fleet.kinds.values().sum::<usize>(), all().count());
+        let is_ejected = |entry: &&Entry| entry.server.health != Health::Ready;
+        assert_eq!(fleet.ejected, serving().filter(is_ejected).count());
+        let reporting = || serving().filter(|entry| entry.server.has_valid_report);
+        assert_eq!(fleet.reporting, reporting().count());
+        let log_sum = reporting().map(|entry| log_other_in_flight(&entry.server)).sum::<f64>();
+        assert!((fleet.log_other_in_flight_sum - log_sum).abs() < 1e-6);
+        let failure_rate_sum = serving().map(|entry| entry.server.failure_rate).sum::<f64>();
+        assert!((fleet.failure_rate_sum - failure_rate_sum).abs() < 1e-6);
+        assert_eq!(fleet.kind_counts.values().sum::<usize>(), all().count());
         assert_eq!(fleet.sizes(CandidateScope::All).1, serving().count());
-        let zones: usize = (0..3).map(|zone| fleet.sizes(CandidateScope::Zone(ZoneId(zone))).1).sum();
-        let cells: usize = (0..9).map(|cell| fleet.sizes(CandidateScope::Cell(CellId(cell))).1).sum();
-        assert_eq!((zones, cells), (serving().count(), serving().count()));
+        let in_zones: usize = (0..3).map(|zone| fleet.sizes(CandidateScope::Zone(ZoneId(zone))).1).sum();
+        let in_cells: usize = (0..9).map(|cell| fleet.sizes(CandidateScope::Cell(CellId(cell))).1).sum();
+        assert_eq!((in_zones, in_cells), (serving().count(), serving().count()));
         for (slot, entry) in fleet.entries.iter().enumerate() {
             let Some(entry) = entry.as_ref().filter(|entry| entry.server.serving) else { continue };
-            let side =
-                |group: &Group, ready: bool| if ready { group.ready.clone() } else { group.out.clone() };
-            let ready = entry.server.health == Health::Ready || entry.server.is_half_open;
-            for reach in [
+            let slots = |group: &Group, is_ready: bool| {
+                if is_ready { group.ready.clone() } else { group.ejected.clone() }
+            };
+            let is_ready = entry.server.health == Health::Ready || entry.server.is_half_open;
+            for scope in [
                 CandidateScope::All,
                 CandidateScope::Zone(entry.server.zone),
                 CandidateScope::Cell(entry.server.cell),
             ] {
-                let group = &fleet.groups[&reach];
-                assert!(side(group, ready).contains(&slot) && !side(group, !ready).contains(&slot));
+                let group = &fleet.groups[&scope];
+                assert!(slots(group, is_ready).contains(&slot) && !slots(group, !is_ready).contains(&slot));
             }
         }
         assert!(all().all(|entry| entry.server.serving || !entry.server.outstanding.is_empty()));
     }
 
-    /// Members after they were told for so many: some while any serves, no more than may be, and only those that serve.
-    fn check_members(fleet: &Fleet, wanted: usize, now: Millis) {
+    /// After an update of the subset: there are members if any server serves, only serving servers are
+    /// members, and the number of ready ones is within its bounds.
+    fn check_members(fleet: &Fleet, target: usize, now: Millis) {
         let serving = || fleet.entries.iter().flatten().filter(|entry| entry.server.serving);
-        let members: Vec<&Entry> = serving().filter(|entry| entry.member).collect();
+        let members: Vec<&Entry> = serving().filter(|entry| entry.is_member).collect();
         assert_eq!(fleet.sizes(CandidateScope::Members).1, members.len());
-        assert!(members.is_empty() == (serving().count() == 0), "empty while anything is there");
-        let ready = |entry: &&&Entry| entry.server.health == Health::Ready && entry.server.started.is_none();
-        let (ready, all_ready) =
-            (members.iter().filter(ready).count(), serving().filter(|e| ready(&e)).count());
-        let across = if fleet.home.is_some() { wanted.max(2) } else { 0 };
-        assert!(ready <= wanted + across, "{ready} ready ones of {wanted}");
+        assert!(members.is_empty() == (serving().count() == 0), "no members although servers serve");
+        let is_ready =
+            |entry: &&&Entry| entry.server.health == Health::Ready && entry.server.started.is_none();
+        let ready = members.iter().filter(is_ready).count();
+        let all_ready = serving().filter(|entry| is_ready(&entry)).count();
+        let cross_zone = if fleet.home_zone.is_some() { target.max(2) } else { 0 };
+        assert!(ready <= target + cross_zone, "{ready} ready members, target {target}");
         assert!(
-            ready >= wanted.min(all_ready).min(PAIR),
-            "{ready} of {all_ready} ready ones, {wanted} wanted at {now}"
+            ready >= target.min(all_ready).min(MIN_MEMBERS),
+            "{ready} of {all_ready} ready servers are members, target {target}, at {now} ms"
         );
     }
 
     #[test]
-    fn what_is_kept_is_what_a_walk_would_tell() {
-        for (identity, home) in [
+    fn totals_groups_and_members_match_a_recount_after_random_operations() {
+        for (identity, home_zone) in [
             (Identity::Anonymous, None),
             (Identity::Ranked { rank: 4, count: 9 }, None),
             (Identity::Named(77), Some(ZoneId(1))),
         ] {
-            walk(identity, home);
+            check_random_operations(identity, home_zone);
         }
     }
 
-    fn walk(identity: Identity, home: Option<ZoneId>) {
+    fn check_random_operations(identity: Identity, home_zone: Option<ZoneId>) {
         let mut rng = Rand64::new(3);
-        let order = ServerRanking::new(identity);
-        let (mut fleet, mut now, mut number) = (Fleet::new(order, home), 0.0, 0);
+        let ranking = ServerRanking::new(identity);
+        let (mut fleet, mut now, mut number) = (Fleet::new(ranking, home_zone), 0.0, 0);
         for round in 0..20_000 {
             now += rng.rand_float() * 40.0;
             fleet.advance(now);
@@ -711,8 +747,8 @@
                     fleet.remove_if_gone(id);
                 }
                 7 => {
-                    let (in_flight, unheard) = (rng.rand_float() * 20.0, (number + 1, 0));
-                    fleet.update(id, |server| server.reports(in_flight, now, now + 300.0, unheard));
+                    let (in_flight, unreported) = (rng.rand_float() * 20.0, (number + 1, 0));
+                    fleet.update(id, |server| server.reports(in_flight, now, now + 300.0, unreported));
                 }
                 8 => {
                     let until = now + rng.rand_float() * 500.0;
@@ -729,25 +765,25 @@
                 }
             }
             if round % 7 == 0 {
-                check(&fleet);
+                check_totals_and_groups(&fleet);
             }
-            if round % 5 == 0 && !order.includes_all() {
-                let wanted = rng.rand_range(1..30) as usize;
-                let standing = |_, server: &Upstream| match server.started {
-                    Some(_) => WarmUpStatus::WarmingUp { owned: order.is_owner(3, 9, server.key) },
+            if round % 5 == 0 && !ranking.includes_all() {
+                let target = rng.rand_range(1..30) as usize;
+                let status = |_, server: &Upstream| match server.started {
+                    Some(_) => WarmUpStatus::WarmingUp { owned: ranking.is_owner(3, 9, server.key) },
                     None => WarmUpStatus::WarmedUp,
                 };
-                fleet.update_subset(wanted, now, standing);
-                assert!(fleet.is_subset_current(wanted, now));
-                check_members(&fleet, wanted, now);
-                check(&fleet);
+                fleet.update_subset(target, now, status);
+                assert!(fleet.is_subset_current(target, now));
+                check_members(&fleet, target, now);
+                check_totals_and_groups(&fleet);
             }
         }
-        assert!(fleet.serving > 0, "the walk has something to tell");
+        assert!(fleet.serving > 0, "the operations left no serving server");
     }
 
     #[test]
-    fn looks_meet_each_member_once_and_all_orders_alike() {
+    fn sampler_visits_each_ready_server_once_and_starts_with_each_equally_often() {
         let mut rng = Rand64::new(5);
         let mut fleet = Fleet::new(ServerRanking::new(Identity::Anonymous), None);
         for id in 0..4 {
@@ -758,19 +794,19 @@
             });
         }
         fleet.update(UpstreamId(3), |server| server.health = Health::Ejected { until: 1e9, wait: 1.0 });
-        let mut first = [0; 4];
+        let mut first_counts = [0; 4];
         for _ in 0..9_000 {
-            let mut looks = CandidateSampler::new(&fleet, CandidateScope::All, false);
-            let mut met = Vec::new();
-            while let Some(slot) = looks.next(&mut fleet, &mut rng) {
-                met.push(slot);
+            let mut sampler = CandidateSampler::new(&fleet, CandidateScope::All, false);
+            let mut visited = Vec::new();
+            while let Some(slot) = sampler.next(&mut fleet, &mut rng) {
+                visited.push(slot);
             }
-            first[met[0]] += 1;
-            met.sort_unstable();
-            assert_eq!(met, [0, 1, 2], "the ejected one is not met");
+            first_counts[visited[0]] += 1;
+            visited.sort_unstable();
+            assert_eq!(visited, [0, 1, 2], "the ejected server is not visited");
         }
-        assert!(first[..3].iter().all(|count| (2_800..3_200).contains(count)), "{first:?}");
-        let mut looks = CandidateSampler::new(&fleet, CandidateScope::All, true);
-        assert_eq!(std::iter::from_fn(|| looks.next(&mut fleet, &mut rng)).count(), 4);
+        assert!(first_counts[..3].iter().all(|count| (2_800..3_200).contains(count)), "{first_counts:?}");
+        let mut sampler = CandidateSampler::new(&fleet, CandidateScope::All, true);
+        assert_eq!(std::iter::from_fn(|| sampler.next(&mut fleet, &mut rng)).count(), 4);
     }
 }
--- a/crates/decide/src/observed_capacity.rs
+++ b/crates/decide/src/observed_capacity.rs
@@ -1,85 +1,95 @@
-//! What a warm server carries, by the utilisation law: throughput over utilisation is capacity (Denning and Buzen 1978).
+//! Capacity of warmed-up servers by the utilisation law: throughput over utilisation (Denning and Buzen
+//! 1978).
 //!
-//! A server's own report bounds its capacity from above only. While its queue grows, in flight runs ahead of the utilisation,
-//! which is a mean over the past: a server of two cores then looks like one of a hundred. What all warm servers together
-//! answer has no queue in it, whatever they report. Each sidecar counts only its own answers, so all their parts of an
-//! allowance together follow what is answered in all, however unequal their traffic is. Pure: time is an argument.
+//! A server's own report bounds its capacity from above only. While its queue grows, its requests in flight
+//! run ahead of its utilisation, which is a mean over the past, and a server of two cores then looks like one
+//! of a hundred. The throughput of all warmed-up servers together contains no queue. Each sidecar counts only
+//! its own answers, so that the sidecars' shares of an allowance together follow the total throughput,
+//! however unequal their traffic is. Pure: time is an argument.
 
 use crate::api::Millis;
 
-/// Answers fade over this time: long enough for a sidecar with little traffic to have some.
-const SPAN: Millis = 2_000.0;
-/// Fewer ends of attempts than this say nothing yet.
-const EVIDENCE: f64 = 1.0;
-/// Less than this share of its time no server is taken to be busy: it would be divided by.
-const LEAST_USED: f64 = 0.1;
-/// How often the warm servers are counted.
-const REVIEW: Millis = 250.0;
-/// No server is smaller than one core.
-const LEAST_CAPACITY: f64 = 1.0;
+/// Answers decay over this time. It is long enough for a sidecar with little traffic to have some.
+const DECAY_TIME: Millis = 2_000.0;
+/// Decayed number of finished attempts below which no capacity is estimated.
+const MIN_ATTEMPTS: f64 = 1.0;
+/// Lower bound of the mean utilisation, as it is a divisor.
+const MIN_UTILISATION: f64 = 0.1;
+/// Interval at which the warmed-up servers are counted.
+const REVIEW_INTERVAL: Millis = 250.0;
+const MIN_CAPACITY_CORES: f64 = 1.0;
 
-/// All warm servers, whether or not this sidecar sends to them: each sidecar sends to some, all together to all.
+/// All warmed-up servers, members or not: each sidecar sends to some of them, all sidecars together to all.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct WarmServers {
-    /// The sum of their listed weights.
+    /// Sum of their listed weights.
     pub weight: f64,
-    /// The mean of what they report, or 1 where they report none.
+    /// Mean of their reported utilisation, or 1 without reports.
     pub utilisation: f64,
 }
 
-/// The work that warm servers have done for this sidecar of late.
+/// The recent work of warmed-up servers for this sidecar.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ObservedCapacity {
-    /// Milliseconds of work that was answered, and how many attempts ended, faded as of then.
-    answered: Millis,
-    ended: f64,
-    at: Millis,
-    warm: WarmServers,
+    /// Answered work and number of finished attempts, decayed as of `updated_at`.
+    answered_work: Millis,
+    finished_attempts: f64,
+    updated_at: Millis,
+    warm_servers: WarmServers,
     reviewed_at: Millis,
 }
 
 impl Default for ObservedCapacity {
     fn default() -> ObservedCapacity {
-        let warm = WarmServers { weight: 0.0, utilisation: 1.0 };
-        ObservedCapacity { answered: 0.0, ended: 0.0, at: 0.0, warm, reviewed_at: f64::NEG_INFINITY }
+        ObservedCapacity {
+            answered_work: 0.0,
+            finished_attempts: 0.0,
+            updated_at: 0.0,
+            warm_servers: WarmServers { weight: 0.0, utilisation: 1.0 },
+            reviewed_at: f64::NEG_INFINITY,
+        }
     }
 }
 
 impl ObservedCapacity {
-    /// An attempt at a warm server has ended, with so much work answered.
+    /// Counts a finished attempt at a warmed-up server; `work` is 0 if it was not answered.
     pub fn record_attempt(&mut self, now: Millis, work: Millis) {
-        let kept = self.kept(now);
-        self.answered = self.answered * kept + work;
-        self.ended = self.ended * kept + 1.0;
-        self.at = now;
+        let kept = self.remaining_share(now);
+        self.answered_work = self.answered_work * kept + work;
+        self.finished_attempts = self.finished_attempts * kept + 1.0;
+        self.updated_at = now;
     }
 
-    /// Whether the warm servers are to be counted anew.
+    /// Whether the warmed-up servers are to be counted again.
     pub fn is_review_due(&self, now: Millis) -> bool {
-        now >= self.reviewed_at + REVIEW
+        now >= self.reviewed_at + REVIEW_INTERVAL
     }
 
-    /// Takes in the count of the warm servers. Their utilisation is averaged over the time that their answers are: when
-    /// load falls at once, one that is of the moment beside a throughput that is not would make them look large.
-    pub fn review(&mut self, now: Millis, warm: WarmServers) {
-        let kept = (-(now - self.reviewed_at).max(0.0) / SPAN).exp();
-        let utilisation = warm.utilisation + kept * (self.warm.utilisation - warm.utilisation);
-        (self.warm, self.reviewed_at) = (WarmServers { utilisation, ..warm }, now);
+    /// Takes over a count of the warmed-up servers. Their utilisation is averaged over the same time as the
+    /// answers: a current utilisation beside a past throughput would make servers look large whenever load
+    /// falls suddenly.
+    pub fn review(&mut self, now: Millis, warm_servers: WarmServers) {
+        let kept = (-(now - self.reviewed_at).max(0.0) / DECAY_TIME).exp();
+        let utilisation =
+            warm_servers.utilisation + kept * (self.warm_servers.utilisation - warm_servers.utilisation);
+        (self.warm_servers, self.reviewed_at) = (WarmServers { utilisation, ..warm_servers }, now);
     }
 
-    /// The capacity in cores of a server of this listed weight, where so many sidecars like this one use the servers; `None`
-    /// while too little is known.
+    /// Capacity in cores of a server of this listed weight, if `sidecars` sidecars with the same traffic use
+    /// the servers; `None` without enough recent attempts.
     pub fn capacity(&self, now: Millis, weight: f64, sidecars: f64) -> Option<f64> {
-        let kept = self.kept(now);
-        if self.warm.weight <= 0.0 || self.ended * kept < EVIDENCE {
+        let kept = self.remaining_share(now);
+        if self.warm_servers.weight <= 0.0 || self.finished_attempts * kept < MIN_ATTEMPTS {
             return None;
         }
-        let throughput = self.answered * kept / SPAN * sidecars * weight / self.warm.weight;
-        Some((throughput / self.warm.utilisation.clamp(LEAST_USED, 1.0)).max(LEAST_CAPACITY))
+        let throughput =
+            self.answered_work * kept / DECAY_TIME * sidecars * weight / self.warm_servers.weight;
+        let utilisation = self.warm_servers.utilisation.clamp(MIN_UTILISATION, 1.0);
+        Some((throughput / utilisation).max(MIN_CAPACITY_CORES))
     }
 
-    /// The share of what was counted that still counts.
-    fn kept(&self, now: Millis) -> f64 {
-        (-(now - self.at).max(0.0) / SPAN).exp()
+    /// The share of past counts that has not decayed.
+    fn remaining_share(&self, now: Millis) -> f64 {
+        (-(now - self.updated_at).max(0.0) / DECAY_TIME).exp()
     }
 }
--- a/crates/decide/src/probe_budget.rs
+++ b/crates/decide/src/probe_budget.rs
@@ -1,39 +1,39 @@
-//! What may be spent on probes: a share of what requests earn. Where probes are cheap it binds nowhere; where many sidecars
-//! with little traffic pay much for each, most requests go on what is known.
+//! Budget for probes: a share of the worth of requests. Cheap probes are never limited by it. Where probes
+//! are costly and many sidecars have little traffic each, most requests are decided on what has been reported
+//! before.
 
-/// Of its worth each request pays this share in.
-const SPEND: f64 = 0.01;
-/// So many probes may be saved up at least, or what so many requests pay in.
-const SAVED: f64 = 4.0;
+/// The share of its worth that each request adds to the budget.
+const SPEND_SHARE: f64 = 0.01;
+/// Maximum savings: this number of probes, or the earnings of this number of requests if they are more.
+const MAX_SAVED: f64 = 4.0;
 
-/// What has been paid in and not spent, in probes.
+/// Earnings that have not been spent. All amounts are numbers of probes.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ProbeBudget {
-    earned: f64,
-    most: f64,
+    earned_per_request: f64,
+    max_saved: f64,
     saved: f64,
 }
 
 impl ProbeBudget {
-    /// One for probes that cost such a share of a mean request's worth. It starts half full: who knows nothing yet gains
-    /// most by asking.
-    pub fn new(fee: f64) -> ProbeBudget {
-        let earned = if fee > 0.0 { SPEND / fee } else { f64::INFINITY };
-        let most = SAVED * earned.max(1.0);
-        ProbeBudget { earned, most, saved: most / 2.0 }
+    /// A budget for probes of this cost, as a share of a mean request's worth. It starts half full, because a
+    /// sidecar without any reports gains most from probes.
+    pub fn new(probe_cost: f64) -> ProbeBudget {
+        let earned_per_request = if probe_cost > 0.0 { SPEND_SHARE / probe_cost } else { f64::INFINITY };
+        let max_saved = MAX_SAVED * earned_per_request.max(1.0);
+        ProbeBudget { earned_per_request, max_saved, saved: max_saved / 2.0 }
     }
 
-    /// A request has come.
+    /// Adds the earnings of an arriving request.
     pub fn record_arrival(&mut self) {
-        self.saved = (self.saved + self.earned).min(self.most);
+        self.saved = (self.saved + self.earned_per_request).min(self.max_saved);
     }
 
-    /// Whether so many probes can be paid.
     pub fn can_afford(&self, probes: f64) -> bool {
         self.saved >= probes
     }
 
-    /// One is sent.
+    /// Takes out the cost of one probe.
     pub fn spend(&mut self) {
         self.saved -= 1.0;
     }
@@ -43,15 +43,15 @@
 mod tests {
     use super::*;
 
-    /// Probes for so many requests that want two each.
-    fn probes(fee: f64, requests: usize) -> usize {
-        let mut purse = ProbeBudget::new(fee);
+    /// The number of probes sent by requests that want two each.
+    fn probes_sent(probe_cost: f64, requests: usize) -> usize {
+        let mut budget = ProbeBudget::new(probe_cost);
         let mut sent = 0;
         for _ in 0..requests {
-            purse.record_arrival();
+            budget.record_arrival();
             for _ in 0..2 {
-                if purse.can_afford(1.0) {
-                    purse.spend();
+                if budget.can_afford(1.0) {
+                    budget.spend();
                     sent += 1;
                 }
             }
@@ -60,11 +60,11 @@
     }
 
     #[test]
-    fn cheap_probes_are_not_limited_and_dear_ones_cost_one_percent() {
-        assert_eq!(probes(0.0, 1_000), 2_000);
-        assert_eq!(probes(0.002, 1_000), 2_000);
-        let dear = probes(0.08, 1_000) as f64 * 0.08 / 1_000.0;
-        assert!((0.009..0.0105).contains(&dear), "{dear}");
-        assert!(probes(1e9, 1_000) <= 4);
+    fn cheap_probes_are_not_limited_and_costly_ones_take_one_percent_of_the_worth() {
+        assert_eq!(probes_sent(0.0, 1_000), 2_000);
+        assert_eq!(probes_sent(0.002, 1_000), 2_000);
+        let cost_per_request = probes_sent(0.08, 1_000) as f64 * 0.08 / 1_000.0;
+        assert!((0.009..0.0105).contains(&cost_per_request), "{cost_per_request}");
+        assert!(probes_sent(1e9, 1_000) <= 4);
     }
 }
--- a/crates/decide/src/slow_start.rs
+++ b/crates/decide/src/slow_start.rs
@@ -1,6 +1,7 @@
-//! What may be sent to a server that has just started, as an amount: an equal part of its allowance for each of the sidecars
-//! that own one, which are the first in its order. A part that never comes to one request is a chance of one instead, spent
-//! whether or not it wins.
+//! Slow start: limits the work that is sent to a server that has just started. A server's allowance is
+//! divided equally among its owners, the first sidecars in its order. Where a sidecar's share never reaches
+//! the cost of a request, requests are admitted with a matching probability instead, and the expected cost is
+//! spent whether or not a request is admitted.
 
 use crate::Balancer;
 use crate::api::*;
@@ -8,47 +9,52 @@
 use crate::fleet::{CandidateSampler, CandidateScope, WarmUpStatus};
 use crate::state::{Candidate, PendingRequest, Upstream};
 
-/// All sidecars together send it work at this share of its allowance, however many requests come,
-const COLD_RATE: f64 = 0.4;
-/// and may have saved up this share of what the allowance comes to in one window of the rule.
-const COLD_SAVED: f64 = 0.25;
-/// So many sidecars know a cold server at least: some of them may have little traffic, or die.
-const OWNERS: u32 = 4;
-/// So many servers are asked for one request at most.
-const ASKED: usize = 24;
+/// The rate at which all sidecars together send work to a server that is warming up, as a share of its
+/// allowance, however many requests arrive.
+const RATE_SHARE: f64 = 0.4;
+/// The work that may be saved up, as a share of the allowance in one overload window.
+const BURST_SHARE: f64 = 0.25;
+/// Minimum number of sidecars that own a server that is warming up: some may have little traffic, or die.
+const MIN_OWNERS: u32 = 4;
+/// Maximum number of servers examined for one request.
+const MAX_EXAMINED: usize = 24;
 
-/// One sidecar's part of a cold server's allowance: what it earns in a millisecond, and what it may have saved up.
+/// One sidecar's share of a server's allowance, for requests of one class.
 #[derive(Debug, Clone, Copy)]
-struct Part {
+struct AllowanceShare {
+    /// Milliseconds of work earned per millisecond.
     rate: f64,
-    saved: f64,
+    /// Maximum work saved up.
+    burst: Millis,
+    /// Work of one request.
     cost: Millis,
 }
 
-impl Part {
-    /// Whether it comes to whole requests, which can be counted; else it is a chance of one.
-    fn is_whole(&self) -> bool {
-        self.saved >= self.cost
+impl AllowanceShare {
+    /// Whether whole requests can be counted against the share; otherwise requests are admitted by chance.
+    fn covers_request(&self) -> bool {
+        self.burst >= self.cost
     }
 }
 
 impl Balancer {
-    /// What all sidecars together may send a server while it is cold, in cores.
+    /// The work that all sidecars together may send to a server that is warming up, in cores.
     fn allowance(&self, upstream: &Upstream) -> f64 {
-        let safety = &self.settings.slow_start;
-        safety.overload_multiple * upstream.warmth(self.now, safety) * self.cold_capacity(upstream)
+        let limits = &self.settings.slow_start;
+        limits.overload_multiple * upstream.warmth(self.now, limits) * self.full_capacity(upstream)
     }
 
-    /// The capacity that a cold server will have, in cores: what its reports and those of its kind say, but no more than lets
-    /// all that may be sent in one window come to what warm servers are known to carry for their weight.
-    fn cold_capacity(&self, upstream: &Upstream) -> f64 {
+    /// Estimated capacity in cores that a server will have once it has warmed up, from its reports and those
+    /// of its kind. Limited so that the most that may be sent in one overload window does not exceed the work
+    /// that warmed-up servers are observed to carry for the same weight.
+    fn full_capacity(&self, upstream: &Upstream) -> f64 {
         let reported = self.kappa(upstream);
         let sidecars = f64::from(self.settings.sidecars.max(1));
-        let carried = self.estimates.observed_capacity.capacity(self.now, upstream.weight, sidecars);
-        carried.map_or(reported, |carried| reported.min(carried / (COLD_RATE + COLD_SAVED)))
+        let observed = self.estimates.observed_capacity.capacity(self.now, upstream.weight, sidecars);
+        observed.map_or(reported, |observed| reported.min(observed / (RATE_SHARE + BURST_SHARE)))
     }
 
-    /// How a server stands for this sidecar.
+    /// How a server counts for the subset of this sidecar.
     pub(crate) fn warm_up_status(&self, server: &Upstream) -> WarmUpStatus {
         if self.outages.is_out(server.zone) {
             return WarmUpStatus::ZoneUnreachable;
@@ -56,22 +62,24 @@
         if server.warmth(self.now, &self.settings.slow_start) >= 1.0 {
             return WarmUpStatus::WarmedUp;
         }
-        let owners = self.owners(server);
+        let owners = self.owner_count(server);
         WarmUpStatus::WarmingUp { owned: self.ranking.is_owner(owners, self.settings.sidecars, server.key) }
     }
 
-    /// How many sidecars share a cold server's allowance: so few that a part of it comes to whole requests.
-    fn owners(&self, upstream: &Upstream) -> u32 {
+    /// The number of sidecars that share the allowance of a server that is warming up: at least
+    /// [`MIN_OWNERS`], and more as long as each share covers a request of mean service time.
+    fn owner_count(&self, upstream: &Upstream) -> u32 {
         let classes = &self.estimates.classes;
         let mean = classes.iter().map(|class| class.service_time).sum::<f64>() / classes.len().max(1) as f64;
-        let saved = COLD_SAVED * self.allowance(upstream) * self.settings.slow_start.overload_window;
-        let whole = (saved / mean.max(1.0)).max(f64::from(OWNERS)).min(f64::from(u32::MAX >> 1));
-        // In steps that all take alike, however differently they estimate.
-        (1 << (whole as u32).ilog2()).min(self.settings.sidecars.max(1))
+        let burst = BURST_SHARE * self.allowance(upstream) * self.settings.slow_start.overload_window;
+        let owners = (burst / mean.max(1.0)).max(f64::from(MIN_OWNERS)).min(f64::from(u32::MAX >> 1));
+        // A power of two, so that sidecars whose estimates differ agree on the number.
+        (1 << (owners as u32).ilog2()).min(self.settings.sidecars.max(1))
     }
 
-    /// Our part of what a server may be sent while it is cold, for requests of a class; none of one that others own.
-    fn part(&self, to: &Candidate, class: ClassId) -> Option<Part> {
+    /// This sidecar's share of the allowance of a server that is warming up, for requests of a class; `None`
+    /// for a server outside the subset.
+    fn allowance_share(&self, to: &Candidate, class: ClassId) -> Option<AllowanceShare> {
         let upstream = self.upstreams.get(to.id)?;
         let sidecars = f64::from(self.settings.sidecars.max(1));
         if !self.upstreams.is_member(to.id) {
@@ -79,65 +87,80 @@
         }
         let sharers = match self.settings.identity {
             Identity::Anonymous => sidecars,
-            // One that others own is known only where hardly anything is warm, and then perhaps to all.
-            _ if !self.ranking.is_owner(self.owners(upstream), self.settings.sidecars, upstream.key) => {
+            // Servers owned by others are members only where hardly any server has warmed up. Then they may
+            // be members of every subset.
+            _ if !self.ranking.is_owner(self.owner_count(upstream), self.settings.sidecars, upstream.key) => {
                 2.0 * sidecars
             }
-            // In an upgrade there are two of each.
+            // During an upgrade there are two sidecars of each rank.
             Identity::Ranked { count, .. } => {
-                self.ranking.max_owners(self.owners(upstream)).min(sidecars)
+                self.ranking.max_owners(self.owner_count(upstream)).min(sidecars)
                     * (sidecars / f64::from(count)).max(1.0)
             }
-            Identity::Named(_) => self.ranking.max_owners(self.owners(upstream)).min(sidecars),
+            Identity::Named(_) => self.ranking.max_owners(self.owner_count(upstream)).min(sidecars),
         };
         let (allowance, cost) =
             (self.allowance(upstream) / sharers, self.estimates.classes[class.0].service_time.max(1.0));
-        let saved = COLD_SAVED * allowance * self.settings.slow_start.overload_window;
-        Some(Part { rate: COLD_RATE * allowance, saved, cost })
+        let burst = BURST_SHARE * allowance * self.settings.slow_start.overload_window;
+        Some(AllowanceShare { rate: RATE_SHARE * allowance, burst, cost })
     }
 
-    /// Whether its amount allows a cold server one more. Where that is a chance, it is one of `share` at most.
-    pub(crate) fn try_spend_allowance(&mut self, to: &Candidate, class: ClassId, share: f64) -> bool {
-        let Some(part) = self.part(to, class) else { return false };
-        let (now, luck, whole) = (self.now, self.rng.rand_float(), part.is_whole());
-        // Owners are few, and count what they send: chance adds nothing to that.
-        let share = if whole && !self.ranking.includes_all() { 1.0 } else { share };
+    /// Whether a request may be sent to a server that is warming up; spends its cost from this sidecar's
+    /// share of the allowance. The probability is at most `max_probability`, except for owners that count
+    /// whole requests.
+    pub(crate) fn try_spend_allowance(
+        &mut self,
+        to: &Candidate,
+        class: ClassId,
+        max_probability: f64,
+    ) -> bool {
+        let Some(share) = self.allowance_share(to, class) else { return false };
+        let (now, random, is_counted) = (self.now, self.rng.rand_float(), share.covers_request());
+        // Owners are few and count their requests, which already bounds the work.
+        let max_probability = if is_counted && !self.ranking.includes_all() { 1.0 } else { max_probability };
         let spend = |upstream: &mut Upstream| {
-            let credit = (upstream.slow_start_credit + part.rate * (now - upstream.slow_start_credit_at))
-                .min(part.saved);
-            let chance = share.min(if whole { (credit / part.cost).floor() } else { credit / part.cost });
-            let won = luck < chance;
-            let spent = if whole { f64::from(u8::from(won)) } else { chance };
-            (upstream.slow_start_credit, upstream.slow_start_credit_at) = (credit - spent * part.cost, now);
-            won
+            let earned = share.rate * (now - upstream.slow_start_credit_at);
+            let credit = (upstream.slow_start_credit + earned).min(share.burst);
+            let affordable = credit / share.cost;
+            let probability = max_probability.min(if is_counted { affordable.floor() } else { affordable });
+            let admitted = random < probability;
+            let spent = if is_counted { f64::from(u8::from(admitted)) } else { probability };
+            (upstream.slow_start_credit, upstream.slow_start_credit_at) = (credit - spent * share.cost, now);
+            admitted
         };
         self.upstreams.update(to.id, spend).unwrap_or(false)
     }
 
-    /// A cold server with room that may be sent one more, where neither of a pair may and no warm one has room: near
-    /// ones first where crossing has a fee, in random order. Only where parts come to whole requests: what is counted
-    /// keeps to the allowance however many come, what is left to chance does not.
-    pub(crate) fn find_warming_up_server(&mut self, held: &PendingRequest) -> Option<Candidate> {
-        let (reach, view) = (self.reach(held)?.within_subset(), self.view(held));
-        let home = CandidateScope::MembersInZone(self.settings.zone);
-        let near = (reach == CandidateScope::Members && view.same_zone_limit != 0.0).then_some(home);
-        for reach in near.into_iter().chain([reach]) {
-            let mut looks = CandidateSampler::new(&self.upstreams, reach, false);
-            for _ in 0..ASKED {
-                let Some(slot) = looks.next(&mut self.upstreams, &mut self.rng) else { break };
-                let found = self.look(slot, held, &view);
-                let Some(cold) = found.filter(|c| c.healthy && c.warm_up_fraction < 1.0 && view.has_room(c))
+    /// A server that is warming up, has capacity and allowance for a request, and whose allowance share is
+    /// counted in whole requests: an amount that is counted is kept however many requests arrive, one that is
+    /// left to chance is not. For requests whose sampled pair may not be used while no warmed-up server has
+    /// capacity. Servers are examined in random order, those of this zone first where cross-zone traffic has
+    /// a cost.
+    pub(crate) fn find_warming_up_server(&mut self, request: &PendingRequest) -> Option<Candidate> {
+        let (scope, context) = (self.reach(request)?.within_subset(), self.view(request));
+        let same_zone = CandidateScope::MembersInZone(self.settings.zone);
+        let same_zone_first =
+            (scope == CandidateScope::Members && context.same_zone_limit != 0.0).then_some(same_zone);
+        for scope in same_zone_first.into_iter().chain([scope]) {
+            let mut sampler = CandidateSampler::new(&self.upstreams, scope, false);
+            for _ in 0..MAX_EXAMINED {
+                let Some(slot) = sampler.next(&mut self.upstreams, &mut self.rng) else { break };
+                let candidate = self.look(slot, request, &context);
+                let Some(candidate) =
+                    candidate.filter(|c| c.healthy && c.warm_up_fraction < 1.0 && context.has_room(c))
                 else {
                     continue;
                 };
-                let counted = self.part(&cold, held.class).is_some_and(|part| part.is_whole());
-                if counted
-                    && self.may_cross(held.class, &cold)
-                    && self.try_spend_allowance(&cold, held.class, 1.0)
+                let is_counted = self
+                    .allowance_share(&candidate, request.class)
+                    .is_some_and(|share| share.covers_request());
+                if is_counted
+                    && self.may_cross(request.class, &candidate)
+                    && self.try_spend_allowance(&candidate, request.class, 1.0)
                 {
                     return Some(Candidate {
-                        exemption: Some(BudgetExemption::Full).filter(|_| !cold.same_zone),
-                        ..cold
+                        exemption: Some(BudgetExemption::Full).filter(|_| !candidate.same_zone),
+                        ..candidate
                     });
                 }
             }
--- a/crates/decide/src/snapshot.rs
+++ b/crates/decide/src/snapshot.rs
@@ -1,8 +1,10 @@
-//! What the module has learnt, as it passes to a successor: of each server, and of all. Times are ages, so that the clock
-//! of the one who reads it may start anywhere. It is checked whole and taken whole, or not at all.
+//! The estimates that a process hands over to its successor, of each server and of all servers. Times are
+//! ages, since the clocks of the two processes have different origins. A snapshot is validated and restored
+//! as a whole or not at all.
 //!
-//! What is out is not part of it: a request stays with the process that took it. Nor is the cold allowance: who takes a
-//! memory over starts with nothing saved up, and earns its part from then on.
+//! Attempts in flight are not part of it: a request stays with the process that accepted it. Neither is the
+//! credit for servers that are warming up: after a restore, a process starts without credit and earns its
+//! own.
 
 use std::fmt;
 
@@ -14,58 +16,70 @@
 use crate::state::{Health, Upstream};
 
 /// More servers than any site has.
-const MOST_SERVERS: usize = 100_000;
+const MAX_SERVERS: usize = 100_000;
 /// More kinds of machine than the module keeps.
-const MOST_KINDS: usize = 1_024;
-/// No time, count or capacity is larger in earnest.
-const MOST: f64 = 1e9;
+const MAX_KINDS: usize = 1_024;
+/// Above any real time, count or capacity.
+const MAX_VALUE: f64 = 1e9;
 
-/// What was learnt.
+/// The estimates of a balancer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Of each server.
+    /// Of each server, by its id.
     pub servers: Vec<(u64, ServerSnapshot)>,
-    /// Of all.
+    /// Of all servers and all arrivals.
     pub all: SharedSnapshot,
 }
 
-/// What was learnt of one server.
+/// The estimates of one server.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ServerSnapshot {
-    kappa: Option<f64>,
+    #[serde(rename = "kappa")]
+    capacity: Option<f64>,
     mean_in_flight: f64,
     utilisation: Option<f64>,
-    /// In flight by its last report with what was sent since, and the age of that.
+    /// In flight by the last report, plus this sidecar's sends since.
     in_flight: f64,
-    reported: Option<Millis>,
-    /// For how long yet that says anything.
-    heard: Option<Millis>,
-    slowness: f64,
-    learnt: Option<Millis>,
-    answered: Option<Millis>,
+    #[serde(rename = "reported")]
+    report_age: Option<Millis>,
+    /// Time for which the last report remains valid.
+    #[serde(rename = "heard")]
+    report_valid_for: Option<Millis>,
+    #[serde(rename = "slowness")]
+    relative_service_time: f64,
+    #[serde(rename = "learnt")]
+    estimate_age: Option<Millis>,
+    #[serde(rename = "answered")]
+    answer_age: Option<Millis>,
     failure_rate: f64,
-    /// How long it stays ejected yet, and how long it was to be.
-    ejected: Option<(Millis, Millis)>,
+    /// For an ejected server: the remaining time and the whole time of its ejection.
+    #[serde(rename = "ejected")]
+    ejection: Option<(Millis, Millis)>,
 }
 
-/// What was learnt of all servers and all arrivals.
+/// The estimates of all servers and all arrivals.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct SharedSnapshot {
-    /// By class: service time, samples, share refused.
+    /// By class: service time, samples, refused share.
     classes: Vec<(Millis, f64, f64)>,
     /// By kind of machine.
     kinds: Vec<(u64, KindSnapshot)>,
     fleet: KindSnapshot,
-    refused: f64,
+    #[serde(rename = "refused")]
+    refused_share: f64,
     retry_tokens: f64,
-    room_scale: f64,
-    usual_density: Option<f64>,
+    #[serde(rename = "room_scale")]
+    wait_scale: f64,
+    #[serde(rename = "usual_density")]
+    mean_density: Option<f64>,
     tenant_shares: Vec<f64>,
-    lateness: f64,
-    usual_service: Option<Millis>,
+    #[serde(rename = "lateness")]
+    late_report_share: f64,
+    #[serde(rename = "usual_service")]
+    mean_service_time: Option<Millis>,
     probe_time: Option<Millis>,
-    /// How long ago the first report came.
-    first: Option<Millis>,
+    #[serde(rename = "first")]
+    first_report_age: Option<Millis>,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
@@ -73,129 +87,141 @@
     in_flight: f64,
     utilisation: f64,
     reports: f64,
-    pace: f64,
+    #[serde(rename = "pace")]
+    relative_service_time: f64,
     answers: f64,
 }
 
-/// Why a memory is not believed.
+/// The reason for which a snapshot cannot be restored.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SnapshotError {
-    /// It is of other classes or tenants.
+    /// Its classes or tenants are not those of the settings.
     DifferentClassesOrTenants,
-    /// It has more entries than there may be.
+    /// It has more servers or kinds of machine than allowed.
     TooManyEntries,
-    /// A figure in it is absurd.
+    /// One of its values is out of range.
     ImplausibleValue(&'static str),
 }
 
 impl fmt::Display for SnapshotError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            SnapshotError::DifferentClassesOrTenants => write!(f, "it is of other classes or tenants"),
-            SnapshotError::TooManyEntries => write!(f, "it has more entries than there may be"),
-            SnapshotError::ImplausibleValue(what) => write!(f, "its {what} is absurd"),
+            SnapshotError::DifferentClassesOrTenants => {
+                write!(f, "the snapshot has other classes or tenants than the settings")
+            }
+            SnapshotError::TooManyEntries => {
+                write!(f, "the snapshot has more servers or kinds of machine than allowed")
+            }
+            SnapshotError::ImplausibleValue(name) => write!(f, "the snapshot's {name} is out of range"),
         }
     }
 }
 
 impl std::error::Error for SnapshotError {}
 
-fn share(value: f64) -> bool {
+fn is_share(value: f64) -> bool {
     (0.0..=1.0).contains(&value)
 }
 
-fn amount(value: f64) -> bool {
-    (0.0..=MOST).contains(&value)
+fn is_amount(value: f64) -> bool {
+    (0.0..=MAX_VALUE).contains(&value)
 }
 
-fn positive(value: f64) -> bool {
-    value > 0.0 && value <= MOST
+fn is_positive_amount(value: f64) -> bool {
+    value > 0.0 && value <= MAX_VALUE
 }
 
-fn optional(value: Option<f64>, sound: fn(f64) -> bool) -> bool {
-    value.is_none_or(sound)
+fn is_none_or(value: Option<f64>, is_valid: fn(f64) -> bool) -> bool {
+    value.is_none_or(is_valid)
 }
 
-fn check(sound: bool, what: &'static str) -> Result<(), SnapshotError> {
-    if sound { Ok(()) } else { Err(SnapshotError::ImplausibleValue(what)) }
+fn ensure(is_valid: bool, name: &'static str) -> Result<(), SnapshotError> {
+    if is_valid { Ok(()) } else { Err(SnapshotError::ImplausibleValue(name)) }
 }
 
 impl ServerSnapshot {
     fn of(upstream: &Upstream, now: Millis) -> ServerSnapshot {
-        let age = |at: Millis| at.is_finite().then(|| (now - at).clamp(0.0, MOST));
-        let (since, own) = (upstream.unreported_sends as f64, upstream.outstanding.len() as f64);
-        let bound = |value: f64| value.clamp(0.0, MOST);
+        let age = |at: Millis| at.is_finite().then(|| (now - at).clamp(0.0, MAX_VALUE));
+        let (unreported, own) = (upstream.unreported_sends as f64, upstream.outstanding.len() as f64);
+        let bounded = |value: f64| value.clamp(0.0, MAX_VALUE);
         ServerSnapshot {
-            kappa: upstream.capacity,
-            mean_in_flight: bound(upstream.mean_in_flight),
-            utilisation: upstream.utilisation.map(bound),
-            in_flight: bound((upstream.reported_in_flight + since).max(own)),
-            reported: age(upstream.reported_at),
-            heard: upstream.has_valid_report.then(|| bound(upstream.report_valid_until - now)),
-            slowness: upstream.relative_service_time,
-            learnt: age(upstream.estimated_at),
-            answered: age(upstream.answered_at),
+            capacity: upstream.capacity,
+            mean_in_flight: bounded(upstream.mean_in_flight),
+            utilisation: upstream.utilisation.map(bounded),
+            in_flight: bounded((upstream.reported_in_flight + unreported).max(own)),
+            report_age: age(upstream.reported_at),
+            report_valid_for: upstream.has_valid_report.then(|| bounded(upstream.report_valid_until - now)),
+            relative_service_time: upstream.relative_service_time,
+            estimate_age: age(upstream.estimated_at),
+            answer_age: age(upstream.answered_at),
             failure_rate: upstream.failure_rate.clamp(0.0, 1.0),
-            ejected: match upstream.health {
+            ejection: match upstream.health {
                 Health::Ready => None,
-                Health::Ejected { until, wait } => Some((bound(until - now), bound(wait))),
+                Health::Ejected { until, wait } => Some((bounded(until - now), bounded(wait))),
             },
         }
     }
 
-    fn check(&self) -> Result<(), SnapshotError> {
-        check(optional(self.kappa, positive), "capacity")?;
-        check(amount(self.mean_in_flight) && amount(self.in_flight), "load")?;
-        check(optional(self.utilisation, amount), "utilisation")?;
-        let ages = [self.reported, self.heard, self.learnt, self.answered];
-        check(ages.into_iter().all(|age| optional(age, amount)), "age")?;
-        check(positive(self.slowness), "pace")?;
-        check(share(self.failure_rate), "failure rate")?;
-        check(self.ejected.is_none_or(|(left, wait)| amount(left) && amount(wait)), "ejection")
+    fn validate(&self) -> Result<(), SnapshotError> {
+        ensure(is_none_or(self.capacity, is_positive_amount), "capacity")?;
+        ensure(is_amount(self.mean_in_flight) && is_amount(self.in_flight), "load")?;
+        ensure(is_none_or(self.utilisation, is_amount), "utilisation")?;
+        let times = [self.report_age, self.report_valid_for, self.estimate_age, self.answer_age];
+        ensure(times.into_iter().all(|time| is_none_or(time, is_amount)), "age")?;
+        ensure(is_positive_amount(self.relative_service_time), "relative service time")?;
+        ensure(is_share(self.failure_rate), "failure rate")?;
+        let is_valid = |(left, whole)| is_amount(left) && is_amount(whole);
+        ensure(self.ejection.is_none_or(is_valid), "ejection")
     }
 
     fn restore(&self, upstream: &mut Upstream, now: Millis) {
         let at = |age: Option<Millis>| age.map_or(f64::NEG_INFINITY, |age| now - age);
-        upstream.capacity = self.kappa;
-        upstream.capacity_samples = self.kappa.map_or(0.0, |_| MOST);
+        upstream.capacity = self.capacity;
+        upstream.capacity_samples = self.capacity.map_or(0.0, |_| MAX_VALUE);
         upstream.mean_in_flight = self.mean_in_flight;
         upstream.utilisation = self.utilisation;
         upstream.reported_in_flight = self.in_flight;
-        upstream.reported_at = at(self.reported);
-        upstream.has_valid_report = self.heard.is_some();
-        upstream.report_valid_until = self.heard.map_or(f64::NEG_INFINITY, |left| now + left);
-        upstream.relative_service_time = self.slowness;
-        upstream.estimated_at = at(self.learnt);
-        upstream.answered_at = at(self.answered);
+        upstream.reported_at = at(self.report_age);
+        upstream.has_valid_report = self.report_valid_for.is_some();
+        upstream.report_valid_until = self.report_valid_for.map_or(f64::NEG_INFINITY, |left| now + left);
+        upstream.relative_service_time = self.relative_service_time;
+        upstream.estimated_at = at(self.estimate_age);
+        upstream.answered_at = at(self.answer_age);
         upstream.failure_rate = self.failure_rate;
         upstream.is_half_open = false;
         upstream.health =
-            self.ejected.map_or(Health::Ready, |(left, wait)| Health::Ejected { until: now + left, wait });
+            self.ejection.map_or(Health::Ready, |(left, wait)| Health::Ejected { until: now + left, wait });
         (upstream.slow_start_credit, upstream.slow_start_credit_at) = (0.0, now);
     }
 }
 
 impl KindSnapshot {
     fn of(kind: &KindEstimates) -> KindSnapshot {
-        let KindEstimates { in_flight, utilisation, reports, relative_service_time: pace, answers, .. } =
-            *kind;
-        KindSnapshot { in_flight, utilisation, reports: reports.min(MOST), pace, answers: answers.min(MOST) }
+        let KindEstimates { in_flight, utilisation, reports, relative_service_time, answers, .. } = *kind;
+        KindSnapshot {
+            in_flight,
+            utilisation,
+            reports: reports.min(MAX_VALUE),
+            relative_service_time,
+            answers: answers.min(MAX_VALUE),
+        }
     }
 
-    fn check(&self) -> Result<(), SnapshotError> {
-        let counted = amount(self.reports) && amount(self.answers);
-        let ratio = self.reports == 0.0 || self.utilisation > 0.0;
-        check(counted && ratio && amount(self.in_flight) && amount(self.utilisation), "kind of machine")?;
-        check(positive(self.pace), "pace of a kind of machine")
+    fn validate(&self) -> Result<(), SnapshotError> {
+        let counts_are_valid = is_amount(self.reports) && is_amount(self.answers);
+        let has_capacity = self.reports == 0.0 || self.utilisation > 0.0;
+        let loads_are_valid = is_amount(self.in_flight) && is_amount(self.utilisation);
+        ensure(counts_are_valid && has_capacity && loads_are_valid, "estimate of a kind of machine")?;
+        ensure(is_positive_amount(self.relative_service_time), "relative service time of a kind of machine")
     }
 
-    fn kind(&self) -> KindEstimates {
-        let KindSnapshot { in_flight, utilisation, reports, pace, answers } = *self;
+    fn estimates(&self) -> KindEstimates {
+        let KindSnapshot { in_flight, utilisation, reports, relative_service_time, answers } = *self;
         KindEstimates {
             in_flight,
             utilisation,
             reports,
-            relative_service_time: pace,
+            relative_service_time,
             answers,
             ..KindEstimates::default()
         }
@@ -203,90 +229,102 @@
 }
 
 impl Snapshot {
-    /// Tells what is wrong with it, for so many classes and tenants.
-    fn check(&self, classes: usize, tenants: usize) -> Result<(), SnapshotError> {
+    /// Checks all values, and that the snapshot has these numbers of classes and tenants.
+    fn validate(&self, classes: usize, tenants: usize) -> Result<(), SnapshotError> {
         let all = &self.all;
         if all.classes.len() != classes || all.tenant_shares.len() != tenants {
             return Err(SnapshotError::DifferentClassesOrTenants);
         }
-        if self.servers.len() > MOST_SERVERS || all.kinds.len() > MOST_KINDS {
+        if self.servers.len() > MAX_SERVERS || all.kinds.len() > MAX_KINDS {
             return Err(SnapshotError::TooManyEntries);
         }
-        self.servers.iter().try_for_each(|(_, server)| server.check())?;
-        for (time, samples, refused) in &all.classes {
-            check(positive(*time) && amount(*samples) && share(*refused), "service time")?;
+        self.servers.iter().try_for_each(|(_, server)| server.validate())?;
+        for (service_time, samples, refused_share) in &all.classes {
+            let is_valid =
+                is_positive_amount(*service_time) && is_amount(*samples) && is_share(*refused_share);
+            ensure(is_valid, "service time")?;
         }
-        all.kinds.iter().try_for_each(|(_, kind)| kind.check())?;
-        all.fleet.check()?;
-        check(share(all.refused) && share(all.lateness), "share of refusals")?;
-        check(amount(all.retry_tokens) && share(all.room_scale) && all.room_scale > 0.0, "room")?;
-        check(optional(all.usual_density, positive), "usual worth")?;
-        check(all.tenant_shares.iter().all(|value| share(*value)), "tenant's share")?;
-        let times = [all.usual_service, all.probe_time];
-        check(times.into_iter().all(|time| optional(time, amount)), "usual time")?;
-        check(optional(all.usual_service, positive) && optional(all.first, amount), "usual time")
+        all.kinds.iter().try_for_each(|(_, kind)| kind.validate())?;
+        all.fleet.validate()?;
+        ensure(
+            is_share(all.refused_share) && is_share(all.late_report_share),
+            "share of refusals or of late reports",
+        )?;
+        let wait_scale_is_valid = is_share(all.wait_scale) && all.wait_scale > 0.0;
+        ensure(is_amount(all.retry_tokens) && wait_scale_is_valid, "retry tokens or wait scale")?;
+        ensure(is_none_or(all.mean_density, is_positive_amount), "mean worth")?;
+        ensure(all.tenant_shares.iter().all(|value| is_share(*value)), "tenant share")?;
+        let times = [all.mean_service_time, all.probe_time];
+        ensure(times.into_iter().all(|time| is_none_or(time, is_amount)), "mean service time or probe time")?;
+        let first_report_is_valid = is_none_or(all.first_report_age, is_amount);
+        ensure(
+            is_none_or(all.mean_service_time, is_positive_amount) && first_report_is_valid,
+            "mean service time or age of the first report",
+        )
     }
 }
 
 impl Balancer {
-    /// What has been learnt up to now.
+    /// The current estimates.
     pub fn snapshot(&self, now: Millis) -> Snapshot {
-        let (seen, now) = (&self.estimates, now.max(self.now));
-        let age = |at: Millis| (now - at).clamp(0.0, MOST);
+        let (estimates, now) = (&self.estimates, now.max(self.now));
+        let age = |at: Millis| (now - at).clamp(0.0, MAX_VALUE);
+        let class =
+            |class: &ClassEstimates| (class.service_time, class.samples.min(MAX_VALUE), class.refused_share);
         Snapshot {
-            servers: self.upstreams.iter().map(|(id, u)| (id.0, ServerSnapshot::of(u, now))).collect(),
+            servers: self
+                .upstreams
+                .iter()
+                .map(|(id, upstream)| (id.0, ServerSnapshot::of(upstream, now)))
+                .collect(),
             all: SharedSnapshot {
-                classes: seen
-                    .classes
-                    .iter()
-                    .map(|s| (s.service_time, s.samples.min(MOST), s.refused_share))
-                    .collect(),
-                kinds: seen.kinds.iter().map(|(id, kind)| (id.0, KindSnapshot::of(kind))).collect(),
-                fleet: KindSnapshot::of(&seen.fleet),
-                refused: seen.refused_share,
-                // Two may retry now, as often as one.
-                retry_tokens: (seen.retry_tokens / 2.0).max(0.0),
-                room_scale: seen.wait_scale,
-                usual_density: seen.mean_density,
-                tenant_shares: seen.tenant_shares.clone(),
-                lateness: seen.late_report_share,
-                usual_service: seen.mean_service_time,
-                probe_time: seen.probe_time,
-                first: seen.first_report_at.map(age),
+                classes: estimates.classes.iter().map(class).collect(),
+                kinds: estimates.kinds.iter().map(|(id, kind)| (id.0, KindSnapshot::of(kind))).collect(),
+                fleet: KindSnapshot::of(&estimates.fleet),
+                refused_share: estimates.refused_share,
+                // Both processes may retry from now on, together as often as one.
+                retry_tokens: (estimates.retry_tokens / 2.0).max(0.0),
+                wait_scale: estimates.wait_scale,
+                mean_density: estimates.mean_density,
+                tenant_shares: estimates.tenant_shares.clone(),
+                late_report_share: estimates.late_report_share,
+                mean_service_time: estimates.mean_service_time,
+                probe_time: estimates.probe_time,
+                first_report_age: estimates.first_report_at.map(age),
             },
         }
     }
 
-    /// Goes on from what another has learnt. Servers that are not listed here are passed over.
+    /// Replaces the estimates by those of a snapshot. Servers that are not listed here are ignored.
     ///
-    /// # Errors
-    /// It is of other classes or tenants, or a figure in it is absurd: then nothing of it is taken.
-    pub fn restore(&mut self, now: Millis, memory: &Snapshot) -> Result<(), SnapshotError> {
-        memory.check(self.estimates.classes.len(), self.estimates.tenant_shares.len())?;
+    /// # Errors The snapshot has other classes or tenants, too many entries or a value out of range. Nothing
+    /// of it is restored.
+    pub fn restore(&mut self, now: Millis, snapshot: &Snapshot) -> Result<(), SnapshotError> {
+        snapshot.validate(self.estimates.classes.len(), self.estimates.tenant_shares.len())?;
         self.now = self.now.max(now);
         let now = self.now;
-        for (id, server) in &memory.servers {
+        for (id, server) in &snapshot.servers {
             self.upstreams.update(UpstreamId(*id), |upstream| server.restore(upstream, now));
         }
-        let (all, seen) = (&memory.all, &mut self.estimates);
-        let service = |(time, samples, refused): &(f64, f64, f64)| ClassEstimates {
-            service_time: *time,
+        let (all, estimates) = (&snapshot.all, &mut self.estimates);
+        let class = |(service_time, samples, refused_share): &(f64, f64, f64)| ClassEstimates {
+            service_time: *service_time,
             samples: *samples,
-            refused_share: *refused,
-            ..ClassEstimates::new(*time)
+            refused_share: *refused_share,
+            ..ClassEstimates::new(*service_time)
         };
-        seen.classes = all.classes.iter().map(service).collect();
-        seen.kinds = all.kinds.iter().map(|(id, kind)| (KindId(*id), kind.kind())).collect();
-        seen.fleet = all.fleet.kind();
-        seen.refused_share = all.refused;
-        seen.retry_tokens = all.retry_tokens.min(seen.retry_tokens);
-        seen.wait_scale = all.room_scale;
-        seen.mean_density = all.usual_density;
-        seen.tenant_shares.clone_from(&all.tenant_shares);
-        seen.late_report_share = all.lateness;
-        seen.mean_service_time = all.usual_service;
-        seen.probe_time = all.probe_time;
-        seen.first_report_at = all.first.map(|age| now - age);
+        estimates.classes = all.classes.iter().map(class).collect();
+        estimates.kinds = all.kinds.iter().map(|(id, kind)| (KindId(*id), kind.estimates())).collect();
+        estimates.fleet = all.fleet.estimates();
+        estimates.refused_share = all.refused_share;
+        estimates.retry_tokens = all.retry_tokens.min(estimates.retry_tokens);
+        estimates.wait_scale = all.wait_scale;
+        estimates.mean_density = all.mean_density;
+        estimates.tenant_shares.clone_from(&all.tenant_shares);
+        estimates.late_report_share = all.late_report_share;
+        estimates.mean_service_time = all.mean_service_time;
+        estimates.probe_time = all.probe_time;
+        estimates.first_report_at = all.first_report_age.map(|age| now - age);
         Ok(())
     }
 }
