--- a/crates/decide/src/fleet.rs
+++ b/crates/decide/src/fleet.rs
@@ -32,7 +32,7 @@
 impl CandidateScope {
     /// The scope reduced to members of the subset. A cell stays whole: it has few servers, and only they know
     /// its keys.
-    pub fn within_subset(self) -> CandidateScope {
+    pub fn in_subset(self) -> CandidateScope {
         match self {
             CandidateScope::All => CandidateScope::Members,
             CandidateScope::Zone(zone) => CandidateScope::MembersInZone(zone),
@@ -329,7 +329,7 @@
     pub fn means(&self) -> FleetMeans {
         let mean =
             if self.reporting > 0 { self.log_other_in_flight_sum / self.reporting as f64 } else { 0.0 };
-        FleetMeans { in_flight: mean.max(0.0).exp_m1() }
+        FleetMeans { in_flight_from_others: mean.max(0.0).exp_m1() }
     }
 
     /// The expected number of members of a kind of machine, at least 1: members are assumed to be spread over
@@ -349,7 +349,7 @@
     pub fn warm_servers(&self, now: Millis, limits: &SlowStartLimits) -> WarmServers {
         let serving = self.entries.iter().flatten().filter(|entry| entry.server.serving);
         let ready = serving.filter(|entry| entry.server.health == Health::Ready);
-        let warmed_up = ready.filter(|entry| entry.server.warmth(now, limits) >= 1.0);
+        let warmed_up = ready.filter(|entry| entry.server.warm_up_fraction(now, limits) >= 1.0);
         let (mut weight, mut reports, mut utilisation_sum) = (0.0, 0.0, 0.0);
         for entry in warmed_up {
             weight += entry.server.weight;
@@ -379,7 +379,7 @@
         entry.last_list = self.list_count;
         let old_kind = entry.server.kind;
         self.subset_outdated |= entry.server.started != listing.started;
-        entry.server.relist(listing);
+        entry.server.update_from_listing(listing);
         if entry.locality != locality {
             self.ranked[entry.locality].remove(&(entry.position, slot));
             entry.locality = locality;
@@ -736,19 +736,19 @@
                     let sent = OutstandingSend { class: ClassId(0), sent: now, depth: 1.0, wait: 1.0 };
                     let serving = fleet.get(id).is_some_and(|server| server.serving);
                     if serving {
-                        fleet.update(id, |server| server.enter(number, sent));
+                        fleet.update(id, |server| server.add_send(number, sent));
                     }
                 }
                 5 | 6 => {
                     fleet.update(id, |server| {
                         let oldest = server.outstanding.oldest().map(|(number, _)| number);
-                        oldest.and_then(|number| server.take(number))
+                        oldest.and_then(|number| server.remove_send(number))
                     });
                     fleet.remove_if_gone(id);
                 }
                 7 => {
                     let (in_flight, unreported) = (rng.rand_float() * 20.0, (number + 1, 0));
-                    fleet.update(id, |server| server.reports(in_flight, now, now + 300.0, unreported));
+                    fleet.update(id, |server| server.record_report(in_flight, now, now + 300.0, unreported));
                 }
                 8 => {
                     let until = now + rng.rand_float() * 500.0;
--- a/crates/decide/src/slow_start.rs
+++ b/crates/decide/src/slow_start.rs
@@ -41,14 +41,14 @@
     /// The work that all sidecars together may send to a server that is warming up, in cores.
     fn allowance(&self, upstream: &Upstream) -> f64 {
         let limits = &self.settings.slow_start;
-        limits.overload_multiple * upstream.warmth(self.now, limits) * self.full_capacity(upstream)
+        limits.overload_multiple * upstream.warm_up_fraction(self.now, limits) * self.full_capacity(upstream)
     }
 
     /// Estimated capacity in cores that a server will have once it has warmed up, from its reports and those
     /// of its kind. Limited so that the most that may be sent in one overload window does not exceed the work
     /// that warmed-up servers are observed to carry for the same weight.
     fn full_capacity(&self, upstream: &Upstream) -> f64 {
-        let reported = self.kappa(upstream);
+        let reported = self.estimated_capacity(upstream);
         let sidecars = f64::from(self.settings.sidecars.max(1));
         let observed = self.estimates.observed_capacity.capacity(self.now, upstream.weight, sidecars);
         observed.map_or(reported, |observed| reported.min(observed / (RATE_SHARE + BURST_SHARE)))
@@ -56,10 +56,10 @@
 
     /// How a server counts for the subset of this sidecar.
     pub(crate) fn warm_up_status(&self, server: &Upstream) -> WarmUpStatus {
-        if self.outages.is_out(server.zone) {
+        if self.outages.is_unreachable(server.zone) {
             return WarmUpStatus::ZoneUnreachable;
         }
-        if server.warmth(self.now, &self.settings.slow_start) >= 1.0 {
+        if server.warm_up_fraction(self.now, &self.settings.slow_start) >= 1.0 {
             return WarmUpStatus::WarmedUp;
         }
         let owners = self.owner_count(server);
@@ -137,7 +137,7 @@
     /// capacity. Servers are examined in random order, those of this zone first where cross-zone traffic has
     /// a cost.
     pub(crate) fn find_warming_up_server(&mut self, request: &PendingRequest) -> Option<Candidate> {
-        let (scope, context) = (self.reach(request)?.within_subset(), self.view(request));
+        let (scope, context) = (self.candidate_scope(request)?.in_subset(), self.selection_context(request));
         let same_zone = CandidateScope::MembersInZone(self.settings.zone);
         let same_zone_first =
             (scope == CandidateScope::Members && context.same_zone_limit != 0.0).then_some(same_zone);
@@ -145,9 +145,9 @@
             let mut sampler = CandidateSampler::new(&self.upstreams, scope, false);
             for _ in 0..MAX_EXAMINED {
                 let Some(slot) = sampler.next(&mut self.upstreams, &mut self.rng) else { break };
-                let candidate = self.look(slot, request, &context);
+                let candidate = self.examine(slot, request, &context);
                 let Some(candidate) =
-                    candidate.filter(|c| c.healthy && c.warm_up_fraction < 1.0 && context.has_room(c))
+                    candidate.filter(|c| c.healthy && c.warm_up_fraction < 1.0 && context.has_capacity(c))
                 else {
                     continue;
                 };
--- a/crates/decide/tests/common/mod.rs
+++ b/crates/decide/tests/common/mod.rs
@@ -1,14 +1,14 @@
-//! A small stage for the module: settings, servers and events, without any bench.
+//! A harness that drives one decision module: settings, a server list and events.
 #![allow(dead_code)]
 
 use sagemast_decide::Balancer;
 use sagemast_decide::api::*;
 
-pub const REPEATABLE: ClassId = ClassId(0);
-pub const BY_CELL: ClassId = ClassId(1);
-pub const ONCE: ClassId = ClassId(2);
-pub const BY_ZONE: ClassId = ClassId(3);
-pub const BY_ALL: ClassId = ClassId(4);
+pub const IDEMPOTENT: ClassId = ClassId(0);
+pub const KEYED_BY_CELL: ClassId = ClassId(1);
+pub const NON_IDEMPOTENT: ClassId = ClassId(2);
+pub const KEYED_BY_ZONE: ClassId = ClassId(3);
+pub const KEYED_BY_ALL: ClassId = ClassId(4);
 
 pub fn class(effect: Effect) -> Class {
     Class { aim: 200.0, worth: 1.0, late_worth: 0.0, effect }
@@ -66,26 +66,26 @@
     }
 }
 
-/// Drives one module and keeps what it did last.
-pub struct Stage {
+/// One decision module and the time of its next event.
+pub struct Harness {
     pub balancer: Balancer,
     pub now: Millis,
-    next: u64,
+    last_request: u64,
 }
 
-impl Stage {
-    pub fn new(settings: Settings, servers: Vec<Listing>) -> Stage {
-        Stage::seeded(settings, servers, 7)
+impl Harness {
+    pub fn new(settings: Settings, servers: Vec<Listing>) -> Harness {
+        Harness::seeded(settings, servers, 7)
     }
 
-    pub fn seeded(settings: Settings, servers: Vec<Listing>, seed: u64) -> Stage {
-        let mut stage = Stage { balancer: Balancer::new(settings, seed), now: 1_000.0, next: 0 };
-        stage.event(Event::ListReceived(ListUpdate::Restored(servers)));
-        stage
+    pub fn seeded(settings: Settings, servers: Vec<Listing>, seed: u64) -> Harness {
+        let mut harness = Harness { balancer: Balancer::new(settings, seed), now: 1_000.0, last_request: 0 };
+        harness.event(Event::ListReceived(ListUpdate::Restored(servers)));
+        harness
     }
 
-    /// Reports the same from all these servers for long enough to be believed.
-    pub fn settle(&mut self, ids: &[u64], in_flight: f64, utilisation: f64) {
+    /// Reports the same load from all these servers for long enough to be used for estimates of capacity.
+    pub fn report_steadily(&mut self, ids: &[u64], in_flight: f64, utilisation: f64) {
         for _ in 0..40 {
             self.now += 50.0;
             ids.iter().for_each(|id| self.report(*id, in_flight, utilisation));
@@ -93,20 +93,20 @@
     }
 
     pub fn event(&mut self, event: Event) -> Vec<Action> {
-        let mut out = Vec::new();
-        self.balancer.handle(self.now, event, &mut out);
-        out
+        let mut actions = Vec::new();
+        self.balancer.handle(self.now, event, &mut actions);
+        actions
     }
 
-    /// A request comes in; its id and what was done. Where it is held for probes, none is answered.
+    /// Lets a request arrive. Returns its id and the actions; if it waits for probes, these go unanswered.
     pub fn arrive(&mut self, class: ClassId) -> (RequestId, Vec<Action>) {
-        self.next += 1;
-        let request = RequestId(self.next);
+        self.last_request += 1;
+        let request = RequestId(self.last_request);
         let event = Event::RequestArrived { request, class, tenant: TenantId(0), time_left: 500.0 };
         let mut actions = self.event(event);
-        let mine =
+        let is_its_timer =
             |action: &Action| matches!(action, Action::SetTimer { token, .. } if *token == request.0 >> 1);
-        while actions.last().is_some_and(mine) {
+        while actions.last().is_some_and(is_its_timer) {
             actions.extend(self.event(Event::TimerFired(request.0 >> 1)));
         }
         (request, actions)
@@ -132,18 +132,18 @@
     }
 
     pub fn report(&mut self, id: u64, in_flight: f64, utilisation: f64) {
-        self.probed(id, in_flight, utilisation);
+        self.answer_probe(id, in_flight, utilisation);
     }
 
-    /// The same, with what was done upon it.
-    pub fn probed(&mut self, id: u64, in_flight: f64, utilisation: f64) -> Vec<Action> {
+    /// The same, with the resulting actions.
+    pub fn answer_probe(&mut self, id: u64, in_flight: f64, utilisation: f64) -> Vec<Action> {
         let report =
             Report { in_flight: Some(in_flight), utilisation: Some(utilisation), ..Report::default() };
         self.event(Event::ProbeFinished { upstream: UpstreamId(id), answered: true, report: Some(report) })
     }
 }
 
-/// Where the first send among these actions goes.
+/// The server of the first attempt among these actions.
 pub fn sent_to(actions: &[Action]) -> Option<UpstreamId> {
     actions.iter().find_map(|action| match action {
         Action::Send { upstream, .. } => Some(*upstream),
--- a/crates/decide/tests/deployments.rs
+++ b/crates/decide/tests/deployments.rs
@@ -8,11 +8,11 @@
 /// Sends 300 requests and answers each attempt, with a report in the answer if `report_in_answer`. Returns
 /// the numbers of requests served and of probes.
 fn serve(settings: Settings, servers: Vec<Listing>, report_in_answer: bool) -> (usize, usize) {
-    let mut stage = Stage::new(settings, servers);
+    let mut stage = Harness::new(settings, servers);
     let (mut served, mut probes) = (0, 0);
     for _ in 0..300 {
         stage.now += 30.0;
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         probes += actions.iter().filter(|action| matches!(action, Action::Probe(_))).count();
         let Some(upstream) = sent_to(&actions) else { continue };
         let report = Report { in_flight: Some(2.0), utilisation: Some(0.5), ..Report::default() };
@@ -57,8 +57,8 @@
     let mut settings = settings();
     settings.classes.clear();
     settings.sidecars = 0;
-    let mut stage = Stage::new(settings, vec![listing(1)]);
-    assert!(refused(&stage.arrive(REPEATABLE).1), "a request of an unknown class is refused");
+    let mut stage = Harness::new(settings, vec![listing(1)]);
+    assert!(refused(&stage.arrive(IDEMPOTENT).1), "a request of an unknown class is refused");
 }
 
 #[test]
--- a/crates/decide/tests/many_sidecars.rs
+++ b/crates/decide/tests/many_sidecars.rs
@@ -26,9 +26,9 @@
     let mut memberships = vec![0usize; SERVERS as usize];
     let mut largest_subset = 0;
     for rank in 0..SIDECARS {
-        let mut stage = Stage::new(settings_of(identity(rank), SIDECARS), listings());
+        let mut stage = Harness::new(settings_of(identity(rank), SIDECARS), listings());
         // The subset is determined by the first request.
-        let _ = stage.arrive(REPEATABLE);
+        let _ = stage.arrive(IDEMPOTENT);
         let members: Vec<u64> = (0..SERVERS).filter(|id| stage.balancer.is_member(UpstreamId(*id))).collect();
         largest_subset = largest_subset.max(members.len());
         members.into_iter().for_each(|id| memberships[id as usize] += 1);
@@ -58,10 +58,10 @@
 #[test]
 fn single_sidecar_sends_to_all_servers() {
     for identity in [Identity::Anonymous, Identity::Ranked { rank: 0, count: 1 }] {
-        let mut stage = Stage::new(settings_of(identity, 1), listings());
+        let mut stage = Harness::new(settings_of(identity, 1), listings());
         let mut used = HashSet::new();
         for _ in 0..60 * SERVERS {
-            let (request, actions) = stage.arrive(REPEATABLE);
+            let (request, actions) = stage.arrive(IDEMPOTENT);
             if let Some(upstream) = sent_to(&actions) {
                 used.insert(upstream);
                 stage.finish(request, 0, upstream, Outcome::Ok, 5.0);
--- a/crates/decide/tests/new_fleet.rs
+++ b/crates/decide/tests/new_fleet.rs
@@ -77,7 +77,7 @@
         let (sidecar, request) = (rng.rand_range(0..u64::from(sidecars)) as usize, RequestId(number));
         let mut actions = Vec::new();
         let event =
-            Event::RequestArrived { request, class: REPEATABLE, tenant: TenantId(0), time_left: 4_000.0 };
+            Event::RequestArrived { request, class: IDEMPOTENT, tenant: TenantId(0), time_left: 4_000.0 };
         balancers[sidecar].handle(now, event, &mut actions);
         for action in actions {
             match action {
@@ -133,15 +133,15 @@
 #[test]
 fn new_servers_without_reports_are_used_while_old_ones_are_congested() {
     let settings = Settings { probe_cost: 1e9, ..settings() };
-    let mut stage = Stage::new(settings, (1..=4).map(listing).collect());
-    stage.settle(&[1, 2, 3, 4], 3.0, 0.75);
+    let mut stage = Harness::new(settings, (1..=4).map(listing).collect());
+    stage.report_steadily(&[1, 2, 3, 4], 3.0, 0.75);
     [1, 2, 3, 4].iter().for_each(|id| stage.report(*id, 40.0, 1.0));
     let new = (5..=12).map(|id| Listing { started: Some(stage.now), ..listing(id) }).collect();
     stage.event(Event::ListReceived(ListUpdate::Changed(new)));
     let mut sent = 0;
     for _ in 0..40 {
         stage.now += 5.0;
-        let (request, actions) = stage.arrive(REPEATABLE);
+        let (request, actions) = stage.arrive(IDEMPOTENT);
         if let Some(upstream) = sent_to(&actions) {
             assert!(upstream.0 > 4, "sent to a congested server");
             sent += 1;
--- a/crates/decide/tests/snapshot.rs
+++ b/crates/decide/tests/snapshot.rs
@@ -100,8 +100,8 @@
         let mut halved = serde_json::to_value(&snapshot).unwrap();
         halved["all"]["retry_tokens"] = (halved["all"]["retry_tokens"].as_f64().unwrap() / 2.0).into();
         assert_same(&serde_json::from_value(halved).unwrap(), &successor.snapshot(at));
-        assert_eq!(successor.avoided(), predecessor.avoided());
-        assert!(successor.avoided() > 0, "the third server is ejected");
+        assert_eq!(successor.ejected_count(), predecessor.ejected_count());
+        assert!(successor.ejected_count() > 0, "the third server is ejected");
     }
 }
 
@@ -113,7 +113,7 @@
         for number in 0..40 {
             let request = RequestId(1_000_000 + 2 * number);
             let event =
-                Event::RequestArrived { request, class: REPEATABLE, tenant: TenantId(0), time_left: 500.0 };
+                Event::RequestArrived { request, class: IDEMPOTENT, tenant: TenantId(0), time_left: 500.0 };
             balancer.handle(at + number as f64, event, &mut actions);
         }
         actions.iter().filter(|a| matches!(a, Action::Send { upstream: UpstreamId(3), .. })).count()
@@ -146,7 +146,7 @@
             let (now, request) = (number as f64, RequestId(2 * number + 2));
             actions.clear();
             let arrival =
-                Event::RequestArrived { request, class: REPEATABLE, tenant: TenantId(0), time_left: 500.0 };
+                Event::RequestArrived { request, class: IDEMPOTENT, tenant: TenantId(0), time_left: 500.0 };
             balancer.handle(now, arrival, &mut actions);
             let chosen = actions.iter().find_map(|action| match action {
                 Action::Send { upstream, .. } => Some(*upstream),
