--- a/crates/decide/src/api.rs
+++ b/crates/decide/src/api.rs
@@ -140,7 +140,7 @@
         /// The number of sidecars.
         count: u32,
     },
-    /// By a hash of its name ([`crate::subset::key`]), which stays the same after a restart.
+    /// By a hash of its name ([`crate::subset::name_key`]), which stays the same after a restart.
     Named(u64),
 }
 
@@ -199,7 +199,7 @@
     pub weight: f64,
     /// When its incarnation started; `None` if long ago.
     pub started: Option<Millis>,
-    /// A hash of its name, the same at every sidecar ([`crate::subset::key`]).
+    /// A hash of its name, the same at every sidecar ([`crate::subset::name_key`]).
     pub key: u64,
 }
 
--- a/crates/decide/src/fleet.rs
+++ b/crates/decide/src/fleet.rs
@@ -59,7 +59,7 @@
 const WARM_UP_REVIEW_INTERVAL: Millis = 250.0;
 /// Where cross-zone traffic has a cost, the number of members in other zones as a share of the target size.
 const CROSS_ZONE_MEMBER_SHARE: f64 = 0.5;
-/// Members that may receive requests, where that many servers exist: a pair to choose from.
+/// Minimum number of members, if there are that many servers: a pair to choose from.
 const MIN_MEMBERS: usize = 2;
 
 /// How a server counts for the subset of this sidecar.
--- a/crates/decide/src/slow_start.rs
+++ b/crates/decide/src/slow_start.rs
@@ -14,7 +14,7 @@
 const RATE_SHARE: f64 = 0.4;
 /// The work that may be saved up, as a share of the allowance in one overload window.
 const BURST_SHARE: f64 = 0.25;
-/// Minimum number of sidecars that own a server that is warming up: some may have little traffic, or die.
+/// Minimum number of sidecars that own a server that is warming up: some may have little traffic, or fail.
 const MIN_OWNERS: u32 = 4;
 /// Maximum number of servers examined for one request.
 const MAX_EXAMINED: usize = 24;
@@ -131,13 +131,12 @@
         self.upstreams.update(to.id, spend).unwrap_or(false)
     }
 
-    /// A server that is warming up, has capacity and allowance for a request, and whose allowance share is
-    /// counted in whole requests: an amount that is counted is kept however many requests arrive, one that is
-    /// left to chance is not. For requests whose sampled pair may not be used while no warmed-up server has
-    /// capacity. Servers are examined in random order, those of this zone first where cross-zone traffic has
-    /// a cost.
-    pub(crate) fn find_warming_up_server(&mut self, request: &PendingRequest) -> Option<Candidate> {
-        let (scope, context) = (self.candidate_scope(request)?.in_subset(), self.selection_context(request));
+    /// Finds a server that is warming up and may be sent a request, for when the sampled pair may not and no
+    /// warmed-up server has capacity. Same-zone servers come first where cross-zone traffic has a cost. Only
+    /// shares that cover whole requests qualify: counted requests keep to the allowance however many arrive,
+    /// requests admitted by chance do not.
+    pub(crate) fn find_warming_up_server(&mut self, pending: &PendingRequest) -> Option<Candidate> {
+        let (scope, context) = (self.candidate_scope(pending)?.in_subset(), self.selection_context(pending));
         let same_zone = CandidateScope::MembersInZone(self.settings.zone);
         let same_zone_first =
             (scope == CandidateScope::Members && context.same_zone_limit != 0.0).then_some(same_zone);
@@ -145,18 +144,18 @@
             let mut sampler = CandidateSampler::new(&self.upstreams, scope, false);
             for _ in 0..MAX_EXAMINED {
                 let Some(slot) = sampler.next(&mut self.upstreams, &mut self.rng) else { break };
-                let candidate = self.examine(slot, request, &context);
+                let candidate = self.examine(slot, pending, &context);
                 let Some(candidate) =
                     candidate.filter(|c| c.healthy && c.warm_up_fraction < 1.0 && context.has_capacity(c))
                 else {
                     continue;
                 };
                 let is_counted = self
-                    .allowance_share(&candidate, request.class)
+                    .allowance_share(&candidate, pending.class)
                     .is_some_and(|share| share.covers_request());
                 if is_counted
-                    && self.may_cross(request.class, &candidate)
-                    && self.try_spend_allowance(&candidate, request.class, 1.0)
+                    && self.may_cross(pending.class, &candidate)
+                    && self.try_spend_allowance(&candidate, pending.class, 1.0)
                 {
                     return Some(Candidate {
                         exemption: Some(BudgetExemption::Full).filter(|_| !candidate.same_zone),
--- a/crates/decide/src/subset.rs
+++ b/crates/decide/src/subset.rs
@@ -1,5 +1,5 @@
 //! The ranking of servers by one sidecar and the target size of its subset. Pure values; the members follow
-//! in [`crate::fleet`].
+//! in the module `fleet`.
 //!
 //! Every server has its own order of all sidecars, derived from its name, and a sidecar takes the servers in
 //! whose order it comes early. A server therefore has a fixed number of first sidecars, its owners, whatever
