--- a/crates/decide/src/estimates.rs
+++ b/crates/decide/src/estimates.rs
@@ -10,8 +10,8 @@
 
 /// Minimum decay time of the estimate of a server while it gets no new samples.
 const MIN_DECAY_TIME: Millis = 2_000.0;
-/// Between the two times, the estimate of a server decays over this number of samples from each member of its
-/// kind.
+/// Samples from each member of its kind over which the estimate of a server decays, within the two limits of
+/// time.
 const DECAY_ROUNDS: f64 = 10.0;
 /// Maximum decay time of the estimate of a server: about as long as incidents last.
 const MAX_DECAY_TIME: Millis = 20_000.0;
--- a/crates/decide/src/fleet.rs
+++ b/crates/decide/src/fleet.rs
@@ -577,6 +577,7 @@
             let Some(group) = self.groups.get_mut(&scope) else { continue };
             let slots = group.slots_mut(is_ready);
             slots.swap_remove(indices[number]);
+            // The last server of the group has taken the vacated index.
             let moved = slots.get(indices[number]).copied();
             if group.ready.is_empty() && group.ejected.is_empty() {
                 self.groups.remove(&scope);
--- a/crates/decide/src/snapshot.rs
+++ b/crates/decide/src/snapshot.rs
@@ -4,7 +4,7 @@
 //!
 //! Attempts in flight are not part of it: a request stays with the process that accepted it. Neither is the
 //! credit for servers that are warming up: after a restore, a process starts without credit and earns its
-//! own.
+//! own. Serialized names must not change, since the two processes may be of different versions.
 
 use std::fmt;
 
@@ -297,8 +297,9 @@
 
     /// Replaces the estimates by those of a snapshot. Servers that are not listed here are ignored.
     ///
-    /// # Errors The snapshot has other classes or tenants, too many entries or a value out of range. Nothing
-    /// of it is restored.
+    /// # Errors
+    /// The snapshot has other classes or tenants, too many entries or a value out of range. Nothing of it is
+    /// restored.
     pub fn restore(&mut self, now: Millis, snapshot: &Snapshot) -> Result<(), SnapshotError> {
         snapshot.validate(self.estimates.classes.len(), self.estimates.tenant_shares.len())?;
         self.now = self.now.max(now);
--- a/crates/decide/src/subset.rs
+++ b/crates/decide/src/subset.rs
@@ -2,8 +2,8 @@
 //! in the module `fleet`.
 //!
 //! Every server has its own order of all sidecars, derived from its name, and a sidecar takes the servers in
-//! whose order it comes early. A server therefore has a fixed number of first sidecars, its owners, whatever
-//! other servers come and go, and sidecars have to agree on nothing but their number.
+//! whose order it comes early. The first sidecars in a server's order are its owners. Their number does not
+//! depend on other servers that come and go, and sidecars have to agree on nothing but how many they are.
 
 use crate::api::{Identity, Millis};
 
