--- a/crates/decide/tests/new_fleet.rs
+++ b/crates/decide/tests/new_fleet.rs
@@ -119,8 +119,8 @@
                     limits.overload_multiple * warm_up_fraction(at) * CORES * limits.overload_window;
                 assert!(
                     work <= allowance + 4.0 * WORK,
-                    "{work} ms of work sent, allowance {allowance} ms, at {at} ms: {sidecars} sidecars, {rate} \
-                     requests per second"
+                    "{work} ms of work sent, allowance {allowance} ms, at {at} ms: {sidecars} sidecars, \
+                     {rate} requests per second"
                 );
             }
         }
--- a/crates/decide/tests/snapshot.rs
+++ b/crates/decide/tests/snapshot.rs
@@ -1,5 +1,5 @@
-//! A snapshot passes all estimates to a successor, independently of both clocks, and implausible snapshots are
-//! rejected.
+//! A snapshot passes all estimates to a successor, independently of both clocks, and implausible snapshots
+//! are rejected.
 
 mod common;
 
--- a/crates/decide/tests/spread.rs
+++ b/crates/decide/tests/spread.rs
@@ -356,8 +356,8 @@
 }
 
 /// Pairs are sampled uniformly by design: of two small servers one is used, however idle the large ones are.
-/// That cost 18 % and a factor of 3.6 when the bounds were set. With random choice, the queues of small servers
-/// grow throughout the run.
+/// That cost 18 % and a factor of 3.6 when the bounds were set. With random choice, the queues of small
+/// servers grow throughout the run.
 #[test]
 fn answer_time_stays_bounded_on_very_unequal_servers() {
     let [balancer, least_loaded, random, round_robin] =
