--- a/crates/sidecar/src/messages.rs
+++ b/crates/sidecar/src/messages.rs
@@ -127,7 +127,7 @@
 impl AttemptInfo {
     /// The time limits from which the bounds of its states are derived.
     pub fn times(&self) -> AttemptTimes {
-        AttemptTimes { connect_by: self.connect_by, until: self.attempt_deadline }
+        AttemptTimes { connect_by: self.connect_by, times_out_at: self.attempt_deadline }
     }
 }
 
