--- a/crates/decide/tests/health.rs
+++ b/crates/decide/tests/health.rs
@@ -252,7 +252,7 @@
     settings.slow_start.warm_up = 100_000.0;
     let mut harness = Harness::new(settings, vec![listing(1), listing(2)]);
     harness.report_steadily(&[1, 2], 0.8, 0.1);
-    let (mut to_cold, mut started) = (0, f64::INFINITY);
+    let (mut to_warming_up, mut started) = (0, f64::INFINITY);
     for round in 0..120 {
         if round == 40 {
             started = harness.now;
@@ -265,13 +265,14 @@
         harness.report(2, 0.5, 0.06);
         let (request, actions) = harness.arrive(IDEMPOTENT);
         let to = sent_to(&actions).expect("a server has capacity");
-        let is_cold = to == UpstreamId(2) && round >= 40;
-        to_cold += usize::from(is_cold);
-        let latency = if is_cold { 20.0 / (0.2 + 0.8 * (harness.now - started) / 100_000.0) } else { 20.0 };
+        let is_warming_up = to == UpstreamId(2) && round >= 40;
+        to_warming_up += usize::from(is_warming_up);
+        let latency =
+            if is_warming_up { 20.0 / (0.2 + 0.8 * (harness.now - started) / 100_000.0) } else { 20.0 };
         harness.now += latency;
         harness.finish(request, 0, to, Outcome::Ok, latency);
     }
-    assert!(to_cold > 3, "only {to_cold} went to the server that is warming up");
+    assert!(to_warming_up > 3, "only {to_warming_up} went to the server that is warming up");
     harness.report(1, 6.0, 0.75);
     harness.report(2, 20.0, 1.0);
     assert_eq!(sent_to(&harness.arrive(IDEMPOTENT).1), Some(UpstreamId(1)));
--- a/crates/decide/tests/rules.rs
+++ b/crates/decide/tests/rules.rs
@@ -201,13 +201,13 @@
 fn sidecars_together_keep_within_the_allowance_of_a_warming_up_server_and_use_it() {
     const SERVERS: u64 = 10;
     const SERVICE_TIME: Millis = 30.0;
-    for (sidecars, first_cold) in [(5, 10), (200, 10), (1_000, 10), (200, 1)] {
+    for (sidecars, first_warming_up) in [(5, 10), (200, 10), (1_000, 10), (200, 1)] {
         let mut settings = settings();
         settings.sidecars = sidecars;
         settings.limits.probes = false;
         let start = 1_000.0;
         let servers: Vec<Listing> = (1..=SERVERS)
-            .map(|id| Listing { started: (id >= first_cold).then_some(start), ..listing(id) })
+            .map(|id| Listing { started: (id >= first_warming_up).then_some(start), ..listing(id) })
             .collect();
         let (window, multiple) = (settings.slow_start.overload_window, settings.slow_start.overload_multiple);
         // Each server does one request at a time; the load is nine tenths of the capacity of all.
@@ -226,11 +226,14 @@
                 harness.now += gap;
             }
         }
-        for id in first_cold..=SERVERS {
+        for id in first_warming_up..=SERVERS {
             let mut times: Vec<Millis> = sends.iter().filter(|s| s.0.0 == id).map(|s| s.1).collect();
             times.sort_by(f64::total_cmp);
             // Beside idle warm servers it may get no work, but where all are warming up, each must.
-            assert!(first_cold > 1 || !times.is_empty(), "{sidecars} sidecars: server {id} gets no work");
+            assert!(
+                first_warming_up > 1 || !times.is_empty(),
+                "{sidecars} sidecars: server {id} gets no work"
+            );
             for from in &times {
                 let sent = times.iter().filter(|t| (*from..from + window).contains(*t)).count() as f64
                     * SERVICE_TIME;
