--- a/crates/sidecar/src/discovery.rs
+++ b/crates/sidecar/src/discovery.rs
@@ -92,8 +92,8 @@
         loop {
             let Err(error) = self.watch_once().await;
             self.log.line(format!("discovery: {error:#}"));
-            // Only an unresponsive watch is reopened at once. Calls are counted from its last sign of life
-            // until one is answered.
+            // Only an unresponsive watch is reopened at once. Its retries are counted from its last sign of
+            // life, so that the count starts anew once a reopened watch shows one.
             let Some(silent_since) = self.silent_since else { break };
             if retries_count_from.replace(silent_since) != Some(silent_since) {
                 retries = 0;
@@ -135,8 +135,8 @@
         end
     }
 
-    /// Reads a watch until it ends. Only a complete item is a sign of life, since a stream may bring
-    /// incomplete ones forever.
+    /// Reads a watch until it ends. Only a fully received item is a sign of life, since a stream may bring
+    /// partial ones forever.
     async fn read_stream(&mut self, mut body: Incoming, stream: &mut JsonStream) -> Result<Infallible> {
         let mut last_item_at = Instant::now();
         loop {
--- a/crates/sidecar/src/upstream.rs
+++ b/crates/sidecar/src/upstream.rs
@@ -345,7 +345,7 @@
         return return_connection(Some(connection), attempt.upstream, attempt.incarnation, &events);
     }
     let (meter, local_port) = (connection.meter.clone(), connection.local_port);
-    let client_waits = attempt.client_deadline.saturating_duration_since(Instant::now());
+    let client_time_left = attempt.client_deadline.saturating_duration_since(Instant::now());
     meter.begin(Some((context.metrics.clone(), context.stall_timeout.clone())), write_conditions);
     let upload = body.upload().cloned();
     *request.body_mut() = match body {
@@ -411,7 +411,7 @@
                         }
                     });
                     let deadline = match upload.as_deref().map(Upload::fate) {
-                        Some(UploadState::Whole(received_at)) => received_at + client_waits,
+                        Some(UploadState::Whole(received_at)) => received_at + client_time_left,
                         _ => attempt.client_deadline,
                     };
                     let estimates = answer::StreamEstimates {
