--- a/crates/sidecar/src/connection.rs
+++ b/crates/sidecar/src/connection.rs
@@ -71,7 +71,7 @@
     /// Closes the connection. When this returns, the socket is closed and bytes that the kernel has not sent
     /// yet are discarded.
     pub async fn close(mut self) {
-        self.meter.abort();
+        self.meter.reset_on_close();
         self.task.abort();
         let _ = (&mut self.task).await;
     }
@@ -158,10 +158,10 @@
     async fn spare_idle_connections_are_closed_before_the_most_recently_used_one() {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let address = listener.local_addr().expect("a local address");
-        let budgets = Budgets::of(8);
+        let budgets = Budgets::with_connections(8);
         let (mut pool, mut accepted) = (Pool::default(), Vec::new());
         for _ in 0..3 {
-            let permit = budgets.permit(address).expect("a free permit");
+            let permit = budgets.upstream_permit(address).expect("a free permit");
             let connect_by = Instant::now() + Duration::from_secs(10);
             let connection = Connection::open(address, connect_by, permit).await.expect("a connection");
             accepted.push(listener.accept().await.expect("an accepted connection"));
--- a/crates/sidecar/src/upstream/tests.rs
+++ b/crates/sidecar/src/upstream/tests.rs
@@ -25,7 +25,7 @@
 /// A connection to this address, and an attempt for it.
 async fn open_connection(address: SocketAddr) -> (Connection, AttemptInfo) {
     let deadline = Instant::now() + LONG_TIMEOUT;
-    let permit = Budgets::of(1).permit(address).unwrap();
+    let permit = Budgets::with_connections(1).upstream_permit(address).unwrap();
     let connection = Connection::open(address, deadline, permit).await.unwrap();
     let attempt = AttemptInfo {
         request: RequestId(1),
@@ -86,7 +86,7 @@
 /// A request with a body of this length, as the driver would create it.
 fn post(length: usize) -> (Request<AttemptBody>, RequestBody) {
     let request = Request::post("/bill?k=1").header("host", "x").header("content-length", length);
-    (request.body(AttemptBody::empty()).unwrap(), RequestBody::Whole(Bytes::from(vec![b'x'; length])))
+    (request.body(AttemptBody::empty()).unwrap(), RequestBody::Buffered(Bytes::from(vec![b'x'; length])))
 }
 
 /// Whether these bytes contain a complete request by the rules of RFC 9112. Uses no code of the sidecar.
@@ -112,7 +112,7 @@
     let head = Request::get("/fetch").header("host", "x").body(AttemptBody::empty()).unwrap();
     run_attempt(
         connection,
-        AttemptRequest { head, body: RequestBody::Whole(Bytes::new()), write_conditions: None },
+        AttemptRequest { head, body: RequestBody::Buffered(Bytes::new()), write_conditions: None },
         attempt,
         cancelled,
         attempt_context(),
@@ -166,7 +166,7 @@
         let (connection, attempt) = open_connection(address).await;
         let (received, sink) = collecting_sink();
         let (_cancel, cancelled) = oneshot::channel();
-        let body = RequestBody::Whole(Bytes::from(vec![b'x'; length]));
+        let body = RequestBody::Buffered(Bytes::from(vec![b'x'; length]));
         let request = AttemptRequest { head, body, write_conditions: None };
         run_attempt(connection, request, attempt, cancelled, attempt_context(), sink).await;
         let outcome = reported_outcome(&received);
@@ -249,7 +249,7 @@
         let accepted = client_listener.accept().unwrap().0;
         accepted.set_nonblocking(true).unwrap();
         let socket = Arc::new(Mutex::new(tokio::net::TcpStream::from_std(accepted).unwrap()));
-        let client_connection = ClientConnection::of(&socket);
+        let client_connection = ClientConnection::from_stream(&socket);
         let connected_client = (!disconnects).then_some(client);
         let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
         let (connection, mut attempt) = open_connection(listener.local_addr().unwrap()).await;
@@ -259,7 +259,7 @@
         attempt.attempt_deadline = Instant::now() + Duration::from_millis(100);
         let (head, body) = post(90);
         let write_conditions =
-            Some(WriteConditions { client: client_connection, until: attempt.attempt_deadline });
+            Some(WriteConditions { client: client_connection, expires_at: attempt.attempt_deadline });
         let request = AttemptRequest { head, body, write_conditions };
         run_attempt(connection, request, attempt, cancelled, attempt_context(), sink).await;
         let mut arrived = Vec::new();
@@ -296,7 +296,7 @@
             let _ = stream.shutdown(Shutdown::Both);
         });
         let context = attempt_context();
-        let taken_permit = is_full.then(|| context.transfers.take().expect("a free permit"));
+        let taken_permit = is_full.then(|| context.transfers.try_acquire().expect("a free permit"));
         let (received, sink) = collecting_sink();
         let (_cancel, cancelled) = oneshot::channel();
         let (head, body) = post(1);
