--- a/crates/sidecar/src/watch_liveness.rs
+++ b/crates/sidecar/src/watch_liveness.rs
@@ -19,7 +19,7 @@
 /// discovery is down the agent does not respond, and changes that it gets when discovery returns count as
 /// received at once. A call that hangs must therefore end well within the grace period of a drain.
 const LOCAL_AGENT_CALL_TIMEOUT: [Duration; 2] = [Duration::from_millis(100), Duration::from_millis(500)];
-/// First and longest wait between failed calls.
+/// Wait before a watch that received a list is reopened, and longest wait between failed calls.
 const BACK_OFF: [Duration; 2] = [Duration::from_millis(50), Duration::from_millis(200)];
 /// Sidecars that share a discovery service reopen unresponsive watches spread over this time, each at its own
 /// position. It is long enough to spread the calls, and short enough to leave time for a slow call after it.
@@ -40,7 +40,8 @@
     pub silence: Duration,
     /// Time for a call to be answered, connecting included.
     pub call: Duration,
-    /// First and longest wait between failed calls; each wait is twice the one before.
+    /// Wait before a watch that received a list is reopened, and longest wait between failed calls. Each wait
+    /// after a failed call is twice the one before.
     pub back_off: [Duration; 2],
 }
 
