--- a/crates/sidecar/src/upstream.rs
+++ b/crates/sidecar/src/upstream.rs
@@ -307,7 +307,7 @@
 pub struct AttemptContext {
     /// Log.
     pub log: Log,
-    /// Metrics to update.
+    /// Metrics, which count the attempts that were written completely and the answers that were not held.
     pub metrics: Arc<Metrics>,
     /// Timeout for answers that stall.
     pub stall_timeout: Arc<StallTimeout>,
