--- a/crates/cli/tests/answers_reach_clients.rs
+++ b/crates/cli/tests/answers_reach_clients.rs
@@ -24,9 +24,9 @@
 /// An upstream whose `bill` waits until the test lets go and whose other answers have this body.
 fn held_bills(go: &Arc<AtomicUsize>, body: Vec<u8>) -> Upstream {
     let go = go.clone();
-    Upstream::new(move |message| match message.line.starts_with("POST /bill") {
-        true => Deed::Wait(go.clone()),
-        false => Deed::Answer(200, "", body.clone()),
+    Upstream::new(move |message| match message.start_line.starts_with("POST /bill") {
+        true => ScriptedResponse::AnswerWhenReleased(go.clone()),
+        false => ScriptedResponse::Answer(200, "", body.clone()),
     })
 }
 
@@ -34,9 +34,11 @@
 
 /// Sends a `bill` that waits and four requests pipelined behind it, and waits until the first is out.
 fn pipeline_of_five(address: SocketAddr, upstream: &Upstream) -> Client {
-    let mut client = Client::to(address);
+    let mut client = Client::connect(address);
     client.send("bill", 6_000);
-    until("the first is out", || upstream.requests().iter().any(|m| m.line.starts_with("POST /bill")));
+    wait_until("the first is out", || {
+        upstream.requests().iter().any(|m| m.start_line.starts_with("POST /bill"))
+    });
     for class in ["fetch", "log", "fetch", "log"] {
         client.send(class, 6_000);
     }
@@ -48,7 +50,8 @@
 /// Five answers, and `Connection: close` on the last one at the earliest.
 fn assert_five_answers(client: &mut Client, when: &str) {
     for number in 0..5 {
-        let answer = client.read().unwrap_or_else(|| panic!("{when}: no answer to request {number} of 5"));
+        let answer =
+            client.read_answer().unwrap_or_else(|| panic!("{when}: no answer to request {number} of 5"));
         assert_eq!(answer.status(), 200, "{when}: request {number}");
         let closes = answer.header("connection") == Some("close");
         assert!(number == 4 || !closes, "{when}: request {number} of 5 closes the connection");
@@ -60,15 +63,15 @@
 fn pipelined_requests_are_all_answered_when_the_process_ends() {
     let go = Arc::new(AtomicUsize::new(0));
     let upstream = held_bills(&go, b"served".to_vec());
-    let (mut sidecar, _discovery) = Sidecar::with(&[&upstream]);
+    let (mut sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
     let mut client = pipeline_of_five(sidecar.address, &upstream);
     sidecar.signal("-TERM");
-    sidecar.wait_log("SIGTERM");
+    sidecar.wait_for_log("SIGTERM");
     std::thread::sleep(Duration::from_millis(100));
     go.store(1, Ordering::SeqCst);
     assert_five_answers(&mut client, "SIGTERM");
-    assert_eq!(client.read_to_close().expect("it is closed"), b"");
-    assert!(sidecar.wait_exit().success());
+    assert_eq!(client.read_until_close().expect("it is closed"), b"");
+    assert!(sidecar.wait_for_exit().success());
 }
 
 /// The same where operators empty the sidecar.
@@ -76,37 +79,38 @@
 fn pipelined_requests_are_all_answered_when_the_sidecar_is_evacuated() {
     let go = Arc::new(AtomicUsize::new(0));
     let upstream = held_bills(&go, b"served".to_vec());
-    let (sidecar, _discovery, console) = operated(&[&upstream]);
+    let (sidecar, _discovery, console) = start_with_console(&[&upstream]);
     let mut client = pipeline_of_five(sidecar.address, &upstream);
-    assert_eq!(call(console, "PUT", "/api/evacuate").0, 200);
+    assert_eq!(call_console(console, "PUT", "/api/evacuate").0, 200);
     std::thread::sleep(Duration::from_millis(1_400));
     go.store(1, Ordering::SeqCst);
     assert_five_answers(&mut client, "evacuation");
-    assert_eq!(client.read_to_close().expect("it is closed"), b"");
+    assert_eq!(client.read_until_close().expect("it is closed"), b"");
 }
 
 /// Who sends faster than it is answered does not hold an evacuation up.
 #[test]
 fn endless_pipelining_ends_with_the_evacuation() {
     let upstream = Upstream::new(|_| {
-        Deed::play(|stream| {
+        ScriptedResponse::custom(|stream| {
             std::thread::sleep(Duration::from_millis(8));
             stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved").is_ok()
         })
     });
-    let (sidecar, _discovery, console) = operated(&[&upstream]);
-    let mut client = Client::to(sidecar.address);
+    let (sidecar, _discovery, console) = start_with_console(&[&upstream]);
+    let mut client = Client::connect(sidecar.address);
     let mut writer = client.reader.get_ref().try_clone().unwrap();
     let sends = std::thread::spawn(move || {
         let start = Instant::now();
-        while start.elapsed() < FOREVER && writer.write_all(request("fetch", 60_000).as_bytes()).is_ok() {
+        while start.elapsed() < WAIT_TIMEOUT && writer.write_all(request("fetch", 60_000).as_bytes()).is_ok()
+        {
             std::thread::sleep(Duration::from_millis(2));
         }
     });
-    (0..20).for_each(|_| assert_eq!(client.read().expect("an answer").status(), 200));
-    assert_eq!(call(console, "PUT", "/api/evacuate").0, 200);
+    (0..20).for_each(|_| assert_eq!(client.read_answer().expect("an answer").status(), 200));
+    assert_eq!(call_console(console, "PUT", "/api/evacuate").0, 200);
     let evacuated = Instant::now();
-    while client.read().is_some() {
+    while client.read_answer().is_some() {
         assert!(evacuated.elapsed() < Duration::from_secs(4), "it still is answered 4 s after the call");
     }
     drop(client);
@@ -120,14 +124,14 @@
     let mut client = Client::with_receive_buffer(address, SMALL_RECEIVE_BUFFER_BYTES);
     let before = upstream.requests().len();
     client.send("fetch", 6_000);
-    until("it is answered", || upstream.requests().len() > before);
+    wait_until("it is answered", || upstream.requests().len() > before);
     std::thread::sleep(Duration::from_millis(150));
     client
 }
 
 /// Reads what is left unread, in small pieces.
 fn assert_whole(mut client: Client, body: &[u8], when: &str) {
-    let answer = client.read().unwrap_or_else(|| panic!("{when}: the answer is torn"));
+    let answer = client.read_answer().unwrap_or_else(|| panic!("{when}: the answer is torn"));
     assert_eq!(answer.status(), 200, "{when}");
     assert!(answer.body == body, "{when}: {} bytes of {}", answer.body.len(), body.len());
 }
@@ -137,11 +141,11 @@
 fn an_unread_answer_outlasts_the_close_of_its_connection() {
     let body = pattern(HELD_ANSWER_BYTES);
     let sent = body.clone();
-    let upstream = Upstream::new(move |_| Deed::Answer(200, "", sent.clone()));
-    let known = ready(&[&upstream]);
+    let upstream = Upstream::new(move |_| ScriptedResponse::Answer(200, "", sent.clone()));
+    let known = ready_server_list(&[&upstream]);
     let discovery = Discovery::new(&known);
-    let mut sidecar = Sidecar::start(&config("127.0.0.1:0", discovery.address, &known, 64, SETTINGS));
-    sidecar.wait_up();
+    let mut sidecar = Sidecar::start(&config_json("127.0.0.1:0", discovery.address, &known, 64, SETTINGS));
+    sidecar.wait_until_up();
     // 20 connections: one is evicted for whom comes after them, and quiet ones beyond a third are closed.
     let evicted: Vec<Client> = (0..24).map(|_| unread_answer(sidecar.address, &upstream)).collect();
     let idle = unread_answer(sidecar.address, &upstream);
@@ -151,18 +155,18 @@
     let ended = unread_answer(sidecar.address, &upstream);
     let mut late = Client::with_receive_buffer(sidecar.address, SMALL_RECEIVE_BUFFER_BYTES);
     sidecar.signal("-TERM");
-    sidecar.wait_log("SIGTERM");
+    sidecar.wait_for_log("SIGTERM");
     late.send("fetch", 6_000);
-    assert!(sidecar.wait_exit().success());
+    assert!(sidecar.wait_for_exit().success());
     assert_whole(ended, &body, "before SIGTERM, read after the exit");
     assert_whole(late, &body, "after SIGTERM, read after the exit");
 }
 
 /// Answers with this body after so long.
-fn answer_after(delay: Duration, body: &[u8]) -> Deed {
+fn answer_after(delay: Duration, body: &[u8]) -> ScriptedResponse {
     let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
     let answer = [head.as_bytes(), body].concat();
-    Deed::play(move |stream| {
+    ScriptedResponse::custom(move |stream| {
         std::thread::sleep(delay);
         stream.write_all(&answer).is_ok()
     })
@@ -181,19 +185,21 @@
             let (sent, turn) = (body.clone(), turn.clone());
             // Every other one is never answered.
             Upstream::new(move |message| {
-                match (message.line.starts_with("POST /bill"), turn.fetch_add(1, Ordering::SeqCst) % 2) {
-                    (false, _) => Deed::ok("served"),
+                match (message.start_line.starts_with("POST /bill"), turn.fetch_add(1, Ordering::SeqCst) % 2)
+                {
+                    (false, _) => ScriptedResponse::ok("served"),
                     (true, 0) => answer_after(Duration::from_millis(250), &sent),
-                    (true, _) => Deed::Silence,
+                    (true, _) => ScriptedResponse::Unresponsive,
                 }
             })
         })
         .collect();
     let settings = SETTINGS.replace(r#""aim":3000.0"#, r#""aim":400.0"#).replace("8000.0", "500.0");
-    let (mut sidecar, _discovery) = Sidecar::with_settings(&upstreams.iter().collect::<Vec<_>>(), &settings);
+    let (mut sidecar, _discovery) =
+        Sidecar::start_with_settings(&upstreams.iter().collect::<Vec<_>>(), &settings);
     let address = sidecar.address;
     sidecar.signal("-TERM");
-    sidecar.wait_log("SIGTERM");
+    sidecar.wait_for_log("SIGTERM");
     let begun = Instant::now();
     // Connections that have carried nothing are kept for half a second: the last requests come on them.
     std::thread::sleep(Duration::from_millis(400));
@@ -209,10 +215,10 @@
             client
         })
         .collect();
-    assert!(sidecar.wait_exit().success());
+    assert!(sidecar.wait_for_exit().success());
     let mut statuses = std::collections::BTreeMap::new();
     for (mut client, number) in clients.into_iter().zip(0..CLIENTS) {
-        let answer = client.read().unwrap_or_else(|| panic!("client {number}: no whole answer"));
+        let answer = client.read_answer().unwrap_or_else(|| panic!("client {number}: no whole answer"));
         assert!(answer.status() != 200 || answer.body == body, "client {number}");
         *statuses.entry(answer.status()).or_insert(0) += 1;
     }
@@ -241,9 +247,11 @@
         stream.write_all(request("bill", 6_000).as_bytes()).unwrap();
         let mut reader = std::io::BufReader::with_capacity(8 << 10, SlowReader(stream));
         match read_message(&mut reader) {
-            Some(answer) if answer.status() == 503 => assert!(start.elapsed() < FOREVER, "refused for good"),
+            Some(answer) if answer.status() == 503 => {
+                assert!(start.elapsed() < WAIT_TIMEOUT, "refused for good")
+            }
             Some(answer) if answer.body == body => return "whole".to_owned(),
-            Some(answer) => return answer.line,
+            Some(answer) => return answer.start_line,
             None => return "torn".to_owned(),
         }
     }
@@ -255,17 +263,17 @@
 fn the_end_of_a_long_answer_is_not_lost_to_a_newcomer() {
     let body = pattern(1_200_000);
     let sent = body.clone();
-    let upstream = Upstream::new(move |message| match message.line.starts_with("POST /bill") {
-        true => Deed::Answer(200, "", sent.clone()),
-        false => Deed::ok("served"),
+    let upstream = Upstream::new(move |message| match message.start_line.starts_with("POST /bill") {
+        true => ScriptedResponse::Answer(200, "", sent.clone()),
+        false => ScriptedResponse::ok("served"),
     });
-    let known = ready(&[&upstream]);
+    let known = ready_server_list(&[&upstream]);
     let discovery = Discovery::new(&known);
-    let sidecar = Sidecar::start(&config("127.0.0.1:0", discovery.address, &known, 64, SETTINGS));
-    sidecar.wait_up();
+    let sidecar = Sidecar::start(&config_json("127.0.0.1:0", discovery.address, &known, 64, SETTINGS));
+    sidecar.wait_until_up();
     let stop = AtomicBool::new(false);
     std::thread::scope(|scope| {
-        let asked = scope.spawn(|| crowd(sidecar.address, Duration::from_millis(4), &stop));
+        let asked = scope.spawn(|| connect_repeatedly(sidecar.address, Duration::from_millis(4), &stop));
         let readers: Vec<_> = (0..3)
             .map(|_| {
                 let (address, body) = (sidecar.address, &body);
@@ -284,22 +292,22 @@
     const REQUESTS: usize = 14;
     let body = pattern(HELD_ANSWER_BYTES);
     let sent = body.clone();
-    let upstream = Upstream::new(move |message| match message.line.starts_with("POST /log") {
-        true => Deed::Answer(200, "", sent.clone()),
-        false => Deed::ok("served"),
+    let upstream = Upstream::new(move |message| match message.start_line.starts_with("POST /log") {
+        true => ScriptedResponse::Answer(200, "", sent.clone()),
+        false => ScriptedResponse::ok("served"),
     });
-    let known = ready(&[&upstream]);
+    let known = ready_server_list(&[&upstream]);
     let discovery = Discovery::new(&known);
-    let sidecar = Sidecar::start(&config("127.0.0.1:0", discovery.address, &known, 64, SETTINGS));
-    sidecar.wait_up();
+    let sidecar = Sidecar::start(&config_json("127.0.0.1:0", discovery.address, &known, 64, SETTINGS));
+    sidecar.wait_until_up();
     let mut client = Client::with_receive_buffer(sidecar.address, SMALL_RECEIVE_BUFFER_BYTES);
     (0..REQUESTS).for_each(|_| client.send("log", 6_000));
     let stop = AtomicBool::new(false);
     std::thread::scope(|scope| {
-        let asked = scope.spawn(|| crowd(sidecar.address, Duration::from_millis(4), &stop));
+        let asked = scope.spawn(|| connect_repeatedly(sidecar.address, Duration::from_millis(4), &stop));
         std::thread::sleep(Duration::from_millis(1_500));
         let whole = (0..REQUESTS)
-            .map_while(|_| client.read())
+            .map_while(|_| client.read_answer())
             .filter(|answer| answer.status() == 200 && answer.body == body)
             .count();
         stop.store(true, Ordering::SeqCst);
@@ -312,17 +320,17 @@
 /// A long body is refused for want of room, with its head read and the rest still coming: the refusal arrives.
 #[test]
 fn a_refusal_reaches_a_client_that_still_sends_its_body() {
-    let upstream = Upstream::new(|_| Deed::Answer(200, "", vec![b'x'; 8 << 20]));
-    let known = ready(&[&upstream]);
+    let upstream = Upstream::new(|_| ScriptedResponse::Answer(200, "", vec![b'x'; 8 << 20]));
+    let known = ready_server_list(&[&upstream]);
     let discovery = Discovery::new(&known);
     // Room for four long bodies.
-    let text = config("127.0.0.1:0", discovery.address, &known, 1024, SETTINGS)
+    let text = config_json("127.0.0.1:0", discovery.address, &known, 1024, SETTINGS)
         .replace(r#""memory_mb":192"#, r#""memory_mb":8"#);
     let sidecar = Sidecar::start(&text);
-    sidecar.wait_up();
+    sidecar.wait_until_up();
     let unread: Vec<Client> = (0..4)
         .map(|_| {
-            let mut client = Client::to(sidecar.address);
+            let mut client = Client::connect(sidecar.address);
             client.send("fetch", 6_000);
             assert!(!client.reader.fill_buf().unwrap().is_empty(), "it has begun");
             client
@@ -330,12 +338,12 @@
         .collect();
     let asked = upstream.requests().len();
     for length in [70_000, 200_000, 1_000_000, 4_000_000] {
-        let mut client = Client::to(sidecar.address);
+        let mut client = Client::connect(sidecar.address);
         let head =
             request("bill", 6_000).replace("Content-Length: 4", &format!("Content-Length: {}", length + 4));
         client.write(head.as_bytes());
         client.write(&vec![b'x'; length]);
-        let answer = client.read().unwrap_or_else(|| panic!("{length} bytes: no answer"));
+        let answer = client.read_answer().unwrap_or_else(|| panic!("{length} bytes: no answer"));
         assert_eq!(answer.status(), 503, "{length} bytes");
     }
     assert_eq!(upstream.requests().len(), asked, "none of them was sent on");
@@ -347,8 +355,8 @@
 fn noise_behind_a_request_does_not_tear_its_answer() {
     let body = pattern(HELD_ANSWER_BYTES);
     let sent = body.clone();
-    let upstream = Upstream::new(move |_| Deed::Answer(200, "", sent.clone()));
-    let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
+    let upstream = Upstream::new(move |_| ScriptedResponse::Answer(200, "", sent.clone()));
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
     for noise in [1, 1_000, 60_000, 200_000] {
         let mut client = Client::with_receive_buffer(sidecar.address, SMALL_RECEIVE_BUFFER_BYTES);
         client.send("fetch", 6_000);
@@ -369,7 +377,7 @@
     let start = Instant::now();
     loop {
         let waiting = stream.peek(&mut room).unwrap();
-        assert!(waiting > 0 && start.elapsed() < FOREVER, "they come");
+        assert!(waiting > 0 && start.elapsed() < WAIT_TIMEOUT, "they come");
         let first = *first.get_or_insert_with(Instant::now);
         if waiting == bytes {
             client.reader.read_exact(&mut room).unwrap();
@@ -389,10 +397,10 @@
     const HELD_BACK: Duration = Duration::from_millis(25);
     // Longer than what is held whole: it goes on as it comes.
     let upstream = Upstream::new(|message| {
-        if !message.line.starts_with("POST /bill") {
-            return Deed::ok("served");
+        if !message.start_line.starts_with("POST /bill") {
+            return ScriptedResponse::ok("served");
         }
-        Deed::play(|stream| {
+        ScriptedResponse::custom(|stream| {
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", LONG_BYTES + 16 * PIECES);
             let begun = [head.as_bytes(), &[b'.'; LONG_BYTES]].concat();
             let sent = stream.set_nodelay(true).and_then(|()| stream.write_all(&begun));
@@ -404,12 +412,12 @@
             sent.and(pieces).is_ok()
         })
     });
-    let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
-    let mut client = Client::to(sidecar.address);
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
+    let mut client = Client::connect(sidecar.address);
     let mut times: Vec<Duration> = (0..ROUNDS)
         .map(|_| {
             // A client that asks and is answered acknowledges with what it sends next.
-            (0..4).for_each(|_| drop(client.ask("fetch")));
+            (0..4).for_each(|_| drop(client.exchange("fetch")));
             client.send("bill", 6_000);
             let mut head = String::new();
             while !head.ends_with("\r\n\r\n") {
--- a/crates/cli/tests/crossing.rs
+++ b/crates/cli/tests/crossing.rs
@@ -8,7 +8,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use loopback::{Deed, Upstream as Scripted};
+use loopback::{ScriptedResponse, Upstream as Scripted};
 use sagemast_daemon::frames::{Answer, Ask, CrossingReport, Outcome};
 use sagemast_pools::counts::Totals;
 use sagemast_sidecar::hosts::Health;
@@ -270,29 +270,31 @@
 fn a_single_sidecar_takes_limits_from_the_file_that_the_environment_names() {
     let file = folder().with_extension("toml");
     std::fs::write(&file, CLOSED).unwrap();
-    let upstream = Scripted::new(|_| Deed::ok("fine"));
-    let known = loopback::ready(&[&upstream]);
+    let upstream = Scripted::new(|_| ScriptedResponse::ok("fine"));
+    let known = loopback::ready_server_list(&[&upstream]);
     let discovery = loopback::Discovery::new(&known);
     // Its own zone is the second; the stand-in's upstreams are in the first.
     let settings = loopback::SETTINGS.replace("\"zone\":0", "\"zone\":1");
-    let config = loopback::config("127.0.0.1:0", discovery.address, &known, 1024, &settings);
-    let sidecar = loopback::Sidecar::start_in(&config, &[("SAGEMAST_POOLS", &file)]);
-    sidecar.wait_up();
-    let refused = loopback::Client::to(sidecar.address).ask("fetch");
+    let config = loopback::config_json("127.0.0.1:0", discovery.address, &known, 1024, &settings);
+    let sidecar = loopback::Sidecar::start_with_env(&config, &[("SAGEMAST_POOLS", &file)]);
+    sidecar.wait_until_up();
+    let refused = loopback::Client::connect(sidecar.address).exchange("fetch");
     assert_eq!(refused.status(), 503, "nobody near, and nothing may cross");
     std::fs::write(&file, BENDS).unwrap();
     sidecar.reload(&config);
-    sidecar.wait_log("SIGHUP: discovery is at");
-    loopback::until("it crosses", || loopback::Client::to(sidecar.address).ask("fetch").status() == 200);
+    sidecar.wait_for_log("SIGHUP: discovery is at");
+    loopback::wait_until("it crosses", || {
+        loopback::Client::connect(sidecar.address).exchange("fetch").status() == 200
+    });
     std::fs::write(&file, "nonsense").unwrap();
     sidecar.reload(&config);
-    sidecar.wait_log("the old configuration stays");
-    assert_eq!(loopback::Client::to(sidecar.address).ask("fetch").status(), 200);
+    sidecar.wait_for_log("the old configuration stays");
+    assert_eq!(loopback::Client::connect(sidecar.address).exchange("fetch").status(), 200);
     let mut sidecar = sidecar;
     sidecar.signal("-TERM");
-    assert!(sidecar.wait_exit().success());
-    sidecar.wait_log("crossing: fetch to ");
-    let mut ended = loopback::spawn_in(&config, &[("SAGEMAST_POOLS", &file)]);
+    assert!(sidecar.wait_for_exit().success());
+    sidecar.wait_for_log("crossing: fetch to ");
+    let mut ended = loopback::spawn_with_env(&config, &[("SAGEMAST_POOLS", &file)]);
     assert_eq!(ended.wait().unwrap().code(), Some(1), "a start with a faulty file");
     std::fs::remove_file(&file).unwrap();
 }
--- a/crates/cli/tests/deadlines.rs
+++ b/crates/cli/tests/deadlines.rs
@@ -29,42 +29,45 @@
 /// to some never come up, and to others they are refused.
 struct LostZone {
     upstreams: Vec<Upstream>,
-    clogged: Vec<Clogged>,
+    clogged: Vec<FullBacklogUpstream>,
 }
 
 impl LostZone {
     fn new() -> LostZone {
-        let silent = || Upstream::new(|_| Deed::Silence);
-        let stopped = || Upstream::new(|_| Deed::Raw(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"));
-        let unfinished = || Upstream::new(|_| Deed::Raw(b"HTTP/1.1 200 OK\r\n\r\nhalf"));
+        let silent = || Upstream::new(|_| ScriptedResponse::Unresponsive);
+        let stopped =
+            || Upstream::new(|_| ScriptedResponse::Raw(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf"));
+        let unfinished = || Upstream::new(|_| ScriptedResponse::Raw(b"HTTP/1.1 200 OK\r\n\r\nhalf"));
         let upstreams = vec![silent(), silent(), stopped(), unfinished()];
-        LostZone { upstreams, clogged: vec![Clogged::new(), Clogged::new()] }
+        LostZone { upstreams, clogged: vec![FullBacklogUpstream::new(), FullBacklogUpstream::new()] }
     }
 
     fn list(&self) -> String {
         let addresses = self.upstreams.iter().map(|upstream| upstream.address);
-        let addresses =
-            addresses.chain(self.clogged.iter().map(|clogged| clogged.address)).chain([free(), free()]);
+        let addresses = addresses
+            .chain(self.clogged.iter().map(|clogged| clogged.address))
+            .chain([free_address(), free_address()]);
         let named = addresses.enumerate();
-        let entries: Vec<String> = named.map(|(n, at)| entry(&format!("s-{n}"), at, "ready")).collect();
-        list(5, true, &entries)
+        let entries: Vec<String> =
+            named.map(|(n, at)| server_entry(&format!("s-{n}"), at, "ready")).collect();
+        server_list(5, true, &entries)
     }
 }
 
 /// Many clients at once, each with requests of all classes and deadlines, one after the other.
 fn ask_many(address: SocketAddr) -> Vec<Seen> {
     let ask = move |client: usize| {
-        let mut connection = Client::to(address);
+        let mut connection = Client::connect(address);
         let mut seen = Vec::new();
         for number in client..client + REQUESTS {
             let timeout = TIMEOUTS[number % TIMEOUTS.len()];
             let sent = Instant::now();
             connection.send(CLASSES[number / 2 % CLASSES.len()], timeout);
-            let answer = connection.read().expect("one whole final answer");
+            let answer = connection.read_answer().expect("one whole final answer");
             let late = sent.elapsed().saturating_sub(Duration::from_millis(timeout));
             seen.push(Seen { status: answer.status(), late });
             if answer.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close")) {
-                connection = Client::to(address);
+                connection = Client::connect(address);
             }
         }
         seen
@@ -92,8 +95,9 @@
     let known = zone.list();
     let discovery = Discovery::new(&known);
     let settings = SETTINGS.replace(r#""connect_timeout":2000.0"#, r#""connect_timeout":300.0"#);
-    let sidecar = Sidecar::start(&config("127.0.0.1:0", discovery.address, &known, DESCRIPTORS, &settings));
-    sidecar.wait_up();
+    let sidecar =
+        Sidecar::start(&config_json("127.0.0.1:0", discovery.address, &known, DESCRIPTORS, &settings));
+    sidecar.wait_until_up();
     (sidecar, discovery)
 }
 
@@ -114,7 +118,7 @@
     let storm = std::thread::spawn(move || {
         let mut seq = 6;
         while !stop.load(Ordering::Relaxed) {
-            discovery.say(&entries.replace(r#""seq":5"#, &format!(r#""seq":{seq}"#)));
+            discovery.publish(&entries.replace(r#""seq":5"#, &format!(r#""seq":{seq}"#)));
             seq += 1;
             std::thread::sleep(Duration::from_millis(2));
         }
@@ -140,7 +144,7 @@
         seen
     });
     while !over.load(Ordering::Relaxed) && !clients.is_finished() {
-        sidecar.hold_up();
+        sidecar.suspend();
         std::thread::sleep(HELD);
         sidecar.signal("-CONT");
         std::thread::sleep(RUNS);
@@ -151,14 +155,14 @@
 /// Who waits for longer than the process lasts is told so while it does.
 #[test]
 fn a_client_that_waits_for_longer_than_the_process_lasts_has_its_answer_before_the_end() {
-    let silent = Upstream::new(|_| Deed::Silence);
+    let silent = Upstream::new(|_| ScriptedResponse::Unresponsive);
     let settings = SETTINGS.replace(r#""hard_limit":8000.0"#, r#""hard_limit":600.0"#);
     let settings = settings.replace(r#""aim":3000.0"#, r#""aim":500.0"#);
-    let (mut sidecar, _discovery) = Sidecar::with_settings(&[&silent], &settings);
-    let mut client = Client::to(sidecar.address);
+    let (mut sidecar, _discovery) = Sidecar::start_with_settings(&[&silent], &settings);
+    let mut client = Client::connect(sidecar.address);
     client.send("bill", 30_000);
-    until("it is out", || !silent.requests().is_empty());
+    wait_until("it is out", || !silent.requests().is_empty());
     sidecar.signal("-TERM");
-    assert_eq!(client.read().expect("a whole answer").status(), 502);
-    assert!(sidecar.wait_exit().success());
+    assert_eq!(client.read_answer().expect("a whole answer").status(), 502);
+    assert!(sidecar.wait_for_exit().success());
 }
--- a/crates/cli/tests/long_lists.rs
+++ b/crates/cli/tests/long_lists.rs
@@ -66,7 +66,9 @@
     /// Their entries in discovery's form.
     fn entries(&self) -> Vec<String> {
         let named = self.addresses.iter().enumerate();
-        named.map(|(number, address)| entry(&format!("server-{number:04}"), *address, "ready")).collect()
+        named
+            .map(|(number, address)| server_entry(&format!("server-{number:04}"), *address, "ready"))
+            .collect()
     }
 }
 
@@ -107,14 +109,14 @@
 
 /// Discovery that says these pieces on every watch, each in a chunk of its own, and then keeps it alive.
 fn discovery_in_pieces(pieces: Vec<Vec<u8>>) -> SocketAddr {
-    let (address, _asked) = discovery(move |_, stream| {
+    let (address, _asked) = scripted_discovery(move |_, stream| {
         for piece in &pieces {
-            if chunk(stream, piece).is_err() {
+            if write_chunk(stream, piece).is_err() {
                 return;
             }
         }
         let start = Instant::now();
-        while start.elapsed() < FOREVER && chunk(stream, b"\n").is_ok() {
+        while start.elapsed() < WAIT_TIMEOUT && write_chunk(stream, b"\n").is_ok() {
             std::thread::sleep(Duration::from_millis(500));
         }
     });
@@ -139,12 +141,12 @@
 
 /// Asks until that many requests were served; how many servers did.
 fn ask(sidecar: &Sidecar, requests: usize) -> usize {
-    let mut client = Client::to(sidecar.address);
+    let mut client = Client::connect(sidecar.address);
     let mut by_server: HashMap<Vec<u8>, usize> = HashMap::new();
     let start = Instant::now();
     while by_server.values().sum::<usize>() < requests {
-        assert!(start.elapsed() < FOREVER, "served {by_server:?}");
-        let answer = client.ask("fetch");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "served {by_server:?}");
+        let answer = client.exchange("fetch");
         if answer.status() == 200 {
             *by_server.entry(answer.body).or_default() += 1;
         }
@@ -157,10 +159,10 @@
 fn lists_of_1200_servers_are_read_in_every_form() {
     let upstreams = ManyUpstreams::new(SERVERS);
     let entries = upstreams.entries();
-    let whole = list(7, true, &entries);
-    let empty_then_changes = [list(7, true, &[]), list(8, false, &entries)];
-    let many_changes: Vec<String> = std::iter::once(list(7, true, &entries[..1]))
-        .chain(entries.chunks(7).enumerate().map(|(at, part)| list(8 + at as u64, false, part)))
+    let whole = server_list(7, true, &entries);
+    let empty_then_changes = [server_list(7, true, &[]), server_list(8, false, &entries)];
+    let many_changes: Vec<String> = std::iter::once(server_list(7, true, &entries[..1]))
+        .chain(entries.chunks(7).enumerate().map(|(at, part)| server_list(8 + at as u64, false, part)))
         .collect();
     let pretty: Vec<String> = many_changes.iter().map(|list| indented(list)).collect();
     let in_pieces = |bytes: Vec<u8>, size: usize| bytes.chunks(size).map(<[u8]>::to_vec).collect::<Vec<_>>();
@@ -175,20 +177,20 @@
     ];
     assert!(indented(&whole).len() < 512 << 10, "{} bytes", indented(&whole).len());
     for (form, pieces) in forms {
-        let (address, console) = (discovery_in_pieces(pieces), free());
-        let text = config("127.0.0.1:0", address, "null", 1024, &settings_of(SIDECARS));
-        let sidecar = Sidecar::start(&with_console(&text, &console.to_string()));
-        until(form, || figures(console)["known_upstreams"] == SERVERS);
+        let (address, console) = (discovery_in_pieces(pieces), free_address());
+        let text = config_json("127.0.0.1:0", address, "null", 1024, &settings_of(SIDECARS));
+        let sidecar = Sidecar::start(&config_with_console(&text, &console.to_string()));
+        wait_until(form, || telemetry(console)["known_upstreams"] == SERVERS);
         let servers = ask(&sidecar, 60);
         let (memory, threads) = (process_figure(&sidecar, "VmRSS:"), process_figure(&sidecar, "Threads:"));
         println!("{form}: {SERVERS} known, {servers} served 60 requests, {memory} KiB, {threads} threads");
         assert!(servers >= 2, "{form}: members of the subset");
     }
     // As it is kept in the file that a process is started with.
-    let (silent, console) = (discovery_in_pieces(Vec::new()), free());
-    let text = config("127.0.0.1:0", silent, &whole, 1024, &settings_of(SIDECARS));
-    let sidecar = Sidecar::start(&with_console(&text, &console.to_string()));
-    until("as known at the start", || figures(console)["known_upstreams"] == SERVERS);
+    let (silent, console) = (discovery_in_pieces(Vec::new()), free_address());
+    let text = config_json("127.0.0.1:0", silent, &whole, 1024, &settings_of(SIDECARS));
+    let sidecar = Sidecar::start(&config_with_console(&text, &console.to_string()));
+    wait_until("as known at the start", || telemetry(console)["known_upstreams"] == SERVERS);
     ask(&sidecar, 60);
 }
 
@@ -199,10 +201,10 @@
     const CLIENTS: usize = 4;
     let upstreams = ManyUpstreams::new(SERVERS);
     let start = |entries: &[String]| {
-        let known = list(7, true, entries);
+        let known = server_list(7, true, entries);
         let address = discovery_in_pieces(vec![lines(&[known])]);
-        let sidecar = Sidecar::start(&config("127.0.0.1:0", address, "null", 1024, &settings_of(1)));
-        sidecar.wait_up();
+        let sidecar = Sidecar::start(&config_json("127.0.0.1:0", address, "null", 1024, &settings_of(1)));
+        sidecar.wait_until_up();
         sidecar
     };
     let small = start(&upstreams.entries()[..2]);
@@ -213,9 +215,9 @@
     std::thread::scope(|scope| {
         for _ in 0..CLIENTS {
             scope.spawn(|| {
-                let mut client = Client::to(large.address);
-                while upstreams.reached() < SERVERS && begun.elapsed() < FOREVER {
-                    assert!(matches!(client.ask("fetch").status(), 200 | 503));
+                let mut client = Client::connect(large.address);
+                while upstreams.reached() < SERVERS && begun.elapsed() < WAIT_TIMEOUT {
+                    assert!(matches!(client.exchange("fetch").status(), 200 | 503));
                 }
             });
         }
@@ -242,23 +244,23 @@
 #[test]
 fn a_list_of_1200_servers_is_handed_to_a_new_process() {
     let upstreams = ManyUpstreams::new(SERVERS);
-    let known = list(7, true, &upstreams.entries());
+    let known = server_list(7, true, &upstreams.entries());
     let socket = StdListener::bind("127.0.0.1:0").unwrap();
     let tmp: PathBuf =
         std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("many-{}", std::process::id()));
     std::fs::create_dir_all(&tmp).unwrap();
     let start = |discovery: SocketAddr| {
         let listen = socket.local_addr().unwrap().to_string();
-        let text = config(&listen, discovery, "null", 1024, &settings_of(1));
-        Sidecar::start_on(&socket, &text, &[("TMPDIR", &tmp)])
+        let text = config_json(&listen, discovery, "null", 1024, &settings_of(1));
+        Sidecar::start_on_socket(&socket, &text, &[("TMPDIR", &tmp)])
     };
     let elder = start(discovery_in_pieces(vec![lines(&[known])]));
-    elder.wait_log("serving");
+    elder.wait_for_log("serving");
     ask(&elder, 2_000);
     let younger = start(discovery_in_pieces(Vec::new()));
-    younger.wait_log(&format!("handover: goes on from {SERVERS} upstreams and what was learnt"));
+    younger.wait_for_log(&format!("handover: goes on from {SERVERS} upstreams and what was learnt"));
     drop(elder);
-    younger.wait_log("serving");
+    younger.wait_for_log("serving");
     ask(&younger, 60);
     let _ = std::fs::remove_dir_all(&tmp);
 }
--- a/crates/cli/tests/loopback/final_answers.rs
+++ b/crates/cli/tests/loopback/final_answers.rs
@@ -6,143 +6,150 @@
 use std::time::{Duration, Instant};
 
 /// An answer up to this much after its client's time only earns nothing; a later one is lost.
-pub const LATE_SLACK: Duration = Duration::from_millis(500);
+pub const MAX_LATENESS: Duration = Duration::from_millis(500);
 
 /// Of longer answers the first bytes are timed.
-pub const SHORT_BYTES: u64 = 64 << 10;
+pub const MAX_TIMED_TO_END_BYTES: u64 = 64 << 10;
 
 /// How a client's wait ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum WaitOutcome {
     /// With a whole final answer.
     Answered,
     /// With the end of the connection before that; whether anything of an answer had come.
-    CutOff { begun: bool },
+    ConnectionClosed { begun: bool },
     /// Nothing came for as long as the client reads.
-    GaveUp,
+    ReadTimedOut,
     /// The client left first, or never looked.
-    Left,
+    ClientLeft,
 }
 
 /// The end of a wait.
 #[derive(Debug, Clone, Copy)]
-pub struct Ended {
-    pub end: End,
+pub struct WaitEnd {
+    pub outcome: WaitOutcome,
     /// Since when the client had been reading.
-    pub read_from: Instant,
+    pub reading_since: Instant,
     /// When its first bytes were there.
-    pub begun_at: Instant,
+    pub first_byte_at: Instant,
     /// When it was over.
-    pub at: Instant,
+    pub ended_at: Instant,
     /// How many bytes came.
     pub bytes: u64,
 }
 
-impl Ended {
+impl WaitEnd {
     /// The moment that counts.
     fn timed(&self) -> Instant {
-        if self.bytes > SHORT_BYTES { self.begun_at } else { self.at }
+        if self.bytes > MAX_TIMED_TO_END_BYTES { self.first_byte_at } else { self.ended_at }
     }
 }
 
 /// What upstreams have done with the attempts of a request.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Attempts {
+pub struct UpstreamAttempts {
     /// How many came whole.
-    pub came: usize,
+    pub received: usize,
     /// Whether one of them may have broken off its answer: that is no fault of the sidecar's.
-    pub may_break_off: bool,
+    pub may_truncate: bool,
 }
 
 /// How a request was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Breach {
+pub enum Violation {
     /// It got no answer at all.
     NoAnswer,
     /// Its answer broke off although no upstream had broken off one.
-    Torn,
+    Truncated,
     /// Its answer, or the end of a torn one, came more than the slack after its time.
     Late,
     /// More came than one answer.
-    Twice,
+    Surplus,
 }
 
 /// The wait of a client for the answer to an accepted request.
 #[derive(Debug, Clone, Copy)]
-pub struct Wait {
+pub struct ClientWait {
     /// When its last byte was written.
-    pub accepted: Instant,
+    pub accepted_at: Instant,
     /// Where it was accepted, if that is known.
-    pub by: Option<SocketAddr>,
+    pub accepted_by: Option<SocketAddr>,
     /// How long its client waits.
     pub timeout: Duration,
     /// Whether its connection had carried nothing before.
     pub on_new_connection: bool,
     /// Its end.
-    pub ended: Option<Ended>,
+    pub end: Option<WaitEnd>,
     /// Whether more came behind its answer.
-    pub surplus: bool,
+    pub has_surplus: bool,
 }
 
-impl Wait {
+impl ClientWait {
     fn due(&self) -> Instant {
-        self.accepted + self.timeout + LATE_SLACK
+        self.accepted_at + self.timeout + MAX_LATENESS
     }
 
     /// Whether the end came too late. Of a client that began to read only then nobody can tell.
-    fn is_late(&self, ended: &Ended) -> bool {
-        ended.timed() > self.due() && ended.read_from <= self.due()
+    fn is_late(&self, ended: &WaitEnd) -> bool {
+        ended.timed() > self.due() && ended.reading_since <= self.due()
     }
 
     /// Whether it crossed the close of a resting connection: its client may send it once more.
-    pub fn crossed_close(&self, attempts: Attempts) -> bool {
-        let cut_off = self.ended.is_some_and(|ended| ended.end == End::CutOff { begun: false });
-        cut_off && !self.on_new_connection && attempts.came == 0
+    pub fn crossed_idle_close(&self, attempts: UpstreamAttempts) -> bool {
+        let cut_off =
+            self.end.is_some_and(|ended| ended.outcome == WaitOutcome::ConnectionClosed { begun: false });
+        cut_off && !self.on_new_connection && attempts.received == 0
     }
 
     /// How it was lost, if it was.
-    pub fn breach(&self, attempts: Attempts) -> Option<Breach> {
-        if self.surplus {
-            return Some(Breach::Twice);
+    pub fn violation(&self, attempts: UpstreamAttempts) -> Option<Violation> {
+        if self.has_surplus {
+            return Some(Violation::Surplus);
         }
-        let ended = self.ended?;
-        match ended.end {
-            End::Left => None,
-            End::GaveUp => (ended.at > self.due()).then_some(Breach::NoAnswer),
-            End::CutOff { begun: false } => (!self.crossed_close(attempts)).then_some(Breach::NoAnswer),
-            End::CutOff { begun: true } if !attempts.may_break_off => Some(Breach::Torn),
-            End::CutOff { begun: true } | End::Answered => self.is_late(&ended).then_some(Breach::Late),
+        let ended = self.end?;
+        match ended.outcome {
+            WaitOutcome::ClientLeft => None,
+            WaitOutcome::ReadTimedOut => (ended.ended_at > self.due()).then_some(Violation::NoAnswer),
+            WaitOutcome::ConnectionClosed { begun: false } => {
+                (!self.crossed_idle_close(attempts)).then_some(Violation::NoAnswer)
+            }
+            WaitOutcome::ConnectionClosed { begun: true } if !attempts.may_truncate => {
+                Some(Violation::Truncated)
+            }
+            WaitOutcome::ConnectionClosed { begun: true } | WaitOutcome::Answered => {
+                self.is_late(&ended).then_some(Violation::Late)
+            }
         }
     }
 }
 
 /// The accepted requests of a test process by what became of them.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Counts {
+pub struct RequestCounts {
     pub accepted: usize,
     /// One whole final answer, in time as far as anybody could tell.
     pub answered: usize,
     /// The client left first.
-    pub left: usize,
+    pub client_left: usize,
     /// Broken off after an upstream had broken off.
-    pub torn_by_upstream: usize,
-    pub crossed_close: usize,
+    pub truncated_by_upstream: usize,
+    pub crossed_idle_close: usize,
     /// Not at their end yet.
     pub waiting: usize,
     pub lost: usize,
 }
 
-impl Counts {
+impl RequestCounts {
     /// Counts one more.
-    pub fn add(&mut self, wait: &Wait, attempts: Attempts) {
+    pub fn add(&mut self, wait: &ClientWait, attempts: UpstreamAttempts) {
         self.accepted += 1;
-        let place = match wait.ended.map(|ended| ended.end) {
-            _ if wait.breach(attempts).is_some() => &mut self.lost,
-            None | Some(End::GaveUp) => &mut self.waiting,
-            Some(End::Answered) => &mut self.answered,
-            Some(End::Left) => &mut self.left,
-            Some(End::CutOff { begun: true }) => &mut self.torn_by_upstream,
-            Some(End::CutOff { begun: false }) => &mut self.crossed_close,
+        let place = match wait.end.map(|ended| ended.outcome) {
+            _ if wait.violation(attempts).is_some() => &mut self.lost,
+            None | Some(WaitOutcome::ReadTimedOut) => &mut self.waiting,
+            Some(WaitOutcome::Answered) => &mut self.answered,
+            Some(WaitOutcome::ClientLeft) => &mut self.client_left,
+            Some(WaitOutcome::ConnectionClosed { begun: true }) => &mut self.truncated_by_upstream,
+            Some(WaitOutcome::ConnectionClosed { begun: false }) => &mut self.crossed_idle_close,
         };
         *place += 1;
     }
--- a/crates/cli/tests/loopback/judge.rs
+++ b/crates/cli/tests/loopback/judge.rs
@@ -7,8 +7,8 @@
 use std::sync::{LazyLock, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-use super::final_answers::{Attempts, Breach, Counts, Ended, Wait};
-use super::{Deed, Message};
+use super::final_answers::{ClientWait, RequestCounts, UpstreamAttempts, Violation, WaitEnd};
+use super::{Message, ScriptedResponse};
 
 /// The longest window of a key in any settings of these tests.
 const WINDOW: Duration = Duration::from_millis(5_050);
@@ -24,9 +24,9 @@
     /// How often its client has sent it once more of its own accord.
     again: usize,
     /// Its client's wait, once it was sent whole.
-    wait: Option<Wait>,
+    wait: Option<ClientWait>,
     /// Attempts that came whole, with those of which only the test knows what became.
-    attempts: Attempts,
+    attempts: UpstreamAttempts,
 }
 
 static CASES: LazyLock<Mutex<HashMap<String, Case>>> = LazyLock::new(Mutex::default);
@@ -52,26 +52,33 @@
 }
 
 /// Whether an upstream that does this may leave its answer unfinished.
-fn may_break_off(deed: &Deed) -> bool {
-    !matches!(deed, Deed::Answer(..) | Deed::AnswerAndClose | Deed::Wait(_))
+fn may_break_off(deed: &ScriptedResponse) -> bool {
+    !matches!(
+        deed,
+        ScriptedResponse::Answer(..)
+            | ScriptedResponse::AnswerAndClose
+            | ScriptedResponse::AnswerWhenReleased(_)
+    )
 }
 
 /// An attempt has come whole, and this is what its upstream does with it.
-pub fn came(message: &Message, deed: &Deed) {
+pub fn record_received(message: &Message, deed: &ScriptedResponse) {
     let Some(id) = message.header("x-request-id") else { return };
-    let class = message.line.split(['/', '?']).nth(1).unwrap_or_default().to_owned();
+    let class = message.start_line.split(['/', '?']).nth(1).unwrap_or_default().to_owned();
     with_case(id, |case| {
-        case.attempts.came += 1;
-        case.attempts.may_break_off |= may_break_off(deed);
+        case.attempts.received += 1;
+        case.attempts.may_truncate |= may_break_off(deed);
     });
     let may_have_run = match deed {
-        Deed::Answer(status, more, body) => {
+        ScriptedResponse::Answer(status, more, body) => {
             let head = format!("HTTP/1.1 {status} x\r\nContent-Length: {}\r\n{more}\r\n", body.len());
             !turns_away(&[head.as_bytes(), body].concat())
         }
-        Deed::Raw(bytes) | Deed::RawAndClose(bytes) | Deed::RawAndReset(bytes) => !turns_away(bytes),
+        ScriptedResponse::Raw(bytes)
+        | ScriptedResponse::RawAndClose(bytes)
+        | ScriptedResponse::RawAndReset(bytes) => !turns_away(bytes),
         // The test itself knows.
-        Deed::Play(_) | Deed::PlayAndReset(_) => return,
+        ScriptedResponse::Custom(_) | ScriptedResponse::CustomAndReset(_) => return,
         _ => true,
     };
     with_case(id, |case| {
@@ -81,71 +88,78 @@
 }
 
 /// A client was given its final answer.
-pub fn answered(id: &str, status: u16) {
+pub fn record_answer(id: &str, status: u16) {
     with_case(id, |case| case.answered = Some(status));
 }
 
 /// A client has sent this whole to a sidecar there, over a new connection or one that it had kept, and waits for so long.
-pub fn accepted(id: &str, by: Option<SocketAddr>, timeout: Duration, on_new_connection: bool) {
+pub fn record_accepted(id: &str, by: Option<SocketAddr>, timeout: Duration, on_new_connection: bool) {
     let accepted = Instant::now();
-    let wait = Wait { accepted, by, timeout, on_new_connection, ended: None, surplus: false };
+    let wait = ClientWait {
+        accepted_at: accepted,
+        accepted_by: by,
+        timeout,
+        on_new_connection,
+        end: None,
+        has_surplus: false,
+    };
     with_case(id, |case| case.wait = Some(wait));
 }
 
 /// The wait for its answer has ended.
-pub fn ended(id: &str, ended: Ended) {
+pub fn record_end(id: &str, ended: WaitEnd) {
     with_case(id, |case| {
         if let Some(wait) = &mut case.wait {
-            wait.ended.get_or_insert(ended);
+            wait.end.get_or_insert(ended);
         }
     });
 }
 
 /// More came on its connection than its answer.
-pub fn more_came(id: &str) {
+pub fn record_surplus(id: &str) {
     with_case(id, |case| {
         if let Some(wait) = &mut case.wait {
-            wait.surplus = true;
+            wait.has_surplus = true;
         }
     });
 }
 
 /// How a request was lost, if it was.
-pub fn breach(id: &str) -> Option<Breach> {
-    with_case(id, |case| case.breach())
+pub fn violation(id: &str) -> Option<Violation> {
+    with_case(id, |case| case.violation())
 }
 
 /// Its client sends it once more, as a request of its own under the same id.
-pub fn asked_again(id: &str) {
+pub fn record_client_retry(id: &str) {
     with_case(id, |case| case.again += 1);
 }
 
 /// How often a request came whole.
-pub fn times(id: &str) -> usize {
+pub fn received_count(id: &str) -> usize {
     with_case(id, |case| case.came.len())
 }
 
 impl Case {
-    fn breach(&self) -> Option<Breach> {
-        self.wait.and_then(|wait| wait.breach(self.attempts))
+    fn violation(&self) -> Option<Violation> {
+        self.wait.and_then(|wait| wait.violation(self.attempts))
     }
 }
 
 /// No request that was accepted at this address was lost. Each is judged with the sidecar that had accepted it, so that a loss
 /// fails the test that it belongs to.
-pub fn verdict_on_answers(address: SocketAddr) {
+pub fn assert_no_request_lost(address: SocketAddr) {
     let cases = CASES.lock().unwrap_or_else(PoisonError::into_inner);
-    let mut counts = Counts::default();
+    let mut counts = RequestCounts::default();
     for (id, case) in &*cases {
-        let Some(wait) = case.wait.filter(|wait| wait.by == Some(address)) else { continue };
+        let Some(wait) = case.wait.filter(|wait| wait.accepted_by == Some(address)) else { continue };
         counts.add(&wait, case.attempts);
-        assert_eq!(case.breach(), None, "{id} has not got one whole answer in time: {case:?}");
+        assert_eq!(case.violation(), None, "{id} has not got one whole answer in time: {case:?}");
     }
     println!("final answers at {address}: {counts:?}");
 }
 
 /// Nothing that may run only once was sent again or refused after it may have run, and nothing with a key after its window.
-pub fn verdict() {
+pub fn assert_no_unsafe_retries() {
     let cases = CASES.lock().unwrap_or_else(PoisonError::into_inner);
     for (id, case) in &*cases {
         let Some(first) = case.came.iter().position(|(_, may_have_run)| *may_have_run) else { continue };
--- a/crates/cli/tests/loopback/mod.rs
+++ b/crates/cli/tests/loopback/mod.rs
@@ -13,16 +13,16 @@
 use std::sync::{Arc, Mutex, mpsc};
 use std::time::{Duration, Instant};
 
-use final_answers::{End, Ended};
+use final_answers::{WaitEnd, WaitOutcome};
 
 /// Nothing here takes this long unless it never comes.
-pub const FOREVER: Duration = Duration::from_secs(30);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Waits for a condition.
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < FOREVER, "waited in vain: {what}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "waited in vain: {what}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
@@ -31,13 +31,13 @@
 #[derive(Debug, Clone, Default)]
 pub struct Message {
     /// The first line.
-    pub line: String,
+    pub start_line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
     /// For an upstream: which of its connections it came on.
     pub connection: usize,
     /// For an upstream: its place among all that happened on this stage.
-    pub at: u64,
+    pub sequence: u64,
 }
 
 impl Message {
@@ -46,15 +46,15 @@
     }
 
     pub fn status(&self) -> u16 {
-        self.line.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0)
+        self.start_line.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(0)
     }
 }
 
 /// Reads one message; `None` at the end of the connection or when it breaks.
 pub fn read_message(reader: &mut impl BufRead) -> Option<Message> {
     let mut message = Message::default();
-    reader.read_line(&mut message.line).ok().filter(|read| *read > 0)?;
-    message.line = message.line.trim_end().to_owned();
+    reader.read_line(&mut message.start_line).ok().filter(|read| *read > 0)?;
+    message.start_line = message.start_line.trim_end().to_owned();
     loop {
         let mut line = String::new();
         reader.read_line(&mut line).ok().filter(|read| *read > 0)?;
@@ -96,7 +96,7 @@
 
 /// What an upstream does with a request.
 #[derive(Clone)]
-pub enum Deed {
+pub enum ScriptedResponse {
     /// Answers: status, further header lines, body.
     Answer(u16, &'static str, Vec<u8>),
     /// Writes this and says no more, with the connection left open.
@@ -104,36 +104,36 @@
     /// Writes this and closes.
     RawAndClose(&'static [u8]),
     /// Says nothing until the other side closes.
-    Silence,
+    Unresponsive,
     /// The same, and tells the test of the close.
-    SilenceUntil(mpsc::Sender<()>),
+    UnresponsiveUntilClosed(mpsc::Sender<()>),
     /// Closes without a word.
     Close,
     /// Begins an answer and closes in the middle.
-    Torn,
+    TruncatedAnswer,
     /// Answers, and closes the connection a moment later without having said so.
     AnswerAndClose,
     /// Answers once the test says so.
-    Wait(Arc<AtomicUsize>),
+    AnswerWhenReleased(Arc<AtomicUsize>),
     /// Writes this and resets the connection.
     RawAndReset(&'static [u8]),
     /// Does this with the connection, which goes on if it says so.
-    Play(Arc<dyn Fn(&mut TcpStream) -> bool + Send + Sync>),
+    Custom(Arc<dyn Fn(&mut TcpStream) -> bool + Send + Sync>),
     /// Does this with the connection, and resets it.
-    PlayAndReset(Arc<dyn Fn(&mut TcpStream) + Send + Sync>),
+    CustomAndReset(Arc<dyn Fn(&mut TcpStream) + Send + Sync>),
 }
 
-impl Deed {
-    pub fn play(what: impl Fn(&mut TcpStream) -> bool + Send + Sync + 'static) -> Deed {
-        Deed::Play(Arc::new(what))
+impl ScriptedResponse {
+    pub fn custom(what: impl Fn(&mut TcpStream) -> bool + Send + Sync + 'static) -> ScriptedResponse {
+        ScriptedResponse::Custom(Arc::new(what))
     }
 
-    pub fn play_and_reset(what: impl Fn(&mut TcpStream) + Send + Sync + 'static) -> Deed {
-        Deed::PlayAndReset(Arc::new(what))
+    pub fn custom_and_reset(what: impl Fn(&mut TcpStream) + Send + Sync + 'static) -> ScriptedResponse {
+        ScriptedResponse::CustomAndReset(Arc::new(what))
     }
 
-    pub fn ok(body: &str) -> Deed {
-        Deed::Answer(200, "", body.as_bytes().to_vec())
+    pub fn ok(body: &str) -> ScriptedResponse {
+        ScriptedResponse::Answer(200, "", body.as_bytes().to_vec())
     }
 }
 
@@ -154,7 +154,7 @@
 }
 
 impl Upstream {
-    pub fn new(deed: impl Fn(&Message) -> Deed + Send + Sync + 'static) -> Upstream {
+    pub fn new(deed: impl Fn(&Message) -> ScriptedResponse + Send + Sync + 'static) -> Upstream {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
         let log = Arc::new(Log::default());
@@ -173,17 +173,17 @@
         self.log.requests.lock().unwrap().clone()
     }
 
-    pub fn connections(&self) -> usize {
+    pub fn connection_count(&self) -> usize {
         self.log.connections.load(Ordering::SeqCst)
     }
 
     /// When a connection was closed from the other side.
-    pub fn closed(&self, connection: usize) -> Option<u64> {
+    pub fn closed_at(&self, connection: usize) -> Option<u64> {
         self.log.closed.lock().unwrap().iter().find(|(c, _)| *c == connection).map(|(_, at)| *at)
     }
 }
 
-fn serve(stream: TcpStream, deed: &dyn Fn(&Message) -> Deed, log: &Log) {
+fn serve(stream: TcpStream, deed: &dyn Fn(&Message) -> ScriptedResponse, log: &Log) {
     let connection = log.connections.fetch_add(1, Ordering::SeqCst);
     let mut writer = stream.try_clone().unwrap();
     let mut reader = BufReader::new(stream);
@@ -192,58 +192,60 @@
         [head.as_bytes(), body].concat()
     };
     while let Some(mut message) = read_message(&mut reader) {
-        if message.line.starts_with("GET /metrics/load ") {
+        if message.start_line.starts_with("GET /metrics/load ") {
             let _ = writer.write_all(&answer(200, "", b"TEXT inflight=0, eps=0, util=0.1"));
             continue;
         }
         message.connection = connection;
-        message.at = CLOCK.fetch_add(1, Ordering::SeqCst);
+        message.sequence = CLOCK.fetch_add(1, Ordering::SeqCst);
         let what = deed(&message);
-        judge::came(&message, &what);
+        judge::record_received(&message, &what);
         log.requests.lock().unwrap().push(message);
         match what {
-            Deed::Answer(status, more, body) => drop(writer.write_all(&answer(status, more, &body))),
-            Deed::Raw(bytes) => drop(writer.write_all(bytes)),
-            Deed::RawAndClose(bytes) => {
+            ScriptedResponse::Answer(status, more, body) => {
+                drop(writer.write_all(&answer(status, more, &body)))
+            }
+            ScriptedResponse::Raw(bytes) => drop(writer.write_all(bytes)),
+            ScriptedResponse::RawAndClose(bytes) => {
                 let _ = writer.write_all(bytes);
                 let _ = reader.get_ref().shutdown(Shutdown::Both);
                 break;
             }
-            Deed::Silence => {}
-            Deed::SilenceUntil(closed) => {
+            ScriptedResponse::Unresponsive => {}
+            ScriptedResponse::UnresponsiveUntilClosed(closed) => {
                 let _ = read_message(&mut reader);
                 let _ = closed.send(());
                 return;
             }
-            Deed::Close => return drop(reader.get_ref().shutdown(Shutdown::Both)),
-            Deed::Torn => {
+            ScriptedResponse::Close => return drop(reader.get_ref().shutdown(Shutdown::Both)),
+            ScriptedResponse::TruncatedAnswer => {
                 let _ = writer.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf of it");
                 return drop(reader.get_ref().shutdown(Shutdown::Both));
             }
-            Deed::AnswerAndClose => {
+            ScriptedResponse::AnswerAndClose => {
                 let _ = writer.write_all(&answer(200, "", b"last"));
                 std::thread::sleep(Duration::from_millis(20));
                 return drop(reader.get_ref().shutdown(Shutdown::Both));
             }
-            Deed::RawAndReset(bytes) => {
+            ScriptedResponse::RawAndReset(bytes) => {
                 let _ = writer.write_all(bytes);
                 // It is read before the reset takes it away.
                 std::thread::sleep(Duration::from_millis(50));
                 let _ = rustix::net::sockopt::set_socket_linger(&writer, Some(Duration::ZERO));
                 return;
             }
-            Deed::Play(what) => {
+            ScriptedResponse::Custom(what) => {
                 if !what(&mut writer) {
                     return drop(reader.get_ref().shutdown(Shutdown::Both));
                 }
             }
-            Deed::PlayAndReset(what) => {
+            ScriptedResponse::CustomAndReset(what) => {
                 what(&mut writer);
                 let _ = rustix::net::sockopt::set_socket_linger(&writer, Some(Duration::ZERO));
                 return;
             }
-            Deed::Wait(go) => {
-                until("the test lets go", || go.load(Ordering::SeqCst) > 0);
+            ScriptedResponse::AnswerWhenReleased(go) => {
+                wait_until("the test lets go", || go.load(Ordering::SeqCst) > 0);
                 let _ = writer.write_all(&answer(200, "", b"late"));
             }
         }
@@ -270,15 +272,17 @@
             for mut stream in listener.incoming().flatten() {
                 let mut reader = BufReader::new(stream.try_clone().unwrap());
                 let Some(request) = read_message(&mut reader) else { continue };
-                seen.lock().unwrap().push(request.line);
+                seen.lock().unwrap().push(request.start_line);
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                let _ = chunk(&mut stream, format!("{first}\n").as_bytes());
+                let _ = write_chunk(&mut stream, format!("{first}\n").as_bytes());
                 loop {
                     match said.recv_timeout(Duration::from_millis(300)) {
-                        Ok(Some(bytes)) => drop(chunk(&mut stream, &bytes)),
+                        Ok(Some(bytes)) => drop(write_chunk(&mut stream, &bytes)),
                         // The test breaks the watch.
                         Ok(None) => break,
-                        Err(mpsc::RecvTimeoutError::Timeout) if chunk(&mut stream, b"\n").is_err() => break,
+                        Err(mpsc::RecvTimeoutError::Timeout) if write_chunk(&mut stream, b"\n").is_err() => {
+                            break;
+                        }
                         Err(mpsc::RecvTimeoutError::Timeout) => {}
                         Err(mpsc::RecvTimeoutError::Disconnected) => return,
                     }
@@ -288,11 +292,11 @@
         Discovery { address, lines, watches }
     }
 
-    pub fn say(&self, text: &str) {
+    pub fn publish(&self, text: &str) {
         self.lines.send(Some(text.as_bytes().to_vec())).unwrap();
     }
 
-    pub fn break_off(&self) {
+    pub fn close_watch(&self) {
         self.lines.send(None).unwrap();
     }
 
@@ -304,7 +308,7 @@
 
 /// Discovery that does with each watch, counted from 0, as the test says, once the watch has been asked for and its head
 /// answered. Where it listens, and the first lines of the watches so far.
-pub fn discovery(
+pub fn scripted_discovery(
     what: impl Fn(usize, &mut TcpStream) + Send + Sync + 'static,
 ) -> (SocketAddr, Arc<Mutex<Vec<String>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -317,7 +321,7 @@
             std::thread::spawn(move || {
                 let mut reader = BufReader::new(stream.try_clone().unwrap());
                 let Some(request) = read_message(&mut reader) else { return };
-                seen.lock().unwrap().push(request.line);
+                seen.lock().unwrap().push(request.start_line);
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 what(number, &mut stream);
                 // The watch stays open until the sidecar lets it go.
@@ -328,29 +332,29 @@
     (address, asked)
 }
 
-pub fn chunk(stream: &mut TcpStream, bytes: &[u8]) -> std::io::Result<()> {
+pub fn write_chunk(stream: &mut TcpStream, bytes: &[u8]) -> std::io::Result<()> {
     stream.write_all(format!("{:x}\r\n", bytes.len()).as_bytes())?;
     stream.write_all(bytes)?;
     stream.write_all(b"\r\n")
 }
 
-pub fn entry(host: &str, dial: SocketAddr, health: &str) -> String {
+pub fn server_entry(host: &str, dial: SocketAddr, health: &str) -> String {
     format!(
         r#"{{"host":"{host}","dial":"{dial}","site":"east","class":"std","block":1,"health":"{health}","share":1.0,"born_ms":0}}"#
     )
 }
 
 /// A list in discovery's form.
-pub fn list(seq: u64, whole: bool, entries: &[String]) -> String {
+pub fn server_list(seq: u64, whole: bool, entries: &[String]) -> String {
     format!(r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#, entries.join(","))
 }
 
 /// A list of ready upstreams named a, b, c...
-pub fn ready(upstreams: &[&Upstream]) -> String {
+pub fn ready_server_list(upstreams: &[&Upstream]) -> String {
     let name = |number: usize| char::from(b'a' + number as u8).to_string();
     let entries: Vec<String> =
-        upstreams.iter().enumerate().map(|(n, u)| entry(&name(n), u.address, "ready")).collect();
-    list(5, true, &entries)
+        upstreams.iter().enumerate().map(|(n, u)| server_entry(&name(n), u.address, "ready")).collect();
+    server_list(5, true, &entries)
 }
 
 /// The settings, in the names of the wire. All servers share a cell.
@@ -366,7 +370,13 @@
 "telemetry":{"columns":["inflight","eps","util"],"how":"pull"},"tenants":[],"weights":"rough","zone":0}"#;
 
 /// A configuration file; `known` is a list in discovery's form, or `null`.
-pub fn config(listen: &str, discovery: SocketAddr, known: &str, sockets: usize, settings: &str) -> String {
+pub fn config_json(
+    listen: &str,
+    discovery: SocketAddr,
+    known: &str,
+    sockets: usize,
+    settings: &str,
+) -> String {
     format!(
         r#"{{"name":"n0","listen":"{listen}","discovery":"{discovery}","seed":"8c1f30d27a5be964",
 "limits":{{"cores":1.0,"memory_mb":192,"sockets":{sockets}}},"known":{known},"settings":{settings}}}"#
@@ -377,7 +387,7 @@
 pub struct Sidecar {
     pub child: Child,
     /// Its configuration file.
-    pub file: PathBuf,
+    pub config_file: PathBuf,
     pub address: SocketAddr,
     pub log: Arc<Mutex<Vec<String>>>,
 }
@@ -385,17 +395,21 @@
 static FILES: AtomicUsize = AtomicUsize::new(0);
 
 /// Starts the program on a configuration, with its standard error piped.
-pub fn spawn(config: &str) -> Child {
-    spawn_with(config, None, &[]).0
+pub fn spawn_program(config: &str) -> Child {
+    spawn_with_limit_and_env(config, None, &[]).0
 }
 
 /// The same with these variables in its environment.
-pub fn spawn_in(config: &str, variables: &[(&str, &PathBuf)]) -> Child {
-    spawn_with(config, None, variables).0
+pub fn spawn_with_env(config: &str, variables: &[(&str, &PathBuf)]) -> Child {
+    spawn_with_limit_and_env(config, None, variables).0
 }
 
 /// The same with a limit on its descriptors.
-fn spawn_with(config: &str, descriptors: Option<u32>, variables: &[(&str, &PathBuf)]) -> (Child, PathBuf) {
+fn spawn_with_limit_and_env(
+    config: &str,
+    descriptors: Option<u32>,
+    variables: &[(&str, &PathBuf)],
+) -> (Child, PathBuf) {
     let path = written(config);
     let limit = descriptors.map_or(String::new(), |count| format!("ulimit -n {count} && "));
     let child = Command::new("sh")
@@ -411,7 +425,11 @@
 }
 
 /// The program on a listening socket that the test holds, as descriptor 3.
-pub fn spawn_on(socket: &TcpListener, config: &str, variables: &[(&str, &PathBuf)]) -> (Child, PathBuf) {
+pub fn spawn_on_socket(
+    socket: &TcpListener,
+    config: &str,
+    variables: &[(&str, &PathBuf)],
+) -> (Child, PathBuf) {
     let path = written(config);
     let child = Command::new("sh")
         .args(["-c", "exec 3<&0 0</dev/null; exec \"$0\"", env!("CARGO_BIN_EXE_sagemast")])
@@ -438,26 +456,26 @@
 impl Sidecar {
     /// Starts it and waits until it listens.
     pub fn start(config: &str) -> Sidecar {
-        Sidecar::start_with(config, None)
+        Sidecar::start_with_descriptor_limit(config, None)
     }
 
     /// The same with a limit on its descriptors.
-    pub fn start_with(config: &str, descriptors: Option<u32>) -> Sidecar {
-        Sidecar::started(spawn_with(config, descriptors, &[]))
+    pub fn start_with_descriptor_limit(config: &str, descriptors: Option<u32>) -> Sidecar {
+        Sidecar::from_child(spawn_with_limit_and_env(config, descriptors, &[]))
     }
 
     /// The same with these variables in its environment.
-    pub fn start_in(config: &str, variables: &[(&str, &PathBuf)]) -> Sidecar {
-        Sidecar::started(spawn_with(config, None, variables))
+    pub fn start_with_env(config: &str, variables: &[(&str, &PathBuf)]) -> Sidecar {
+        Sidecar::from_child(spawn_with_limit_and_env(config, None, variables))
     }
 
     /// Starts it on a listening socket that the test holds, as descriptor 3, with these variables in its environment.
-    pub fn start_on(socket: &TcpListener, config: &str, variables: &[(&str, &PathBuf)]) -> Sidecar {
-        let (child, file) = spawn_on(socket, config, variables);
-        Sidecar::started((child, file))
+    pub fn start_on_socket(socket: &TcpListener, config: &str, variables: &[(&str, &PathBuf)]) -> Sidecar {
+        let (child, file) = spawn_on_socket(socket, config, variables);
+        Sidecar::from_child((child, file))
     }
 
-    fn started((mut child, file): (Child, PathBuf)) -> Sidecar {
+    fn from_child((mut child, file): (Child, PathBuf)) -> Sidecar {
         let mut errors = BufReader::new(child.stderr.take().unwrap());
         let log = Arc::new(Mutex::new(Vec::new()));
         let kept = log.clone();
@@ -468,43 +486,45 @@
             }
         });
         let mut address = None;
-        until("it listens", || {
+        wait_until("it listens", || {
             let log = log.lock().unwrap();
             let said = log.iter().find_map(|line| line.split_once("listening on ").map(|(_, at)| at));
             address = said.and_then(|at| at.trim().parse().ok());
             address.is_some()
         });
-        Sidecar { child, file, address: address.unwrap(), log }
+        Sidecar { child, config_file: file, address: address.unwrap(), log }
     }
 
     /// Starts it with these upstreams and waits until it is up.
-    pub fn with(upstreams: &[&Upstream]) -> (Sidecar, Discovery) {
-        Sidecar::with_settings(upstreams, SETTINGS)
+    pub fn start_with_upstreams(upstreams: &[&Upstream]) -> (Sidecar, Discovery) {
+        Sidecar::start_with_settings(upstreams, SETTINGS)
     }
 
-    pub fn with_settings(upstreams: &[&Upstream], settings: &str) -> (Sidecar, Discovery) {
-        let known = ready(upstreams);
+    pub fn start_with_settings(upstreams: &[&Upstream], settings: &str) -> (Sidecar, Discovery) {
+        let known = ready_server_list(upstreams);
         let discovery = Discovery::new(&known);
-        let sidecar = Sidecar::start(&config("127.0.0.1:0", discovery.address, &known, 1024, settings));
-        sidecar.wait_up();
+        let sidecar = Sidecar::start(&config_json("127.0.0.1:0", discovery.address, &known, 1024, settings));
+        sidecar.wait_until_up();
         (sidecar, discovery)
     }
 
     /// Waits until its log holds this.
-    pub fn wait_log(&self, text: &str) {
-        until(text, || self.log.lock().unwrap().iter().any(|line| line.contains(text)));
+    pub fn wait_for_log(&self, text: &str) {
+        wait_until(text, || self.log.lock().unwrap().iter().any(|line| line.contains(text)));
     }
 
     /// Puts another configuration in the place of its file and tells it so.
     pub fn reload(&self, config: &str) {
-        let beside = self.file.with_extension("new");
+        let beside = self.config_file.with_extension("new");
         std::fs::write(&beside, config).unwrap();
-        std::fs::rename(&beside, &self.file).unwrap();
+        std::fs::rename(&beside, &self.config_file).unwrap();
         self.signal("-HUP");
     }
 
-    pub fn wait_up(&self) {
-        until("it is up", || Client::to(self.address).get("/up").is_some_and(|got| got.status() == 200));
+    pub fn wait_until_up(&self) {
+        wait_until("it is up", || {
+            Client::connect(self.address).get("/up").is_some_and(|got| got.status() == 200)
+        });
     }
 
     pub fn signal(&self, name: &str) {
@@ -513,10 +533,10 @@
     }
 
     /// Stops it where it is, until it is told to go on by SIGCONT.
-    pub fn hold_up(&self) {
+    pub fn suspend(&self) {
         self.signal("-STOP");
         let file = format!("/proc/{}/stat", self.child.id());
-        until("it stands still", || {
+        wait_until("it stands still", || {
             std::fs::read_to_string(&file)
                 .unwrap()
                 .rsplit(") ")
@@ -525,9 +545,9 @@
         });
     }
 
-    pub fn wait_exit(&mut self) -> ExitStatus {
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
-        until("it ends", || {
+        wait_until("it ends", || {
             status = self.child.try_wait().unwrap();
             status.is_some()
         });
@@ -540,8 +560,8 @@
         let _ = self.child.kill();
         let _ = self.child.wait();
         if !std::thread::panicking() {
-            judge::verdict();
-            judge::verdict_on_answers(self.address);
+            judge::assert_no_unsafe_retries();
+            judge::assert_no_request_lost(self.address);
         }
     }
 }
@@ -558,9 +578,9 @@
 }
 
 impl Client {
-    pub fn to(address: SocketAddr) -> Client {
+    pub fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).unwrap();
-        stream.set_read_timeout(Some(FOREVER)).unwrap();
+        stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
         Client { reader: BufReader::new(stream), asked: VecDeque::new(), answered: None, is_raw: false }
     }
 
@@ -579,12 +599,12 @@
         }
     }
 
-    pub fn read(&mut self) -> Option<Message> {
-        let (answer, ended) = self.read_answer();
+    pub fn read_answer(&mut self) -> Option<Message> {
+        let (answer, ended) = self.read_answer_and_end();
         if let Some(id) = self.asked.pop_front() {
-            judge::ended(&id, ended);
+            judge::record_end(&id, ended);
             if let Some(answer) = &answer {
-                judge::answered(&id, answer.status());
+                judge::record_answer(&id, answer.status());
                 self.answered = Some(id);
             }
         }
@@ -592,22 +612,29 @@
     }
 
     /// The next answer, if it comes whole, and how the wait for it ended.
-    fn read_answer(&mut self) -> (Option<Message>, Ended) {
+    fn read_answer_and_end(&mut self) -> (Option<Message>, WaitEnd) {
         let read_from = Instant::now();
         let first = self.reader.fill_buf().map(|bytes| !bytes.is_empty());
         let begun_at = Instant::now();
-        let ended = |end, bytes| Ended { end, read_from, begun_at, at: Instant::now(), bytes };
+        let ended = |end, bytes| WaitEnd {
+            outcome: end,
+            reading_since: read_from,
+            first_byte_at: begun_at,
+            ended_at: Instant::now(),
+            bytes,
+        };
         let begun = match first {
             Ok(begun) => begun,
             Err(error) if matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => {
-                return (None, ended(End::GaveUp, 0));
+                return (None, ended(WaitOutcome::ReadTimedOut, 0));
             }
             Err(_) => false,
         };
         let mut counted = (&mut self.reader).take(u64::MAX);
         let answer = read_message(&mut counted);
         let bytes = u64::MAX - counted.limit();
-        let end = if answer.is_some() { End::Answered } else { End::CutOff { begun } };
+        let end =
+            if answer.is_some() { WaitOutcome::Answered } else { WaitOutcome::ConnectionClosed { begun } };
         (answer, ended(end, bytes))
     }
 
@@ -620,7 +647,7 @@
     }
 
     /// Reads on until the other side closes; what came before that. `None` if it does not close.
-    pub fn read_to_close(&mut self) -> Option<Vec<u8>> {
+    pub fn read_until_close(&mut self) -> Option<Vec<u8>> {
         let mut rest = Vec::new();
         match self.reader.read_to_end(&mut rest) {
             Ok(_) => Some(rest),
@@ -631,29 +658,29 @@
 
     pub fn get(&mut self, path: &str) -> Option<Message> {
         self.write(format!("GET {path} HTTP/1.1\r\nHost: api.internal\r\n\r\n").as_bytes());
-        self.read()
+        self.read_answer()
     }
 
     /// Sends a whole request of a class.
     pub fn send(&mut self, class: &str, timeout_ms: u64) {
-        self.send_numbered(class, timeout_ms);
+        self.send_and_return_id(class, timeout_ms);
     }
 
     /// The same; its id.
-    pub fn send_numbered(&mut self, class: &str, timeout_ms: u64) -> String {
-        let (id, text) = numbered(class, timeout_ms);
+    pub fn send_and_return_id(&mut self, class: &str, timeout_ms: u64) -> String {
+        let (id, text) = request_with_id(class, timeout_ms);
         let is_new = self.answered.is_none() && self.asked.is_empty() && !self.is_raw;
         self.asked.push_back(id.clone());
         if self.try_write(text.as_bytes()) {
             let by = self.reader.get_ref().peer_addr().ok();
-            judge::accepted(&id, by, Duration::from_millis(timeout_ms), is_new);
+            judge::record_accepted(&id, by, Duration::from_millis(timeout_ms), is_new);
         }
         id
     }
 
-    pub fn ask(&mut self, class: &str) -> Message {
+    pub fn exchange(&mut self, class: &str) -> Message {
         self.send(class, 6_000);
-        self.read().expect("a whole answer")
+        self.read_answer().expect("a whole answer")
     }
 }
 
@@ -661,11 +688,20 @@
     fn drop(&mut self) {
         for id in &self.asked {
             let now = Instant::now();
-            judge::ended(id, Ended { end: End::Left, read_from: now, begun_at: now, at: now, bytes: 0 });
+            judge::record_end(
+                id,
+                WaitEnd {
+                    outcome: WaitOutcome::ClientLeft,
+                    reading_since: now,
+                    first_byte_at: now,
+                    ended_at: now,
+                    bytes: 0,
+                },
+            );
         }
         let known = self.asked.is_empty() && !self.is_raw;
         if let Some(id) = self.answered.take().filter(|_| known && self.has_surplus()) {
-            judge::more_came(&id);
+            judge::record_surplus(&id);
         }
     }
 }
@@ -674,11 +710,11 @@
 
 /// A request as the application sends it.
 pub fn request(class: &str, timeout_ms: u64) -> String {
-    numbered(class, timeout_ms).1
+    request_with_id(class, timeout_ms).1
 }
 
 /// The same, and its id.
-pub fn numbered(class: &str, timeout_ms: u64) -> (String, String) {
+pub fn request_with_id(class: &str, timeout_ms: u64) -> (String, String) {
     let id = format!("{:016x}", IDS.fetch_add(1, Ordering::SeqCst));
     let (method, key, body) = match class {
         "fetch" => ("GET", "", ""),
@@ -700,7 +736,7 @@
 static PORTS: AtomicUsize = AtomicUsize::new(0);
 
 /// A port that was free just now.
-pub fn free() -> SocketAddr {
+pub fn free_address() -> SocketAddr {
     let count = usize::from(OWN_PORTS.end - OWN_PORTS.start);
     // Test processes that run side by side begin far from each other.
     let first = std::process::id() as usize * 101;
@@ -715,33 +751,33 @@
 }
 
 /// A configuration with a console.
-pub fn with_console(config: &str, console: &str) -> String {
+pub fn config_with_console(config: &str, console: &str) -> String {
     config.replacen('{', &format!(r#"{{"console":"{console}","#), 1)
 }
 
 /// A sidecar with a console, its discovery, and where the console is.
-pub fn operated(upstreams: &[&Upstream]) -> (Sidecar, Discovery, SocketAddr) {
-    let known = ready(upstreams);
+pub fn start_with_console(upstreams: &[&Upstream]) -> (Sidecar, Discovery, SocketAddr) {
+    let known = ready_server_list(upstreams);
     let discovery = Discovery::new(&known);
-    let console = free();
-    let text = config("127.0.0.1:0", discovery.address, &known, 1024, SETTINGS);
-    let sidecar = Sidecar::start(&with_console(&text, &console.to_string()));
-    sidecar.wait_up();
+    let console = free_address();
+    let text = config_json("127.0.0.1:0", discovery.address, &known, 1024, SETTINGS);
+    let sidecar = Sidecar::start(&config_with_console(&text, &console.to_string()));
+    sidecar.wait_until_up();
     (sidecar, discovery, console)
 }
 
 /// One call: status and body.
-pub fn call(console: SocketAddr, method: &str, path: &str) -> (u16, String) {
-    let mut client = Client::to(console);
+pub fn call_console(console: SocketAddr, method: &str, path: &str) -> (u16, String) {
+    let mut client = Client::connect(console);
     client.write(format!("{method} {path} HTTP/1.1\r\nHost: console\r\n\r\n").as_bytes());
-    let answer = client.read().expect("an answer");
+    let answer = client.read_answer().expect("an answer");
     assert_eq!(answer.header("connection"), Some("close"), "one call to a connection");
-    assert_eq!(client.read_to_close().expect("a close"), b"");
+    assert_eq!(client.read_until_close().expect("a close"), b"");
     (answer.status(), String::from_utf8(answer.body).unwrap())
 }
 
-pub fn figures(console: SocketAddr) -> serde_json::Value {
-    let (status, text) = call(console, "GET", "/api/telemetry");
+pub fn telemetry(console: SocketAddr) -> serde_json::Value {
+    let (status, text) = call_console(console, "GET", "/api/telemetry");
     assert_eq!(status, 200);
     serde_json::from_str(&text).unwrap()
 }
@@ -749,14 +785,14 @@
 // --- An upstream that nobody gets through to ---------------------------------------------------
 
 /// An upstream whose accept queue is full: connections to it come up only once the test lets them.
-pub struct Clogged {
+pub struct FullBacklogUpstream {
     pub address: SocketAddr,
     listener: TcpListener,
     queue: Vec<TcpStream>,
 }
 
-impl Clogged {
-    pub fn new() -> Clogged {
+impl FullBacklogUpstream {
+    pub fn new() -> FullBacklogUpstream {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
         let listener = runtime.block_on(async {
             let socket = tokio::net::TcpSocket::new_v4().unwrap();
@@ -766,11 +802,11 @@
         listener.set_nonblocking(false).unwrap();
         let address = listener.local_addr().unwrap();
         let queue = [0, 1].map(|_| TcpStream::connect(address).unwrap()).into();
-        Clogged { address, listener, queue }
+        FullBacklogUpstream { address, listener, queue }
     }
 
     /// Connections come up from now on, and requests are answered. The first lines of those, probes apart.
-    pub fn let_through(self) -> Arc<Mutex<Vec<String>>> {
+    pub fn accept_connections(self) -> Arc<Mutex<Vec<String>>> {
         let written = Arc::new(Mutex::new(Vec::new()));
         let seen = written.clone();
         let listener = self.listener;
@@ -781,8 +817,8 @@
                     let mut writer = stream.try_clone().unwrap();
                     let mut reader = BufReader::new(stream);
                     while let Some(message) = read_message(&mut reader) {
-                        if !message.line.starts_with("GET /metrics/load ") {
-                            seen.lock().unwrap().push(message.line);
+                        if !message.start_line.starts_with("GET /metrics/load ") {
+                            seen.lock().unwrap().push(message.start_line);
                         }
                         let _ = writer.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nslow");
                     }
@@ -795,20 +831,20 @@
 }
 
 /// A sidecar before an upstream that nobody gets through to, under so many names: requests wait for a connection.
-pub fn before_clogged(names: usize) -> (Sidecar, Discovery, SocketAddr, Clogged) {
-    let slow = Clogged::new();
+pub fn start_with_full_backlog(names: usize) -> (Sidecar, Discovery, SocketAddr, FullBacklogUpstream) {
+    let slow = FullBacklogUpstream::new();
     let entries: Vec<String> =
-        (0..names).map(|name| entry(&format!("slow-{name}"), slow.address, "ready")).collect();
-    let known = list(5, true, &entries);
+        (0..names).map(|name| server_entry(&format!("slow-{name}"), slow.address, "ready")).collect();
+    let known = server_list(5, true, &entries);
     let discovery = Discovery::new(&known);
     let settings = SETTINGS
         .replace(r#""connect_timeout":2000.0"#, r#""connect_timeout":120000.0"#)
         .replace(r#""aim":3000.0"#, r#""aim":120000.0"#)
         .replace(r#""probes":true"#, r#""probes":false"#);
-    let console = free();
-    let text = config("127.0.0.1:0", discovery.address, &known, 1024, &settings);
-    let sidecar = Sidecar::start(&with_console(&text, &console.to_string()));
-    sidecar.wait_up();
+    let console = free_address();
+    let text = config_json("127.0.0.1:0", discovery.address, &known, 1024, &settings);
+    let sidecar = Sidecar::start(&config_with_console(&text, &console.to_string()));
+    sidecar.wait_until_up();
     (sidecar, discovery, console, slow)
 }
 
@@ -822,7 +858,7 @@
     sockopt::set_socket_recv_buffer_size(&socket, bytes).unwrap();
     connect(&socket, &address).unwrap();
     let stream = TcpStream::from(socket);
-    stream.set_read_timeout(Some(FOREVER)).unwrap();
+    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
     stream
 }
 
@@ -843,13 +879,13 @@
 
 /// Connects again and again until told to stop, with this pause between, asks once each time and keeps the connection: places
 /// are short all the time, and some of those who have one are idle. How often it asked.
-pub fn crowd(address: SocketAddr, pause: Duration, stop: &AtomicBool) -> usize {
+pub fn connect_repeatedly(address: SocketAddr, pause: Duration, stop: &AtomicBool) -> usize {
     let mut kept = VecDeque::new();
     let mut asked = 0;
     while !stop.load(Ordering::SeqCst) {
-        let mut client = Client::to(address);
+        let mut client = Client::connect(address);
         client.send("fetch", 6_000);
-        let _ = client.read();
+        let _ = client.read_answer();
         asked += 1;
         kept.push_back(client);
         if kept.len() > CROWD_KEEPS {
--- a/crates/cli/tests/readiness.rs
+++ b/crates/cli/tests/readiness.rs
@@ -44,11 +44,11 @@
 ];
 
 /// Starts such a discovery; where it is, and what keeps it up.
-fn start(does: Does) -> (SocketAddr, Option<Clogged>) {
+fn start(does: Does) -> (SocketAddr, Option<FullBacklogUpstream>) {
     match does {
-        Does::RefusesConnections => return (free(), None),
+        Does::RefusesConnections => return (free_address(), None),
         Does::IsOutOfReach => {
-            let clogged = Clogged::new();
+            let clogged = FullBacklogUpstream::new();
             return (clogged.address, Some(clogged));
         }
         _ => {}
@@ -76,7 +76,7 @@
                 Does::OpensInSilence => drop(stream.write_all(opens)),
                 Does::Dribbles => {
                     let _ = stream.write_all(opens);
-                    let _ = chunk(&mut stream, br#"{"seq":9,"whole":true,"hosts":["#);
+                    let _ = write_chunk(&mut stream, br#"{"seq":9,"whole":true,"hosts":["#);
                 }
                 Does::Hangs | Does::RefusesConnections | Does::IsOutOfReach => {}
             }
@@ -89,8 +89,8 @@
 /// Guards against a start that waits for discovery: it has a list, and serves by it.
 #[test]
 fn a_process_is_ready_by_its_known_list_whatever_discovery_does() {
-    let upstream = Upstream::new(|_| Deed::ok("served"));
-    let known = ready(&[&upstream]);
+    let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
+    let known = ready_server_list(&[&upstream]);
     for mode in ["automatic", "subscribe"] {
         let settings = SETTINGS.replace("automatic", mode);
         std::thread::scope(|scope| {
@@ -99,11 +99,11 @@
                 scope.spawn(move || {
                     let (address, _kept) = start(does);
                     let begun = Instant::now();
-                    let sidecar = Sidecar::start(&config("127.0.0.1:0", address, known, 1024, settings));
-                    sidecar.wait_up();
+                    let sidecar = Sidecar::start(&config_json("127.0.0.1:0", address, known, 1024, settings));
+                    sidecar.wait_until_up();
                     let took = begun.elapsed();
                     assert!(took < READY_WITHIN, "{mode}, {does:?}: {took:?}");
-                    let answer = Client::to(sidecar.address).ask("fetch");
+                    let answer = Client::connect(sidecar.address).exchange("fetch");
                     assert_eq!(answer.status(), 200, "{mode}, {does:?}: it serves by the list");
                 });
             }
@@ -115,25 +115,25 @@
 #[test]
 fn a_process_without_a_list_is_ready_soon_after_discovery_comes_back() {
     for mode in ["automatic", "subscribe"] {
-        let upstream = Upstream::new(|_| Deed::ok("served"));
+        let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
         let settings =
             SETTINGS.replace("automatic", mode).replace(r#""must_ask_in":400.0"#, r#""must_ask_in":36e6"#);
-        let address = free();
-        let sidecar = Sidecar::start(&config("127.0.0.1:0", address, "null", 1024, &settings));
+        let address = free_address();
+        let sidecar = Sidecar::start(&config_json("127.0.0.1:0", address, "null", 1024, &settings));
         std::thread::sleep(Duration::from_millis(2_500));
-        let said = Client::to(sidecar.address).get("/up").expect("an answer").status();
+        let said = Client::connect(sidecar.address).get("/up").expect("an answer").status();
         assert_ne!(said, 200, "{mode}: it has no list");
-        let line = ready(&[&upstream]);
+        let line = ready_server_list(&[&upstream]);
         let listener = TcpListener::bind(address).unwrap();
         let begun = Instant::now();
         std::thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                let _ = chunk(&mut stream, format!("{line}\n").as_bytes());
+                let _ = write_chunk(&mut stream, format!("{line}\n").as_bytes());
                 std::mem::forget(stream);
             }
         });
-        sidecar.wait_up();
+        sidecar.wait_until_up();
         assert!(begun.elapsed() < READY_WITHIN, "{mode}: {:?}", begun.elapsed());
     }
 }
--- a/crates/cli/tests/requests_in_pieces.rs
+++ b/crates/cli/tests/requests_in_pieces.rs
@@ -32,13 +32,13 @@
 
 impl Fixture {
     fn new() -> Fixture {
-        let upstream = Upstream::new(|_| Deed::ok("served"));
-        let known = ready(&[&upstream]);
-        let (discovery, console) = (Discovery::new(&known), free());
-        let text = config("127.0.0.1:0", discovery.address, &known, 1024, SETTINGS);
-        let config = with_console(&text, &console.to_string());
+        let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
+        let known = ready_server_list(&[&upstream]);
+        let (discovery, console) = (Discovery::new(&known), free_address());
+        let text = config_json("127.0.0.1:0", discovery.address, &known, 1024, SETTINGS);
+        let config = config_with_console(&text, &console.to_string());
         let sidecar = Sidecar::start(&config);
-        sidecar.wait_up();
+        sidecar.wait_until_up();
         Fixture { sidecar, console, config, _discovery: discovery }
     }
 
@@ -48,12 +48,12 @@
             Interruption::Nothing => {}
             Interruption::Reload => {
                 self.sidecar.reload(&self.config);
-                self.sidecar.wait_log("SIGHUP: discovery is at");
+                self.sidecar.wait_for_log("SIGHUP: discovery is at");
             }
-            Interruption::Evacuation => assert_eq!(call(self.console, "PUT", "/api/evacuate").0, 200),
+            Interruption::Evacuation => assert_eq!(call_console(self.console, "PUT", "/api/evacuate").0, 200),
             Interruption::Sigterm => {
                 self.sidecar.signal("-TERM");
-                self.sidecar.wait_log("SIGTERM");
+                self.sidecar.wait_for_log("SIGTERM");
             }
         }
     }
@@ -61,7 +61,7 @@
     /// The end in order, whatever it was.
     fn end(mut self, interruption: Interruption) {
         if interruption == Interruption::Sigterm {
-            assert!(self.sidecar.wait_exit().success());
+            assert!(self.sidecar.wait_for_exit().success());
         }
     }
 }
@@ -76,7 +76,7 @@
 impl Half {
     /// Writes a request up to that byte.
     fn write(mut client: Client, class: &str, cut: usize) -> Half {
-        let (id, text) = numbered(class, 6_000);
+        let (id, text) = request_with_id(class, 6_000);
         client.write(&text.as_bytes()[..cut]);
         Half { client, id, rest: text.as_bytes()[cut..].to_vec() }
     }
@@ -84,23 +84,23 @@
     /// Writes the rest and reads the answer.
     fn finish(mut self) -> Option<Message> {
         self.client.write(&self.rest);
-        let answer = self.client.read();
-        answer.iter().for_each(|answer| judge::answered(&self.id, answer.status()));
+        let answer = self.client.read_answer();
+        answer.iter().for_each(|answer| judge::record_answer(&self.id, answer.status()));
         answer
     }
 }
 
 /// A client whose connection has carried a request before.
 fn used_client(address: SocketAddr) -> Client {
-    let mut client = Client::to(address);
-    assert!(matches!(client.ask("fetch").status(), 200 | 503));
+    let mut client = Client::connect(address);
+    assert!(matches!(client.exchange("fetch").status(), 200 | 503));
     client
 }
 
 /// Served, or refused for want of room: a whole answer that harms nobody.
 fn assert_answered(answer: Option<Message>, what: &str) -> bool {
     let answer = answer.unwrap_or_else(|| panic!("{what}: no answer"));
-    assert!(matches!(answer.status(), 200 | 503), "{what}: {}", answer.line);
+    assert!(matches!(answer.status(), 200 | 503), "{what}: {}", answer.start_line);
     answer.status() == 200
 }
 
@@ -112,7 +112,7 @@
         let fixture = Fixture::new();
         let address = fixture.sidecar.address;
         let used = (1..length).step_by(4).map(|cut| (cut, used_client(address))).collect::<Vec<_>>();
-        let new = (1..length).map(|cut| (cut, Client::to(address)));
+        let new = (1..length).map(|cut| (cut, Client::connect(address)));
         let halves: Vec<(usize, Half)> =
             used.into_iter().chain(new).map(|(cut, client)| (cut, Half::write(client, "log", cut))).collect();
         // In the same moment, read by the process or not.
@@ -139,7 +139,7 @@
             [("fetch", head_cut), ("log", head_cut), ("bill", head_cut), ("bill", body_cut)]
                 .into_iter()
                 .flat_map(|(class, cut)| {
-                    [(class, cut, Client::to(address)), (class, cut, used_client(address))]
+                    [(class, cut, Client::connect(address)), (class, cut, used_client(address))]
                 })
                 .map(|(class, cut, client)| {
                     let mut half = Half::write(client, class, 0);
@@ -173,13 +173,15 @@
         let fixture = Fixture::new();
         let address = fixture.sidecar.address;
         let resting: Vec<Client> = (0..20).map(|_| used_client(address)).collect();
-        fixture.sidecar.hold_up();
+        fixture.sidecar.suspend();
         let whole = request("log", 6_000).len();
         let rested: Vec<Half> = resting.into_iter().map(|client| Half::write(client, "log", whole)).collect();
         let queued: Vec<Half> = (0..40)
-            .map(|number| Half::write(Client::to(address), "log", if number % 2 == 0 { whole } else { 70 }))
+            .map(|number| {
+                Half::write(Client::connect(address), "log", if number % 2 == 0 { whole } else { 70 })
+            })
             .collect();
-        let mut pipelined: Vec<Client> = (0..10).map(|_| Client::to(address)).collect();
+        let mut pipelined: Vec<Client> = (0..10).map(|_| Client::connect(address)).collect();
         for client in &mut pipelined {
             let two = [request("log", 6_000), request("fetch", 6_000)].concat();
             client.write(two.as_bytes());
@@ -188,7 +190,7 @@
         match interruption {
             Interruption::Sigterm => fixture.sidecar.signal("-TERM"),
             Interruption::Evacuation => {
-                let mut client = Client::to(fixture.console);
+                let mut client = Client::connect(fixture.console);
                 client.write(b"PUT /api/evacuate HTTP/1.1\r\nHost: console\r\n\r\n");
                 operator = Some(client);
             }
@@ -203,10 +205,13 @@
         }
         for client in &mut pipelined {
             for number in 0..2 {
-                assert_answered(client.read(), &format!("{interruption:?}, pipelined {number}"));
+                assert_answered(client.read_answer(), &format!("{interruption:?}, pipelined {number}"));
             }
         }
-        assert!(operator.is_none_or(|mut operator| operator.read().is_some_and(|said| said.status() == 200)));
+        assert!(
+            operator
+                .is_none_or(|mut operator| operator.read_answer().is_some_and(|said| said.status() == 200))
+        );
         fixture.end(interruption);
     }
 }
@@ -230,23 +235,24 @@
     const SERVICE_TIME: Duration = Duration::from_millis(80);
     let settings = SETTINGS.replace(r#""aim":3000.0"#, r#""aim":60.0"#).replace("8000.0", "90.0");
     let upstream = Upstream::new(|_| {
-        Deed::play(|stream| {
+        ScriptedResponse::custom(|stream| {
             std::thread::sleep(SERVICE_TIME);
             stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nserved").is_ok()
         })
     });
-    let (mut sidecar, _discovery) = Sidecar::with_settings(&[&upstream], &settings);
+    let (mut sidecar, _discovery) = Sidecar::start_with_settings(&[&upstream], &settings);
     let cut = request("log", 6_000).len() - 1;
-    let halves: Vec<Half> = (0..150).map(|_| Half::write(Client::to(sidecar.address), "log", cut)).collect();
+    let halves: Vec<Half> =
+        (0..150).map(|_| Half::write(Client::connect(sidecar.address), "log", cut)).collect();
     std::thread::sleep(Duration::from_millis(50));
     sidecar.signal("-TERM");
-    sidecar.wait_log("SIGTERM");
+    sidecar.wait_for_log("SIGTERM");
     let begun = Instant::now();
     // The longest deadline, and 640 ms more.
     let exit = std::thread::spawn(move || {
         while sidecar.child.try_wait().unwrap().is_none() {
             std::thread::sleep(Duration::from_micros(500));
-            assert!(begun.elapsed() < FOREVER);
+            assert!(begun.elapsed() < WAIT_TIMEOUT);
         }
         (Instant::now(), sidecar)
     });
@@ -296,20 +302,20 @@
 /// Guards against closing a connection in the middle of a request for a newcomer while others rest and hold nothing.
 #[test]
 fn who_writes_slowly_is_not_evicted_while_others_are_idle() {
-    let upstream = Upstream::new(|_| Deed::ok("served"));
-    let known = ready(&[&upstream]);
+    let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
+    let known = ready_server_list(&[&upstream]);
     let discovery = Discovery::new(&known);
-    let sidecar = Sidecar::start(&config("127.0.0.1:0", discovery.address, &known, 64, SETTINGS));
-    sidecar.wait_up();
+    let sidecar = Sidecar::start(&config_json("127.0.0.1:0", discovery.address, &known, 64, SETTINGS));
+    sidecar.wait_until_up();
     let stop = AtomicBool::new(false);
     let length = request("log", 6_000).len();
     std::thread::scope(|scope| {
-        let asked = scope.spawn(|| crowd(sidecar.address, Duration::from_millis(15), &stop));
+        let asked = scope.spawn(|| connect_repeatedly(sidecar.address, Duration::from_millis(15), &stop));
         let slow: Vec<_> = [40, length - 2]
             .map(|cut| {
                 let address = sidecar.address;
                 scope.spawn(move || {
-                    let half = Half::write(Client::to(address), "log", cut);
+                    let half = Half::write(Client::connect(address), "log", cut);
                     std::thread::sleep(Duration::from_millis(1_500));
                     half.finish().map(|answer| answer.status())
                 })
@@ -322,6 +328,6 @@
         let answered = |status: &Option<u16>| matches!(status, Some(200 | 503));
         assert!(slow.iter().all(answered), "{slow:?}, beside {asked} newcomers");
     });
-    let last = Client::to(sidecar.address).ask("fetch");
+    let last = Client::connect(sidecar.address).exchange("fetch");
     assert!(matches!(last.status(), 200 | 503));
 }
--- a/crates/cli/tests/transfers.rs
+++ b/crates/cli/tests/transfers.rs
@@ -27,17 +27,17 @@
     let sent = body.clone();
     let upstream = Upstream::new(move |_| {
         let (sent, wait) = (sent.clone(), wait.clone());
-        Deed::play(move |stream| {
+        ScriptedResponse::custom(move |stream| {
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\nX-Note: kept\r\n\r\n", sent.len());
             stream.write_all(head.as_bytes()).unwrap();
             stream.write_all(&sent[..100]).unwrap();
-            until("the client has the first bytes", || wait.load(Ordering::SeqCst) > 0);
+            wait_until("the client has the first bytes", || wait.load(Ordering::SeqCst) > 0);
             stream.write_all(&sent[100..]).unwrap();
             true
         })
     });
-    let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
-    let mut client = Client::to(sidecar.address);
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
+    let mut client = Client::connect(sidecar.address);
     client.send("bill", 6_000);
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -53,7 +53,7 @@
     client.reader.read_exact(&mut got[100..]).unwrap();
     assert!(got == body, "unchanged");
     // Both connections go on.
-    assert_eq!(client.ask("bill").body.len(), body.len());
+    assert_eq!(client.exchange("bill").body.len(), body.len());
     let connections: Vec<usize> = upstream.requests().iter().map(|message| message.connection).collect();
     assert_eq!(connections[0], connections[1]);
 }
@@ -64,7 +64,7 @@
     let sent = body.clone();
     let upstream = Upstream::new(move |_| {
         let sent = sent.clone();
-        Deed::play(move |stream| {
+        ScriptedResponse::custom(move |stream| {
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", sent.len());
             stream.write_all(head.as_bytes()).unwrap();
             let (first, second) = sent.split_at(150_000);
@@ -74,10 +74,10 @@
             true
         })
     });
-    let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
-    let mut client = Client::to(sidecar.address);
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
+    let mut client = Client::connect(sidecar.address);
     client.send("bill", 500);
-    assert!(client.read().expect("a whole answer").body == body);
+    assert!(client.read_answer().expect("a whole answer").body == body);
 }
 
 #[test]
@@ -85,7 +85,7 @@
     for head in ["Content-Length: 300000\r\n", "Transfer-Encoding: chunked\r\n"] {
         let upstreams = [0, 1].map(|_| {
             Upstream::new(move |_| {
-                Deed::play(move |stream| {
+                ScriptedResponse::custom(move |stream| {
                     let begin = format!("HTTP/1.1 200 OK\r\n{head}\r\n");
                     stream.write_all(begin.as_bytes()).unwrap();
                     let part = vec![b'x'; 200_000];
@@ -100,10 +100,10 @@
                 })
             })
         });
-        let (sidecar, _discovery) = Sidecar::with(&[&upstreams[0], &upstreams[1]]);
-        let mut client = Client::to(sidecar.address);
+        let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstreams[0], &upstreams[1]]);
+        let mut client = Client::connect(sidecar.address);
         client.send("fetch", 6_000);
-        assert!(client.read().is_none(), "not whole");
+        assert!(client.read_answer().is_none(), "not whole");
         assert_eq!(total(&[&upstreams[0], &upstreams[1]]), 1);
     }
 }
@@ -141,7 +141,7 @@
             let bytes = bytes.clone();
             let upstream = Upstream::new(move |_| {
                 let bytes = bytes.clone();
-                Deed::play(move |stream| {
+                ScriptedResponse::custom(move |stream| {
                     for piece in bytes.chunks(bytes.len().div_ceil(pieces)) {
                         stream.write_all(piece).unwrap();
                         std::thread::sleep(Duration::from_millis(2));
@@ -149,10 +149,10 @@
                     stays
                 })
             });
-            let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
+            let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
             for _ in 0..2 {
-                let answer = Client::to(sidecar.address).ask("bill");
-                assert!((answer.status(), &answer.body[..]) == (200, body), "{:?}", answer.line);
+                let answer = Client::connect(sidecar.address).exchange("bill");
+                assert!((answer.status(), &answer.body[..]) == (200, body), "{:?}", answer.start_line);
             }
         }
     }
@@ -160,16 +160,16 @@
 
 #[test]
 fn an_answer_that_ends_with_its_connection_is_not_whole_if_that_was_reset() {
-    let upstream = Upstream::new(|_| Deed::RawAndReset(b"HTTP/1.1 200 OK\r\n\r\n"));
-    let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
-    assert_eq!(Client::to(sidecar.address).ask("bill").status(), 502);
+    let upstream = Upstream::new(|_| ScriptedResponse::RawAndReset(b"HTTP/1.1 200 OK\r\n\r\n"));
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
+    assert_eq!(Client::connect(sidecar.address).exchange("bill").status(), 502);
     assert_eq!(upstream.requests().len(), 1);
 }
 
 #[test]
 fn slow_heads_and_bodies_are_waited_for() {
-    let upstream = Upstream::new(|m| Deed::Answer(200, "", m.body.clone()));
-    let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
+    let upstream = Upstream::new(|m| ScriptedResponse::Answer(200, "", m.body.clone()));
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
     let body = pattern(60_000);
     let head = request("bill", 6_000)
         .strip_suffix("bill")
@@ -183,7 +183,7 @@
                 let id = if head_ms > 1_500 { "aaaaaaaaaaaaaaaa" } else { "bbbbbbbbbbbbbbbb" };
                 let at = head.find("X-Request-ID: ").unwrap() + 14;
                 let head = format!("{}{id}{}", &head[..at], &head[at + 16..]);
-                let mut client = Client::to(address);
+                let mut client = Client::connect(address);
                 let pieces: Vec<&[u8]> = head.as_bytes().chunks(head.len().div_ceil(20)).collect();
                 for piece in &pieces {
                     client.write(piece);
@@ -194,7 +194,7 @@
                     client.write(piece);
                     std::thread::sleep(Duration::from_millis(50));
                 }
-                let answer = client.read().expect("an answer");
+                let answer = client.read_answer().expect("an answer");
                 assert!((answer.status(), answer.body) == (200, body));
             })
         })
@@ -204,8 +204,8 @@
 
 #[test]
 fn who_dribbles_is_out_in_time() {
-    let upstream = Upstream::new(|_| Deed::ok("served"));
-    let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
+    let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
     let head =
         request("bill", 6_000).replace("Content-Length: 4\r\n\r\nbill", "Content-Length: 50000\r\n\r\n");
     for first in [head.as_bytes(), b"GET /fetch HTTP/1.1\r\nX-Long: "] {
@@ -221,7 +221,7 @@
                 Err(_) => {}
             }
             let _ = stream.write_all(b"x");
-            assert!(start.elapsed() < FOREVER, "it is never out");
+            assert!(start.elapsed() < WAIT_TIMEOUT, "it is never out");
         }
         assert!(start.elapsed() > Duration::from_secs(2), "an honest one has 2 s");
     }
@@ -230,21 +230,21 @@
 
 #[test]
 fn slow_readers_of_long_answers_leave_others_alone() {
-    let upstream = Upstream::new(|message| match message.line.starts_with("POST /bill") {
-        true => Deed::Answer(200, "", vec![b'x'; 8 << 20]),
-        false => Deed::ok("served"),
+    let upstream = Upstream::new(|message| match message.start_line.starts_with("POST /bill") {
+        true => ScriptedResponse::Answer(200, "", vec![b'x'; 8 << 20]),
+        false => ScriptedResponse::ok("served"),
     });
-    let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
-    let mut slow: Vec<Client> = (0..6).map(|_| Client::to(sidecar.address)).collect();
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
+    let mut slow: Vec<Client> = (0..6).map(|_| Client::connect(sidecar.address)).collect();
     for client in &mut slow {
         client.send("bill", 6_000);
         assert!(!client.reader.fill_buf().unwrap().is_empty(), "it has begun");
     }
     for _ in 0..100 {
-        assert_eq!(Client::to(sidecar.address).ask("fetch").status(), 200);
+        assert_eq!(Client::connect(sidecar.address).exchange("fetch").status(), 200);
     }
     for client in &mut slow {
-        assert_eq!(client.read().expect("all of it").body.len(), 8 << 20);
+        assert_eq!(client.read_answer().expect("all of it").body.len(), 8 << 20);
     }
 }
 
@@ -269,25 +269,25 @@
 
 #[test]
 fn long_uploads_of_every_form_come_unchanged() {
-    let upstream = Upstream::new(|m| Deed::Answer(200, "", m.body.clone()));
-    let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
+    let upstream = Upstream::new(|m| ScriptedResponse::Answer(200, "", m.body.clone()));
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
     let body = pattern(3_000_001);
     for class in ["bill", "log"] {
-        let mut client = Client::to(sidecar.address);
+        let mut client = Client::connect(sidecar.address);
         client.write(upload_head(class, Some(body.len())).as_bytes());
         client.write(&body);
-        let answer = client.read().expect("an answer");
-        assert!((answer.status(), &answer.body) == (200, &body), "{}", answer.line);
+        let answer = client.read_answer().expect("an answer");
+        assert!((answer.status(), &answer.body) == (200, &body), "{}", answer.start_line);
         // On the same connection, in chunks.
         client.write(upload_head(class, None).as_bytes());
         client.write(&chunked(&body, 9_999));
-        let answer = client.read().expect("an answer");
-        assert!((answer.status(), &answer.body) == (200, &body), "{}", answer.line);
+        let answer = client.read_answer().expect("an answer");
+        assert!((answer.status(), &answer.body) == (200, &body), "{}", answer.start_line);
         // Short ones in chunks are held whole.
         client.write(upload_head(class, None).as_bytes());
         client.write(&chunked(b"short", 2));
-        assert_eq!(client.read().expect("an answer").body, b"short");
-        assert_eq!(client.ask("fetch").status(), 200);
+        assert_eq!(client.read_answer().expect("an answer").body, b"short");
+        assert_eq!(client.exchange("fetch").status(), 200);
     }
     assert_eq!(upstream.requests().len(), 8);
 }
@@ -314,27 +314,27 @@
             });
         }
     });
-    let known = list(5, true, &[entry("a", address, "ready")]);
+    let known = server_list(5, true, &[server_entry("a", address, "ready")]);
     let discovery = Discovery::new(&known);
-    let sidecar = Sidecar::start(&config("127.0.0.1:0", discovery.address, &known, 1024, SETTINGS));
-    sidecar.wait_up();
-    let mut client = Client::to(sidecar.address);
+    let sidecar = Sidecar::start(&config_json("127.0.0.1:0", discovery.address, &known, 1024, SETTINGS));
+    sidecar.wait_until_up();
+    let mut client = Client::connect(sidecar.address);
     client.write(upload_head("bill", Some(500_000)).as_bytes());
     client.write(&pattern(200_000));
-    until("the upstream has what has come", || seen.load(Ordering::SeqCst) > 190_000);
+    wait_until("the upstream has what has come", || seen.load(Ordering::SeqCst) > 190_000);
     client.write(&pattern(300_000));
-    assert_eq!(client.read().expect("an answer").body, b"ok");
+    assert_eq!(client.read_answer().expect("an answer").body, b"ok");
 }
 
 #[test]
 fn uploads_over_the_limit_are_told_at_once() {
-    let upstream = Upstream::new(|_| Deed::ok("served"));
-    let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
-    let mut client = Client::to(sidecar.address);
+    let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
+    let mut client = Client::connect(sidecar.address);
     client.write(upload_head("bill", Some((32 << 20) + 1)).as_bytes());
-    assert_eq!(client.read().expect("before its bytes").status(), 413);
+    assert_eq!(client.read_answer().expect("before its bytes").status(), 413);
     // In chunks it shows when they have come.
-    let mut client = Client::to(sidecar.address);
+    let mut client = Client::connect(sidecar.address);
     client.write(upload_head("bill", None).as_bytes());
     let chunk = [b"100000\r\n", &vec![b'x'; 1 << 20][..], b"\r\n"].concat();
     for _ in 0..33 {
@@ -342,74 +342,81 @@
             break;
         }
     }
-    let answer = client.read();
+    let answer = client.read_answer();
     assert!(answer.is_none_or(|answer| answer.status() == 413));
     assert_eq!(upstream.requests().len(), 0, "none came whole");
-    assert_eq!(Client::to(sidecar.address).ask("bill").status(), 200);
+    assert_eq!(Client::connect(sidecar.address).exchange("bill").status(), 200);
 }
 
 #[test]
 fn an_upload_whose_body_is_kept_goes_to_another_and_one_that_has_gone_does_not() {
     // Nobody listens at the first: nothing was taken from the client but what is kept.
     let dead = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let upstream = Upstream::new(|m| Deed::Answer(200, "", m.body.clone()));
-    let known = list(5, true, &[entry("a", upstream.address, "ready"), entry("b", dead, "ready")]);
+    let upstream = Upstream::new(|m| ScriptedResponse::Answer(200, "", m.body.clone()));
+    let known = server_list(
+        5,
+        true,
+        &[server_entry("a", upstream.address, "ready"), server_entry("b", dead, "ready")],
+    );
     let discovery = Discovery::new(&known);
-    let sidecar = Sidecar::start(&config("127.0.0.1:0", discovery.address, &known, 1024, SETTINGS));
-    sidecar.wait_up();
+    let sidecar = Sidecar::start(&config_json("127.0.0.1:0", discovery.address, &known, 1024, SETTINGS));
+    sidecar.wait_until_up();
     let body = pattern(300_000);
     for _ in 0..8 {
-        let mut client = Client::to(sidecar.address);
+        let mut client = Client::connect(sidecar.address);
         client.write(upload_head("bill", Some(body.len())).as_bytes());
         client.write(&body);
-        let answer = client.read().expect("an answer");
-        assert!((answer.status(), &answer.body) == (200, &body), "{}", answer.line);
+        let answer = client.read_answer().expect("an answer");
+        assert!((answer.status(), &answer.body) == (200, &body), "{}", answer.start_line);
     }
     // Turned away unseen after all of it has gone: it did not run, and that is what the client is told.
-    let away = [0, 1].map(|_| Upstream::new(|_| Deed::Answer(503, "X-Not-Processed: 1\r\n", vec![])));
-    let (sidecar, _discovery) = Sidecar::with(&[&away[0], &away[1]]);
-    let mut client = Client::to(sidecar.address);
+    let away =
+        [0, 1].map(|_| Upstream::new(|_| ScriptedResponse::Answer(503, "X-Not-Processed: 1\r\n", vec![])));
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&away[0], &away[1]]);
+    let mut client = Client::connect(sidecar.address);
     client.write(upload_head("bill", Some(body.len())).as_bytes());
     client.write(&body);
-    assert_eq!(client.read().expect("an answer").status(), 503);
+    assert_eq!(client.read_answer().expect("an answer").status(), 503);
     assert_eq!(total(&[&away[0], &away[1]]), 1);
     // One that may have run is not called a refusal.
-    let closes = Upstream::new(|_| Deed::Close);
-    let (sidecar, _discovery) = Sidecar::with(&[&closes]);
-    let mut client = Client::to(sidecar.address);
+    let closes = Upstream::new(|_| ScriptedResponse::Close);
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&closes]);
+    let mut client = Client::connect(sidecar.address);
     client.write(upload_head("bill", None).as_bytes());
     client.write(&chunked(&body, 30_000));
-    assert_eq!(client.read().expect("an answer").status(), 502);
+    assert_eq!(client.read_answer().expect("an answer").status(), 502);
     assert_eq!(closes.requests().len(), 1);
 }
 
 #[test]
 fn an_upload_that_stops_or_whose_client_leaves_never_runs() {
-    let upstream = Upstream::new(|_| Deed::ok("served"));
-    let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
+    let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
     let body = pattern(300_000);
-    let mut stops = Client::to(sidecar.address);
+    let mut stops = Client::connect(sidecar.address);
     stops.write(upload_head("bill", Some(body.len())).as_bytes());
     stops.write(&body[..299_999]);
-    let answer = stops.read();
+    let answer = stops.read_answer();
     assert!(answer.as_ref().is_none_or(|answer| answer.status() == 408), "{answer:?}");
     for cut in [70_000, 299_999] {
-        let mut leaves = Client::to(sidecar.address);
+        let mut leaves = Client::connect(sidecar.address);
         leaves.write(upload_head("bill", Some(body.len())).as_bytes());
         leaves.write(&body[..cut]);
         drop(leaves);
     }
     assert_eq!(upstream.requests().len(), 0);
-    until("they stand in nobody's way", || Client::to(sidecar.address).ask("bill").status() == 200);
+    wait_until("they stand in nobody's way", || {
+        Client::connect(sidecar.address).exchange("bill").status() == 200
+    });
     assert_eq!(upstream.requests().len(), 1);
 }
 
 #[test]
 fn a_slow_upload_outlasts_its_requests_time() {
-    let upstream = Upstream::new(|m| Deed::Answer(200, "", m.body.clone()));
-    let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
+    let upstream = Upstream::new(|m| ScriptedResponse::Answer(200, "", m.body.clone()));
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
     let body = pattern(192_000);
-    let mut client = Client::to(sidecar.address);
+    let mut client = Client::connect(sidecar.address);
     client.write(
         upload_head("bill", Some(body.len())).replace("X-Timeout-Ms: 6000", "X-Timeout-Ms: 400").as_bytes(),
     );
@@ -418,31 +425,31 @@
         client.write(piece);
         std::thread::sleep(Duration::from_millis(100));
     }
-    let answer = client.read().expect("an answer");
-    assert!((answer.status(), &answer.body) == (200, &body), "{}", answer.line);
+    let answer = client.read_answer().expect("an answer");
+    assert!((answer.status(), &answer.body) == (200, &body), "{}", answer.start_line);
 }
 
 #[test]
 fn who_expects_to_be_told_to_go_on_is_told() {
-    let upstream = Upstream::new(|m| Deed::Answer(200, "", m.body.clone()));
-    let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
+    let upstream = Upstream::new(|m| ScriptedResponse::Answer(200, "", m.body.clone()));
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
     for length in [10, 200_000] {
         let body = pattern(length);
         let head = upload_head("bill", Some(length)).replace("\r\n\r\n", "\r\nExpect: 100-continue\r\n\r\n");
-        let mut client = Client::to(sidecar.address);
+        let mut client = Client::connect(sidecar.address);
         client.write(head.as_bytes());
-        assert_eq!(client.read().expect("a notice").status(), 100);
+        assert_eq!(client.read_answer().expect("a notice").status(), 100);
         client.write(&body);
-        assert!(client.read().expect("an answer").body == body);
+        assert!(client.read_answer().expect("an answer").body == body);
     }
     assert!(upstream.requests().iter().all(|message| message.header("expect").is_none()));
 }
 
 #[test]
 fn pipelined_requests_and_http_1_0_are_served() {
-    let upstream = Upstream::new(|m| Deed::Answer(200, "", m.line.clone().into_bytes()));
-    let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
-    let mut client = Client::to(sidecar.address);
+    let upstream = Upstream::new(|m| ScriptedResponse::Answer(200, "", m.start_line.clone().into_bytes()));
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
+    let mut client = Client::connect(sidecar.address);
     let body = pattern(100_000);
     let three = [
         upload_head("bill", Some(body.len())).as_bytes(),
@@ -454,10 +461,10 @@
     .concat();
     client.write(&three);
     for begins in ["POST /bill", "GET /fetch", "POST /log"] {
-        let answer = client.read().expect("an answer");
+        let answer = client.read_answer().expect("an answer");
         assert!(answer.body.starts_with(begins.as_bytes()), "{begins}");
     }
-    let mut client = Client::to(sidecar.address);
+    let mut client = Client::connect(sidecar.address);
     client.write(request("fetch", 6_000).replace("HTTP/1.1", "HTTP/1.0").as_bytes());
     let mut answer = String::new();
     client.reader.read_to_string(&mut answer).unwrap();
--- a/crates/cli/tests/upgrade.rs
+++ b/crates/cli/tests/upgrade.rs
@@ -25,7 +25,7 @@
     fn new(upstreams: &[&Upstream]) -> Platform {
         let socket = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = socket.local_addr().unwrap();
-        let known = ready(upstreams);
+        let known = ready_server_list(upstreams);
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let name = format!("tmp-{}-{}", std::process::id(), NUMBER.fetch_add(1, Ordering::SeqCst));
         let tmp = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
@@ -34,18 +34,18 @@
     }
 
     fn config(&self, known: &str) -> String {
-        config(&self.address.to_string(), self.discovery.address, known, 1024, SETTINGS)
+        config_json(&self.address.to_string(), self.discovery.address, known, 1024, SETTINGS)
     }
 
     /// Starts a process with this configuration.
     fn start_with(&self, config: &str) -> Sidecar {
-        Sidecar::start_on(&self.socket, config, &[("TMPDIR", &self.tmp)])
+        Sidecar::start_on_socket(&self.socket, config, &[("TMPDIR", &self.tmp)])
     }
 
     /// Starts a process and waits until it can serve.
     fn start(&self) -> Sidecar {
         let sidecar = self.start_with(&self.config(&self.known));
-        sidecar.wait_log("serving");
+        sidecar.wait_for_log("serving");
         sidecar
     }
 
@@ -69,7 +69,7 @@
 fn clients_do_not_notice_ten_upgrades() {
     let upstream = Upstream::new(|_| {
         std::thread::sleep(Duration::from_millis(3));
-        Deed::ok("served")
+        ScriptedResponse::ok("served")
     });
     let platform = Platform::new(&[&upstream]);
     let mut serving = platform.start();
@@ -78,22 +78,22 @@
         for number in 0..3 {
             let (stop, asked, turned, address) = (&stop, &asked, &turned, platform.address);
             threads.spawn(move || {
-                let mut client = Client::to(address);
+                let mut client = Client::connect(address);
                 while !stop.load(Ordering::SeqCst) {
                     client.send(if number == 0 { "bill" } else { "fetch" }, 6_000);
                     asked.fetch_add(1, Ordering::SeqCst);
-                    let answer = match client.read() {
+                    let answer = match client.read_answer() {
                         Some(answer) => answer,
                         // It crossed the close of an idle connection: sent once more on a new one.
                         None => {
                             turned.fetch_add(1, Ordering::SeqCst);
-                            client = Client::to(address);
-                            client.ask("fetch")
+                            client = Client::connect(address);
+                            client.exchange("fetch")
                         }
                     };
                     assert!(matches!(answer.status(), 200 | 503), "{answer:?}");
                     if answer.header("connection") == Some("close") {
-                        client = Client::to(address);
+                        client = Client::connect(address);
                     }
                     std::thread::sleep(Duration::from_millis(2));
                 }
@@ -103,11 +103,11 @@
             let next = platform.start();
             let before = asked.load(Ordering::SeqCst);
             assert!(has_said(&next, "goes on from 1 upstreams and what was learnt"));
-            until("the old one knows", || has_said(&serving, "a successor has begun"));
+            wait_until("the old one knows", || has_said(&serving, "a successor has begun"));
             serving.signal("-TERM");
-            assert!(serving.wait_exit().success(), "{:?}", serving.log.lock().unwrap());
+            assert!(serving.wait_for_exit().success(), "{:?}", serving.log.lock().unwrap());
             serving = next;
-            until("it serves alone", || asked.load(Ordering::SeqCst) > before + 50);
+            wait_until("it serves alone", || asked.load(Ordering::SeqCst) > before + 50);
         }
         stop.store(true, Ordering::SeqCst);
     });
@@ -116,65 +116,69 @@
 
 #[test]
 fn who_cannot_serve_yet_accepts_nobody() {
-    let upstream = Upstream::new(|_| Deed::ok("served"));
+    let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
     let platform = Platform::new(&[&upstream]);
     let mut old = platform.start();
     // Without a list, and with a discovery that is down.
     let nowhere = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let blind = config(&platform.address.to_string(), nowhere, "null", 1024, SETTINGS);
-    let _new = Sidecar::start_on(&platform.socket, &blind, &[]);
+    let blind = config_json(&platform.address.to_string(), nowhere, "null", 1024, SETTINGS);
+    let _new = Sidecar::start_on_socket(&platform.socket, &blind, &[]);
     for _ in 0..50 {
-        assert_eq!(Client::to(platform.address).ask("fetch").status(), 200, "the old one serves alone");
+        assert_eq!(
+            Client::connect(platform.address).exchange("fetch").status(),
+            200,
+            "the old one serves alone"
+        );
     }
     old.signal("-TERM");
-    assert!(old.wait_exit().success());
+    assert!(old.wait_for_exit().success());
 }
 
 #[test]
 fn the_old_process_answers_one_more_request_on_each_connection_and_ends() {
     let go = Arc::new(AtomicUsize::new(0));
     let wait = go.clone();
-    let upstream = Upstream::new(move |message| match message.line.starts_with("POST /bill") {
-        true => Deed::Wait(wait.clone()),
-        false => Deed::ok("served"),
+    let upstream = Upstream::new(move |message| match message.start_line.starts_with("POST /bill") {
+        true => ScriptedResponse::AnswerWhenReleased(wait.clone()),
+        false => ScriptedResponse::ok("served"),
     });
     let platform = Platform::new(&[&upstream]);
     let mut old = platform.start();
-    let mut idle: Vec<Client> = (0..20).map(|_| Client::to(platform.address)).collect();
-    idle.iter_mut().for_each(|client| assert_eq!(client.ask("fetch").status(), 200));
-    let mut waiting = Client::to(platform.address);
+    let mut idle: Vec<Client> = (0..20).map(|_| Client::connect(platform.address)).collect();
+    idle.iter_mut().for_each(|client| assert_eq!(client.exchange("fetch").status(), 200));
+    let mut waiting = Client::connect(platform.address);
     waiting.send("bill", 6_000);
-    until("it is out", || upstream.requests().iter().any(|m| m.line.starts_with("POST /bill")));
+    wait_until("it is out", || upstream.requests().iter().any(|m| m.start_line.starts_with("POST /bill")));
     let new = platform.start();
     old.signal("-TERM");
-    old.wait_log("finishing what is held");
+    old.wait_for_log("finishing what is held");
     for client in &mut idle[..10] {
-        let answer = client.ask("fetch");
+        let answer = client.exchange("fetch");
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     }
     for client in &mut idle[10..] {
-        assert_eq!(client.read_to_close().expect("it is closed late"), b"");
+        assert_eq!(client.read_until_close().expect("it is closed late"), b"");
     }
-    let mut fresh = Client::to(platform.address);
-    assert_eq!(fresh.ask("fetch").header("connection"), None, "who comes now is for the new one");
+    let mut fresh = Client::connect(platform.address);
+    assert_eq!(fresh.exchange("fetch").header("connection"), None, "who comes now is for the new one");
     go.store(1, Ordering::SeqCst);
-    let answer = waiting.read().expect("what was taken is answered");
+    let answer = waiting.read_answer().expect("what was taken is answered");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert!(old.wait_exit().success());
+    assert!(old.wait_for_exit().success());
     drop(new);
 }
 
 #[test]
 fn a_socket_that_is_none_is_one_line_and_an_exit() {
-    let upstream = Upstream::new(|_| Deed::ok("served"));
+    let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
     let platform = Platform::new(&[&upstream]);
     let elsewhere = platform.config("null").replace(&platform.address.to_string(), "127.0.0.1:9");
-    let (child, _) = spawn_on(&platform.socket, &elsewhere, &[]);
+    let (child, _) = spawn_on_socket(&platform.socket, &elsewhere, &[]);
     for (mut child, what) in [
         (child, "listens on"),
-        (spawn_in(&platform.config("null"), &[("ROUTER_SOCKET_FD", &PathBuf::from("77"))]), "77"),
-        (spawn_in(&platform.config("null"), &[("ROUTER_SOCKET_FD", &PathBuf::from("three"))]), "three"),
-        (spawn_in(&platform.config("null"), &[("ROUTER_SOCKET_FD", &PathBuf::from("1"))]), "1"),
+        (spawn_with_env(&platform.config("null"), &[("ROUTER_SOCKET_FD", &PathBuf::from("77"))]), "77"),
+        (spawn_with_env(&platform.config("null"), &[("ROUTER_SOCKET_FD", &PathBuf::from("three"))]), "three"),
+        (spawn_with_env(&platform.config("null"), &[("ROUTER_SOCKET_FD", &PathBuf::from("1"))]), "1"),
     ] {
         let mut said = String::new();
         child.stderr.take().unwrap().read_to_string(&mut said).unwrap();
@@ -189,7 +193,13 @@
 /// An upstream that fails, beside two that serve.
 fn one_that_fails() -> [Upstream; 3] {
     [0, 1, 2].map(|number| {
-        Upstream::new(move |_| if number == 0 { Deed::Answer(500, "", vec![]) } else { Deed::ok("served") })
+        Upstream::new(move |_| {
+            if number == 0 {
+                ScriptedResponse::Answer(500, "", vec![])
+            } else {
+                ScriptedResponse::ok("served")
+            }
+        })
     })
 }
 
@@ -199,7 +209,7 @@
 }
 
 fn figure(console: SocketAddr, name: &str) -> u64 {
-    let answer = Client::to(console).get("/api/telemetry").expect("figures");
+    let answer = Client::connect(console).get("/api/telemetry").expect("figures");
     let figures: serde_json::Value = serde_json::from_slice(&answer.body).unwrap();
     figures[name].as_u64().unwrap()
 }
@@ -210,108 +220,108 @@
     let platform = Platform::new(&[&upstreams[0], &upstreams[1], &upstreams[2]]);
     let (text, console) = console_of(&platform.config(&platform.known));
     let mut old = platform.start_with(&text);
-    old.wait_log("serving");
-    let mut client = Client::to(platform.address);
-    until("the one that fails is out", || {
-        client.ask("fetch");
+    old.wait_for_log("serving");
+    let mut client = Client::connect(platform.address);
+    wait_until("the one that fails is out", || {
+        client.exchange("fetch");
         figure(console, "skipped_upstreams") == 1
     });
     // The new one has no list of its own, and no discovery: what the old one has told it must do.
     let nowhere = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let blind = config(&platform.address.to_string(), nowhere, "null", 1024, SETTINGS);
+    let blind = config_json(&platform.address.to_string(), nowhere, "null", 1024, SETTINGS);
     let (text, console) = console_of(&blind);
     let new = platform.start_with(&text);
-    new.wait_log("serving");
+    new.wait_for_log("serving");
     assert!(has_said(&new, "goes on from 3 upstreams and what was learnt"));
     assert_eq!(figure(console, "known_upstreams"), 3);
     assert_eq!(figure(console, "skipped_upstreams"), 1, "before it has sent anything");
-    until("the old one knows that it is succeeded", || has_said(&old, "a successor has begun"));
+    wait_until("the old one knows that it is succeeded", || has_said(&old, "a successor has begun"));
     old.signal("-TERM");
-    assert!(old.wait_exit().success());
-    new.wait_log("the predecessor has ended");
-    assert_eq!(Client::to(platform.address).ask("fetch").status(), 200);
+    assert!(old.wait_for_exit().success());
+    new.wait_for_log("the predecessor has ended");
+    assert_eq!(Client::connect(platform.address).exchange("fetch").status(), 200);
 }
 
 #[test]
 fn a_drain_that_one_of_them_was_told_holds_for_both() {
-    let upstreams = [0, 1].map(|_| Upstream::new(|_| Deed::ok("served")));
+    let upstreams = [0, 1].map(|_| Upstream::new(|_| ScriptedResponse::ok("served")));
     let platform = Platform::new(&[&upstreams[0], &upstreams[1]]);
     let old = platform.start();
     let silent = Discovery::new("");
-    let deaf = config(&platform.address.to_string(), silent.address, &platform.known, 1024, SETTINGS);
+    let deaf = config_json(&platform.address.to_string(), silent.address, &platform.known, 1024, SETTINGS);
     let (text, console) = console_of(&deaf);
     let new = platform.start_with(&text);
-    new.wait_log("serving");
-    let drained = list(6, false, &[entry("a", upstreams[0].address, "draining")]);
-    platform.discovery.say(&format!("{drained}\n"));
-    until("the new one hears of it from the old one", || figure(console, "skipped_upstreams") == 1);
+    new.wait_for_log("serving");
+    let drained = server_list(6, false, &[server_entry("a", upstreams[0].address, "draining")]);
+    platform.discovery.publish(&format!("{drained}\n"));
+    wait_until("the new one hears of it from the old one", || figure(console, "skipped_upstreams") == 1);
     drop(old);
     let before = upstreams[0].requests().len();
     for _ in 0..30 {
-        assert_eq!(Client::to(platform.address).ask("fetch").status(), 200);
+        assert_eq!(Client::connect(platform.address).exchange("fetch").status(), 200);
     }
     assert_eq!(upstreams[0].requests().len(), before);
 }
 
 #[test]
 fn a_successor_that_is_killed_leaves_all_as_it_was_and_the_next_one_is_served() {
-    let upstream = Upstream::new(|_| Deed::ok("served"));
+    let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
     let platform = Platform::new(&[&upstream]);
     let mut old = platform.start();
     // One without a list never serves; it is killed while it starts.
     let nowhere = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     for _ in 0..3 {
-        let mut half = Sidecar::start_on(
+        let mut half = Sidecar::start_on_socket(
             &platform.socket,
-            &config(&platform.address.to_string(), nowhere, "null", 1024, SETTINGS),
+            &config_json(&platform.address.to_string(), nowhere, "null", 1024, SETTINGS),
             &[("TMPDIR", &platform.tmp)],
         );
-        until("it is met", || has_said(&half, "handover: goes on from"));
+        wait_until("it is met", || has_said(&half, "handover: goes on from"));
         half.child.kill().unwrap();
-        half.wait_exit();
-        until("the old one knows", || {
+        half.wait_for_exit();
+        wait_until("the old one knows", || {
             let log = old.log.lock().unwrap();
             let count = |what: &str| log.iter().filter(|line| line.contains(what)).count();
             count("a successor has begun") > 0
                 && count("a successor has begun") == count("the successor has ended")
         });
-        assert_eq!(Client::to(platform.address).ask("fetch").status(), 200);
+        assert_eq!(Client::connect(platform.address).exchange("fetch").status(), 200);
     }
     let new = platform.start();
     assert!(has_said(&new, "goes on from 1 upstreams and what was learnt"));
     old.signal("-TERM");
-    assert!(old.wait_exit().success());
-    assert_eq!(Client::to(platform.address).ask("fetch").status(), 200);
+    assert!(old.wait_for_exit().success());
+    assert_eq!(Client::connect(platform.address).exchange("fetch").status(), 200);
 }
 
 #[test]
 fn an_old_process_that_is_killed_is_missed_and_no_more() {
-    let upstream = Upstream::new(|_| Deed::ok("served"));
+    let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
     let platform = Platform::new(&[&upstream]);
     let mut old = platform.start();
     let mut new = platform.start();
     old.child.kill().unwrap();
-    old.wait_exit();
-    new.wait_log("the predecessor has ended");
-    assert_eq!(Client::to(platform.address).ask("fetch").status(), 200);
+    old.wait_for_exit();
+    new.wait_for_log("the predecessor has ended");
+    assert_eq!(Client::connect(platform.address).exchange("fetch").status(), 200);
     // What it left on its way is no predecessor: a third start goes on from the second.
     let third = platform.start();
     assert!(has_said(&third, "goes on from 1 upstreams"));
     new.signal("-HUP");
-    new.wait_log("discovery is at");
+    new.wait_for_log("discovery is at");
     new.signal("-TERM");
-    assert!(new.wait_exit().success(), "{:?}", new.log.lock().unwrap());
+    assert!(new.wait_for_exit().success(), "{:?}", new.log.lock().unwrap());
 }
 
 #[test]
 fn a_socket_that_nobody_serves_or_that_speaks_nonsense_holds_no_start_up() {
-    let upstream = Upstream::new(|_| Deed::ok("served"));
+    let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
     let platform = Platform::new(&[&upstream]);
     // Of a process that was killed.
     drop(std::os::unix::net::UnixListener::bind(platform.link()).unwrap());
     let sidecar = platform.start();
     assert!(has_said(&sidecar, "starting without a predecessor"));
-    assert_eq!(Client::to(platform.address).ask("fetch").status(), 200);
+    assert_eq!(Client::connect(platform.address).exchange("fetch").status(), 200);
     drop(sidecar);
     for nonsense in [
         &b""[..],
@@ -329,7 +339,7 @@
         let sidecar = platform.start();
         answering.join().unwrap();
         assert!(has_said(&sidecar, "starting without a predecessor"), "{nonsense:?}");
-        assert_eq!(Client::to(platform.address).ask("fetch").status(), 200);
+        assert_eq!(Client::connect(platform.address).exchange("fetch").status(), 200);
     }
     // One that takes the call and says nothing.
     let _ = std::fs::remove_file(platform.link());
@@ -341,7 +351,7 @@
 
 #[test]
 fn a_long_directory_is_no_hindrance() {
-    let upstream = Upstream::new(|_| Deed::ok("served"));
+    let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
     let mut platform = Platform::new(&[&upstream]);
     let short = platform.tmp.clone();
     platform.tmp = short.join("d".repeat(100)).join("e".repeat(100));
@@ -359,42 +369,47 @@
     let upstreams: Vec<Upstream> = (0..20)
         .map(|_| {
             let wait = wait.clone();
-            Upstream::new(move |message| match message.line.starts_with("POST /bill") {
-                true => Deed::Wait(wait.clone()),
-                false => Deed::ok("served"),
+            Upstream::new(move |message| match message.start_line.starts_with("POST /bill") {
+                true => ScriptedResponse::AnswerWhenReleased(wait.clone()),
+                false => ScriptedResponse::ok("served"),
             })
         })
         .collect();
     let platform = Platform::new(&upstreams.iter().collect::<Vec<_>>());
     // 256 descriptors: 88 for two processes, 84 connections on each side for both together.
-    let small =
-        config(&platform.address.to_string(), platform.discovery.address, &platform.known, 256, SETTINGS);
+    let small = config_json(
+        &platform.address.to_string(),
+        platform.discovery.address,
+        &platform.known,
+        256,
+        SETTINGS,
+    );
     let (text, _) = console_of(&small);
     let mut old = platform.start_with(&text);
-    old.wait_log("serving");
-    let mut held: Vec<Client> = (0..60).map(|_| Client::to(platform.address)).collect();
+    old.wait_for_log("serving");
+    let mut held: Vec<Client> = (0..60).map(|_| Client::connect(platform.address)).collect();
     held.iter_mut().for_each(|client| client.send("bill", 6_000));
     let out = || upstreams.iter().map(|upstream| upstream.requests().len()).sum::<usize>();
-    until("some are out", || out() >= 20);
+    wait_until("some are out", || out() >= 20);
     let (text, console) = console_of(&small);
     let new = platform.start_with(&text);
-    new.wait_log("serving");
-    until("the old one knows", || has_said(&old, "a successor has begun"));
+    new.wait_for_log("serving");
+    wait_until("the old one knows", || has_said(&old, "a successor has begun"));
     old.signal("-TERM");
     old.signal("-HUP");
-    old.wait_log("finishing what is held");
+    old.wait_for_log("finishing what is held");
     new.signal("-HUP");
-    new.wait_log("discovery is at");
+    new.wait_for_log("discovery is at");
     for _ in 0..30 {
-        assert_eq!(Client::to(platform.address).ask("fetch").status(), 200);
+        assert_eq!(Client::connect(platform.address).exchange("fetch").status(), 200);
     }
     assert!(figure(console, "known_upstreams") == 20);
     go.store(1, Ordering::SeqCst);
     for client in &mut held {
-        let answer = client.read().expect("what was taken is answered");
+        let answer = client.read_answer().expect("what was taken is answered");
         assert!(matches!(answer.status(), 200 | 503), "{answer:?}");
     }
-    assert!(old.wait_exit().success());
+    assert!(old.wait_for_exit().success());
 }
 
 #[test]
@@ -403,29 +418,29 @@
     let wait = go.clone();
     let upstream = Upstream::new(move |message| {
         let wait = wait.clone();
-        match message.line.starts_with("POST /bill") {
-            true => Deed::play(move |stream| {
+        match message.start_line.starts_with("POST /bill") {
+            true => ScriptedResponse::custom(move |stream| {
                 std::io::Write::write_all(stream, b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n")
                     .unwrap();
                 std::io::Write::write_all(stream, &[b'x'; 100_000]).unwrap();
-                until("the test lets go", || wait.load(Ordering::SeqCst) > 0);
+                wait_until("the test lets go", || wait.load(Ordering::SeqCst) > 0);
                 std::io::Write::write_all(stream, &[b'x'; 100_000]).unwrap();
                 true
             }),
-            false => Deed::ok("served"),
+            false => ScriptedResponse::ok("served"),
         }
     });
     let platform = Platform::new(&[&upstream]);
     let mut old = platform.start();
-    let mut client = Client::to(platform.address);
+    let mut client = Client::connect(platform.address);
     client.send("bill", 6_000);
     assert!(!std::io::BufRead::fill_buf(&mut client.reader).unwrap().is_empty(), "it has begun");
     let _new = platform.start();
-    until("the old one knows", || has_said(&old, "a successor has begun"));
+    wait_until("the old one knows", || has_said(&old, "a successor has begun"));
     old.signal("-TERM");
-    old.wait_log("finishing what is held");
-    assert_eq!(Client::to(platform.address).ask("fetch").status(), 200);
+    old.wait_for_log("finishing what is held");
+    assert_eq!(Client::connect(platform.address).exchange("fetch").status(), 200);
     go.store(1, Ordering::SeqCst);
-    assert_eq!(client.read().expect("all of it").body.len(), 200_000);
-    assert!(old.wait_exit().success());
+    assert_eq!(client.read_answer().expect("all of it").body.len(), 200_000);
+    assert!(old.wait_for_exit().success());
 }
