--- a/crates/decide/src/balancer.rs
+++ b/crates/decide/src/balancer.rs
@@ -135,7 +135,7 @@
 
     /// How many servers were examined so far: the cost of sampling, the same on any machine.
     pub fn servers_examined(&self) -> u64 {
-        self.upstreams.looks
+        self.upstreams.examined_count
     }
 
     /// Processes one event and appends the resulting actions to `out`.
@@ -192,21 +192,21 @@
             return out.push(Action::Refuse { request, retry_after: 0.0 });
         }
         self.estimates.retry_tokens = (self.estimates.retry_tokens + RETRY_RATIO).min(MAX_RETRY_TOKENS);
-        self.probe_budget.arrived();
-        self.subset_size.arrived(self.now);
+        self.probe_budget.record_arrival();
+        self.subset_size.record_arrival(self.now);
         for (number, share) in self.estimates.tenant_shares.iter_mut().enumerate() {
             *share += FLEET_SMOOTHING * (f64::from(u8::from(number == pending.tenant.0)) - *share);
         }
-        let service_time = self.estimates.service[pending.class.0].time;
-        let usual_service = self.estimates.usual_service.get_or_insert(service_time);
+        let service_time = self.estimates.classes[pending.class.0].service_time;
+        let usual_service = self.estimates.mean_service_time.get_or_insert(service_time);
         *usual_service += FLEET_SMOOTHING * (service_time - *usual_service);
         let density = self.worth_density(&pending);
-        let usual_density = self.estimates.usual_density.unwrap_or(density);
-        self.estimates.usual_density = Some(usual_density + FLEET_SMOOTHING * (density - usual_density));
+        let usual_density = self.estimates.mean_density.unwrap_or(density);
+        self.estimates.mean_density = Some(usual_density + FLEET_SMOOTHING * (density - usual_density));
         // The throttle is for servers that don't report their load; otherwise the reports decide.
         let aim = self.settings.classes[pending.class.0].aim;
-        let (throttle, has_reports) = (&mut self.estimates.throttle, self.estimates.first_at.is_some());
-        let probability = if has_reports { 0.0 } else { throttle.refusal_probability(self.now, aim) };
+        let (throttle, reported) = (&mut self.estimates.throttle, self.estimates.first_report_at.is_some());
+        let probability = if reported { 0.0 } else { throttle.refusal_probability(self.now, aim) };
         self.requests.insert(request, pending);
         // A random value is drawn only where it decides something.
         if probability > 0.0 && self.rng.rand_float() < probability {
@@ -226,12 +226,12 @@
             return self.wait_for_probes(request, pair, was_probed, out);
         }
         let refused = f64::from(u8::from(pair.is_none()));
-        self.estimates.refused += FLEET_SMOOTHING * (refused - self.estimates.refused);
-        let class = &mut self.estimates.service[pending.class.0];
-        class.refused += FLEET_SMOOTHING * (refused - class.refused);
+        self.estimates.refused_share += FLEET_SMOOTHING * (refused - self.estimates.refused_share);
+        let class = &mut self.estimates.classes[pending.class.0];
+        class.refused_share += FLEET_SMOOTHING * (refused - class.refused_share);
         let by_load = pair.map(|[a, b]| if b.projected_load < a.projected_load { [b, a] } else { [a, b] });
         let admitting = by_load.into_iter().flatten().find(|c| self.admits(c, &pending, was_probed));
-        let other = |_| self.select_warm(&pending).or_else(|| self.cold_one(&pending));
+        let other = |_| self.select_warm(&pending).or_else(|| self.find_warming_up_server(&pending));
         match admitting.or_else(|| pair.and_then(other)) {
             Some(candidate) => self.send(request, candidate, out),
             None => self.refuse_or_fail(request, out),
@@ -250,8 +250,9 @@
         let draw_share = if was_probed { pending.draw_share } else { self.draw_share(pending) };
         // While requests are refused, more arrive than servers can carry, and more of them for this server.
         let multiple = self.settings.slow_start.overload_multiple * to.warm_up_fraction;
-        let probability = ALLOWANCE_SHARE * multiple / 2.0 * draw_share * (1.0 - self.estimates.refused);
-        self.affords(to, pending.class, probability)
+        let probability =
+            ALLOWANCE_SHARE * multiple / 2.0 * draw_share * (1.0 - self.estimates.refused_share);
+        self.try_spend_allowance(to, pending.class, probability)
     }
 
     /// Lets a request wait for the probes of its pair. A timer token has 63 bits: two requests may share one.
@@ -287,11 +288,11 @@
     /// until it is reached, so requests that earn less than usual for their service time are refused first.
     fn max_wait_share(&self, pending: &PendingRequest) -> f64 {
         let density = self.worth_density(pending);
-        let usual_density = self.estimates.usual_density.unwrap_or(density);
+        let usual_density = self.estimates.mean_density.unwrap_or(density);
         let by_worth = (density / usual_density).powf(WORTH_EXPONENT).clamp(0.5, 1.5);
         // By worth alone, one class would bear all refusals.
-        let excess_refused = self.estimates.service[pending.class.0].refused - self.estimates.refused;
-        let by_refusals = (1.0 + CLASS_REFUSAL_WEIGHT * excess_refused).max(0.5);
+        let excess = self.estimates.classes[pending.class.0].refused_share - self.estimates.refused_share;
+        let by_refusals = (1.0 + CLASS_REFUSAL_WEIGHT * excess).max(0.5);
         self.estimates.wait_scale * MAX_WAIT_AIM_SHARE * by_worth * by_refusals
     }
 
@@ -304,7 +305,7 @@
         let within = if quota > 0.0 && share > 0.0 { (quota / quotas / share).min(1.0) } else { 1.0 };
         let worth = self.settings.classes[pending.class.0].worth;
         worth * (within + (1.0 - within) * self.settings.over_quota_worth)
-            / self.estimates.service[pending.class.0].time.max(1.0)
+            / self.estimates.classes[pending.class.0].service_time.max(1.0)
     }
 
     /// Time until an answer loses its full worth, or the client stops waiting.
@@ -355,7 +356,7 @@
 
     /// Factor on the constant times, for service times longer than [`BASE_SERVICE_TIME`].
     fn time_scale(&self) -> f64 {
-        let usual_service = self.estimates.usual_service.unwrap_or(BASE_SERVICE_TIME);
+        let usual_service = self.estimates.mean_service_time.unwrap_or(BASE_SERVICE_TIME);
         (usual_service / BASE_SERVICE_TIME).clamp(1.0, MAX_TIME_SCALE)
     }
 
@@ -368,7 +369,7 @@
         let budget = self.cross_zone_budget.as_ref();
         let terms = budget.map(|budget| budget.cross_zone_cost(self.now, pending.class));
         let limit = |cost: f64| if cost > 0.0 { aim_left / (1.0 / cost).ln().max(1.0) } else { 0.0 };
-        let service_time = self.estimates.service[pending.class.0].time;
+        let service_time = self.estimates.classes[pending.class.0].service_time;
         let wait_factor = if pending.probe_waits > 0 { WAIT_FACTOR_AFTER_PROBES } else { 1.0 };
         SelectionContext {
             service_time,
@@ -377,7 +378,7 @@
             max_report_age: (PROBE_WAIT_SERVICE_TIMES * service_time).max(PROBE_AFTER * self.time_scale()),
             means: self.upstreams.means(),
             may_wait_for_probe: self.settings.limits.probes
-                && self.probe_budget.can(2.0)
+                && self.probe_budget.can_afford(2.0)
                 && pending.probe_waits < MAX_PROBE_WAITS
                 && has_time
                 && self.estimates.probe_time.is_none_or(|time| time <= MAX_PROBE_TIME_SHARE * service_time),
@@ -394,14 +395,14 @@
         pending: &PendingRequest,
         context: &SelectionContext,
     ) -> Option<Candidate> {
-        let (id, server) = self.upstreams.at(slot)?;
+        let (id, server) = self.upstreams.at_slot(slot)?;
         let in_flight = self.estimated_in_flight(server, &context.means);
         let capacity = self.estimated_capacity(server);
         let warm_up_fraction = server.warm_up_fraction(self.now, &self.settings.slow_start);
         let slowness = self.current_slowness(server) / warm_up_fraction;
         let depth = ((in_flight + 1.0) / capacity).max(1.0);
         // An empty server is idle whatever its estimated capacity: only answers can correct the estimate.
-        let min_limit = (2.5 - IDLE_REFUSAL_WEIGHT * self.estimates.refused).max(1.0);
+        let min_limit = (2.5 - IDLE_REFUSAL_WEIGHT * self.estimates.refused_share).max(1.0);
         let is_lightly_loaded = in_flight + 1.0 <= (IDLE_UTILISATION * capacity).max(min_limit);
         Some(Candidate {
             id,
@@ -445,13 +446,13 @@
     }
 
     pub(crate) fn estimated_capacity(&self, server: &Upstream) -> f64 {
-        self.estimates.kappa(server, self.upstreams.known_of(server.kind), self.now, self.time_scale())
+        self.estimates.capacity(server, self.upstreams.members_of(server.kind), self.now, self.time_scale())
     }
 
     /// m: the last report and our sends since. Without a valid report, our sends and the mean of others.
     fn estimated_in_flight(&self, server: &Upstream, means: &FleetMeans) -> f64 {
         let own = server.outstanding.len() as f64;
-        if !server.has_valid_report || !self.estimates.believes() {
+        if !server.has_valid_report || !self.estimates.reports_are_trusted() {
             // All sidecars together keep a warming-up server within its capacity: others queue nothing there.
             let is_warming_up = server.warm_up_fraction(self.now, &self.settings.slow_start) < 1.0;
             return own + if is_warming_up { 0.0 } else { means.in_flight_from_others };
@@ -463,7 +464,7 @@
     /// Whether a server of unknown capacity reports a low utilisation and has at most doubled its load since.
     fn reports_idle(&self, server: &Upstream) -> bool {
         let is_believed = server.has_valid_report
-            && self.estimates.believes()
+            && self.estimates.reports_are_trusted()
             && server.unreported_sends as f64 <= server.reported_in_flight + 1.0;
         let is_low = server.utilisation.is_some_and(|utilisation| utilisation < IDLE_UTILISATION);
         server.capacity.is_none() && is_believed && is_low
@@ -475,14 +476,14 @@
         // An unresponsive server gives no answers to learn from; the time since its last one counts instead.
         let by_unanswered = server.outstanding.oldest().map_or(0.0, |(_, oldest)| {
             UNANSWERED_WEIGHT * (self.now - oldest.sent.max(server.answered_at))
-                / (oldest.depth * self.estimates.service[oldest.class.0].time)
+                / (oldest.depth * self.estimates.classes[oldest.class.0].service_time)
         });
         estimated.max(by_unanswered).max(0.05)
     }
 
     pub(crate) fn estimated_slowness(&self, server: &Upstream) -> f64 {
-        let known_of_kind = self.upstreams.known_of(server.kind);
-        self.estimates.slowness(server, known_of_kind, self.now, self.time_scale())
+        let known_of_kind = self.upstreams.members_of(server.kind);
+        self.estimates.relative_service_time(server, known_of_kind, self.now, self.time_scale())
     }
 
     fn is_available(&self, server: &Upstream) -> bool {
@@ -502,11 +503,11 @@
         let scope = self.candidate_scope(pending)?;
         let context = self.selection_context(pending);
         let probed = self.probed_pair(pending, &context);
-        let subset = scope.inside();
+        let subset = scope.in_subset();
         let is_new = probed.is_none() && pending.probe_waits == 0;
         let same_zone = if is_new { self.same_zone_pair(subset, pending, &context) } else { None };
         let mut pair = probed.or(same_zone).or_else(|| self.sample_allowed(subset, pending, &context));
-        if pair.is_none() && subset != scope && self.upstreams.size(scope) != self.upstreams.size(subset) {
+        if pair.is_none() && subset != scope && self.upstreams.sizes(scope) != self.upstreams.sizes(subset) {
             // Before a refusal, servers outside the subset are examined, too. A pair found there widens it.
             pair = self.sample_allowed(scope, pending, &SelectionContext { outside_subset: true, ..context });
             if pair.is_some() {
@@ -524,16 +525,16 @@
 
     /// Adapts the subset to the traffic and to changes of its members.
     fn update_subset(&mut self) {
-        if self.estimates.observed_capacity.is_due(self.now) {
+        if self.estimates.observed_capacity.is_review_due(self.now) {
             let warm = self.upstreams.warm_servers(self.now, &self.settings.slow_start);
             self.estimates.observed_capacity.review(self.now, warm);
         }
-        let wanted = self.subset_size.wanted(self.now, self.upstreams.serving(), self.settings.sidecars);
-        if self.upstreams.is_settled(wanted, self.now) {
+        let size = self.subset_size.target(self.now, self.upstreams.serving_count(), self.settings.sidecars);
+        if self.upstreams.is_subset_current(size, self.now) {
             return;
         }
         let mut fleet = std::mem::replace(&mut self.upstreams, Fleet::new(self.ranking, None));
-        fleet.settle(wanted, self.now, |_, server| self.standing(server));
+        fleet.update_subset(size, self.now, |_, server| self.warm_up_status(server));
         self.upstreams = fleet;
     }
 
@@ -542,7 +543,7 @@
         let mut sampler = CandidateSampler::new(&self.upstreams, scope, true);
         for _ in 0..2 {
             let slot = sampler.next(&mut self.upstreams, &mut self.rng);
-            let Some((id, server)) = slot.and_then(|slot| self.upstreams.at(slot)) else { return };
+            let Some((id, server)) = slot.and_then(|slot| self.upstreams.at_slot(slot)) else { return };
             if self.now - server.reported_at > context.max_report_age {
                 self.probe_if_due(id, out);
             }
@@ -575,7 +576,7 @@
             return None;
         }
         let scope = match scope {
-            CandidateScope::Members => CandidateScope::MembersIn(self.settings.zone),
+            CandidateScope::Members => CandidateScope::MembersInZone(self.settings.zone),
             _ => scope,
         };
         self.sample_pair(scope, pending, context, false, |c| c.healthy && context.suits_same_zone(c))
@@ -623,12 +624,12 @@
 
     /// The share of the servers in scope that a pair is drawn from. Needed only if one of them is warming up.
     fn draw_share(&mut self, pending: &PendingRequest) -> f64 {
-        let Some(scope) = self.candidate_scope(pending).map(CandidateScope::inside) else { return 1.0 };
+        let Some(scope) = self.candidate_scope(pending).map(CandidateScope::in_subset) else { return 1.0 };
         let context = self.selection_context(pending);
-        let size = self.upstreams.size(scope).1.max(1) as f64;
+        let size = self.upstreams.sizes(scope).1.max(1) as f64;
         let has_capacity = |c: &Candidate| context.has_capacity(c);
         let zone = match scope {
-            CandidateScope::Members => CandidateScope::MembersIn(self.settings.zone),
+            CandidateScope::Members => CandidateScope::MembersInZone(self.settings.zone),
             _ => scope,
         };
         let same_zone = if context.same_zone_limit != 0.0 {
@@ -662,7 +663,7 @@
             let is_wanted = self.examine(slot, pending, context).is_some_and(|c| c.healthy && wanted(&c));
             found += f64::from(u8::from(is_wanted));
         }
-        found / f64::max(examined, 1.0) * self.upstreams.size(scope).0 as f64
+        found / f64::max(examined, 1.0) * self.upstreams.sizes(scope).0 as f64
     }
 
     fn is_serving(&self, id: UpstreamId) -> bool {
@@ -671,7 +672,7 @@
 
     /// Probes a server unless its report is recent, another probe is under way or the budget is used up.
     pub(crate) fn probe_if_due(&mut self, id: UpstreamId, out: &mut Vec<Action>) {
-        let may_probe = self.settings.limits.probes && self.probe_budget.can(1.0);
+        let may_probe = self.settings.limits.probes && self.probe_budget.can_afford(1.0);
         let (now, next_send) = (self.now, self.next_send);
         let (min_age, lost_after) = (PROBE_AFTER * self.time_scale(), REPORT_VALIDITY * self.time_scale());
         let start_if_due = |server: &mut Upstream| {
@@ -683,7 +684,7 @@
             }
             is_due
         };
-        if self.upstreams.change(id, start_if_due) == Some(true) {
+        if self.upstreams.update(id, start_if_due) == Some(true) {
             self.account_probe(id);
             self.probe_budget.spend();
             out.push(Action::Probe(id));
@@ -702,7 +703,7 @@
             false if may_retry => (self.attempt_timeout(pending, to).min(left), None),
             false => (left, None),
         };
-        let mean_wait = &mut self.estimates.service[pending.class.0].wait;
+        let mean_wait = &mut self.estimates.classes[pending.class.0].expected_latency;
         *mean_wait += FLEET_SMOOTHING * (to.wait - *mean_wait);
         let (class, attempt) = (pending.class, AttemptNo(pending.attempts.len() as u32));
         let exemption = to.exemption.or(pending.exemption);
@@ -711,7 +712,7 @@
             server.add_send(number, OutstandingSend { class, sent, depth: to.depth, wait: to.wait });
             Attempt::new(to.id, server, sent)
         };
-        let Some(started) = self.upstreams.change(to.id, add_send) else { return };
+        let Some(started) = self.upstreams.update(to.id, add_send) else { return };
         self.next_send += 1;
         self.sends.insert((request, attempt), (number, to.id));
         if let Some(pending) = self.requests.get_mut(&request) {
@@ -783,11 +784,11 @@
         let server = self.upstreams.get(id).filter(|_| is_unanswered);
         let outstanding = server.and_then(|server| Some((server, server.outstanding.get(number)?)));
         let evidence = outstanding.map(|(server, sent)| self.gather_evidence(server, number, &sent));
-        let sent = self.upstreams.change(id, |server| server.remove_send(number)).flatten();
+        let sent = self.upstreams.update(id, |server| server.remove_send(number)).flatten();
         let Some(sent) = sent else { return };
         self.record_zone_outcome(id, outcome);
         self.update_observed_capacity(id, &sent, outcome);
-        let latencies = &mut self.estimates.service[sent.class.0].latencies;
+        let latencies = &mut self.estimates.classes[sent.class.0].latencies;
         let relative_latency = latency / sent.wait;
         let unresponsive = evidence.map_or(0.0, |e| e.unresponsive_probability(latencies, latency));
         let is_overdue = evidence
@@ -821,10 +822,10 @@
             // Under overload, attempts at responsive servers time out, too.
             Outcome::TimedOut if unresponsive >= UNRESPONSIVE_PROBABILITY || is_overdue => true,
             Outcome::Cancelled if was_abandoned && unresponsive >= UNRESPONSIVE_PROBABILITY => true,
-            _ => return self.upstreams.forget_gone(id),
+            _ => return self.upstreams.remove_if_gone(id),
         };
         self.update_health(id, failed, outcome == Outcome::Unreachable, out);
-        self.upstreams.forget_gone(id);
+        self.upstreams.remove_if_gone(id);
     }
 
     /// Adds the work of a finished attempt to that of the servers that have warmed up.
@@ -832,8 +833,8 @@
         let (now, slow_start) = (self.now, &self.settings.slow_start);
         if self.upstreams.get(id).is_some_and(|u| u.warm_up_fraction(now, slow_start) >= 1.0) {
             let answered = f64::from(u8::from(outcome == Outcome::Ok));
-            let work = answered * self.estimates.service[sent.class.0].time;
-            self.estimates.observed_capacity.ended(now, work);
+            let work = answered * self.estimates.classes[sent.class.0].service_time;
+            self.estimates.observed_capacity.record_attempt(now, work);
         }
     }
 
@@ -846,24 +847,24 @@
         let warm_up_fraction = server.warm_up_fraction(self.now, &self.settings.slow_start);
         let (now, kind) = (self.now, server.kind);
         let without_queue = latency * warm_up_fraction / sent.depth;
-        let service = &mut self.estimates.service[sent.class.0];
-        let relative = without_queue / service.time;
+        let service = &mut self.estimates.classes[sent.class.0];
+        let relative = without_queue / service.service_time;
         let (sample, weight) = match answered {
             true => (relative, SMOOTHING),
             false => (estimated.max(UNANSWERED_WEIGHT * relative), 1.0),
         };
         let kind_answers = self.estimates.kinds.get(&kind).map_or(0.0, |kind| kind.answers);
-        self.upstreams.change(id, |server| {
+        self.upstreams.update(id, |server| {
             server.relative_service_time = estimated + weight * (sample - estimated);
             (server.estimated_at, server.kind_answers_at_estimate) = (now, kind_answers);
             server.answered_at = if answered { now } else { server.answered_at };
         });
-        self.estimates.kinds.entry(kind).or_default().answered(sample, FLEET_SMOOTHING);
-        self.estimates.fleet.answered(sample, FLEET_SMOOTHING);
+        self.estimates.kinds.entry(kind).or_default().record_answer(sample, FLEET_SMOOTHING);
+        self.estimates.fleet.record_answer(sample, FLEET_SMOOTHING);
         // Only sends that met no queue show the service time. Behind an underestimated queue answers are
         // late; a service time learnt from them would cause refusals although there is capacity.
         if answered && sent.depth <= 1.0 {
-            service.add(without_queue, FLEET_SMOOTHING);
+            service.record_service_time(without_queue, FLEET_SMOOTHING);
         }
     }
 
@@ -894,7 +895,7 @@
             }
             (server.outstanding.len() - server.sends_after_probe, probe_sent)
         };
-        let Some((own, probe_sent)) = self.upstreams.change(id, end_probe) else { return };
+        let Some((own, probe_sent)) = self.upstreams.update(id, end_probe) else { return };
         if let Some(time) = probe_sent.map(|sent| now - sent) {
             let mean = self.estimates.probe_time.get_or_insert(time);
             *mean += SMOOTHING * (time - *mean);
@@ -904,8 +905,8 @@
         // Reports carry no age. A report that lacks sends from before its probe is late. When many are late,
         // none is believed: each server then counts as one without a valid report.
         if let Some(in_flight) = report.in_flight.filter(|_| own > 1.0) {
-            let is_late = f64::from(u8::from(in_flight + 1.0 < own));
-            self.estimates.lateness += FLEET_SMOOTHING * (is_late - self.estimates.lateness);
+            let late = f64::from(u8::from(in_flight + 1.0 < own));
+            self.estimates.late_report_share += FLEET_SMOOTHING * (late - self.estimates.late_report_share);
         }
         self.record_report(id, report, None);
     }
@@ -915,7 +916,7 @@
         let Some(in_flight) = reports::valid_in_flight(&report) else { return };
         let (now, scale) = (self.now, self.time_scale());
         let (until, utilisation) = (now + REPORT_VALIDITY * scale, report.utilisation.filter(|u| *u >= 0.0));
-        let first_at = *self.estimates.first_at.get_or_insert(now);
+        let first_at = *self.estimates.first_report_at.get_or_insert(now);
         let utilisation = utilisation.filter(|_| now >= first_at + reports::settling_time(scale));
         let kinds = &self.estimates.kinds;
         let record = |server: &mut Upstream| {
@@ -927,7 +928,7 @@
             server.kind_reports_at_report = kinds.get(&server.kind).map_or(0.0, |kind| kind.reports);
             server.kind
         };
-        let Some(kind) = self.upstreams.change(id, record) else { return };
+        let Some(kind) = self.upstreams.update(id, record) else { return };
         if let Some(utilisation) = utilisation {
             reports::update_kind_capacity(&mut self.estimates, kind, in_flight, utilisation);
         }
@@ -936,12 +937,12 @@
     /// Counts an outcome for or against a server, which may eject it or end its ejection.
     fn update_health(&mut self, id: UpstreamId, failed: bool, unreachable: bool, out: &mut Vec<Action>) {
         // The limit is a share of the subset: if more of its members fail, others take their place.
-        let members = self.upstreams.size(CandidateScope::Members).1;
-        let may_eject = unreachable || outlier_ejection::may_eject(self.upstreams.ejected(), members);
-        let (peers, random) = (self.upstreams.failure_rate(), self.rng.rand_float());
+        let members = self.upstreams.sizes(CandidateScope::Members).1;
+        let may_eject = unreachable || outlier_ejection::may_eject(self.upstreams.ejected_count(), members);
+        let (peers, random) = (self.upstreams.mean_failure_rate(), self.rng.rand_float());
         let terms = (self.now, peers, may_eject, random);
         let record = |server: &mut Upstream| outlier_ejection::record(server, failed, unreachable, terms);
-        if let Some(change) = self.upstreams.change(id, record).flatten() {
+        if let Some(change) = self.upstreams.update(id, record).flatten() {
             out.push(Action::Log(format!("server {} is {change}", id.0)));
         }
     }
@@ -956,9 +957,9 @@
         match update {
             // Servers that a complete list lacks are gone.
             ListUpdate::Restored(list) | ListUpdate::Complete(list) => {
-                self.upstreams.begin_list();
+                self.upstreams.begin_complete_list();
                 list.iter().for_each(|entry| self.apply_listing(entry));
-                self.upstreams.end_list();
+                self.upstreams.end_complete_list();
             }
             ListUpdate::Changed(list) => list.iter().for_each(|entry| self.apply_listing(entry)),
             ListUpdate::Unavailable => out.push(Action::Log("server list unavailable".to_owned())),
--- a/crates/decide/src/check_schedule.rs
+++ b/crates/decide/src/check_schedule.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 
 use crate::api::{Action, Millis, RequestId};
-use crate::fleet::Due;
+use crate::fleet::Microseconds;
 
 /// The token of the timer. The timers of requests that wait for probes have smaller tokens, except for one in
 /// 2^62.
@@ -16,18 +16,18 @@
 /// Requests by the time of their next check; at most one entry for each pending request.
 #[derive(Debug, Default)]
 pub(crate) struct CheckSchedule {
-    due: BTreeSet<(Due, RequestId)>,
+    due: BTreeSet<(Microseconds, RequestId)>,
     /// The time of the earliest timer in force.
-    armed: Option<Due>,
+    armed: Option<Microseconds>,
 }
 
 impl CheckSchedule {
     /// Moves the check of a request from one time to another. `None` stands for no check.
     pub fn reschedule(&mut self, request: RequestId, previous: Option<Millis>, next: Option<Millis>) {
         if let Some(previous) = previous {
-            self.due.remove(&(Due::at(previous), request));
+            self.due.remove(&(Microseconds::from_millis(previous), request));
         }
-        self.due.extend(next.map(|at| (Due::at(at), request)));
+        self.due.extend(next.map(|at| (Microseconds::from_millis(at), request)));
     }
 
     /// Records that the timer has fired.
@@ -37,7 +37,8 @@
 
     /// Removes and returns the next request whose check is due.
     pub fn pop_due(&mut self, now: Millis) -> Option<RequestId> {
-        let entry = *self.due.first().filter(|(due, _)| *due <= Due::at(now + TIMER_ROUNDING))?;
+        let entry =
+            *self.due.first().filter(|(due, _)| *due <= Microseconds::from_millis(now + TIMER_ROUNDING))?;
         self.due.remove(&entry);
         Some(entry.1)
     }
@@ -48,7 +49,7 @@
             return;
         };
         self.armed = Some(*due);
-        out.push(Action::SetTimer { at: due.millis(), token: TIMER_TOKEN });
+        out.push(Action::SetTimer { at: due.to_millis(), token: TIMER_TOKEN });
     }
 
     #[cfg(test)]
--- a/crates/decide/src/cross_zone.rs
+++ b/crates/decide/src/cross_zone.rs
@@ -153,7 +153,7 @@
         let threshold = limiter.cross_zone_cost(now, class).exemption_threshold;
         let same_zone_scope = match scope {
             CandidateScope::All => CandidateScope::Zone(self.settings.zone),
-            CandidateScope::Members => CandidateScope::MembersIn(self.settings.zone),
+            CandidateScope::Members => CandidateScope::MembersInZone(self.settings.zone),
             _ => scope,
         };
         if limiter.has_budget(now, class, None) {
@@ -205,7 +205,7 @@
     /// sent more. Other servers may well have capacity, in the same zone or, with a budget or an exemption,
     /// in another one.
     pub(crate) fn select_warm(&mut self, pending: &PendingRequest) -> Option<Candidate> {
-        let (scope, context) = (self.candidate_scope(pending)?.inside(), self.selection_context(pending));
+        let (scope, context) = (self.candidate_scope(pending)?.in_subset(), self.selection_context(pending));
         let (now, class, limiter) = (self.now, pending.class, self.cross_zone_budget.take());
         let may_leave_to = |zone| {
             limiter.as_ref().is_none_or(|limiter| {
--- a/crates/decide/src/latency_outlier.rs
+++ b/crates/decide/src/latency_outlier.rs
@@ -26,7 +26,7 @@
     /// The timeout of an attempt that cannot be cancelled later: long enough for an answer, and short enough
     /// for a retry to meet the aim.
     pub(crate) fn attempt_timeout(&self, pending: &PendingRequest, to: Candidate) -> Millis {
-        let service_time = self.estimates.service[pending.class.0].time;
+        let service_time = self.estimates.classes[pending.class.0].service_time;
         let spare = self.aim_left(pending) - RETRY_RESERVE_SERVICE_TIMES * service_time;
         spare.max(UNRESPONSIVE_MULTIPLE * self.estimates.unresponsive.slowdown() * to.wait)
     }
@@ -50,7 +50,7 @@
         (attempts as u32) < self.settings.limits.max_attempts
             && class.effect != Effect::NonIdempotent
             && self.estimates.retry_tokens >= 1.0
-            && self.candidate_scope(pending).is_some_and(|scope| self.upstreams.size(scope).1 > 1)
+            && self.candidate_scope(pending).is_some_and(|scope| self.upstreams.sizes(scope).1 > 1)
     }
 
     /// The gain in answer probability that abandoning an attempt of this request needs.
@@ -67,10 +67,11 @@
         evidence: &AttemptEvidence,
         elapsed: Millis,
     ) -> Option<Millis> {
-        let class = &self.estimates.service[pending.class.0];
+        let class = &self.estimates.classes[pending.class.0];
         let worthless_after = elapsed + self.aim_left(pending);
         let cost = self.abandon_cost(pending);
-        let worth_retry = evidence.next_check(&class.latencies, elapsed, worthless_after, class.wait, cost);
+        let worth_retry =
+            evidence.next_check(&class.latencies, elapsed, worthless_after, class.expected_latency, cost);
         // The server of an overdue attempt is probed, and probed again at growing intervals. A reply, or its
         // absence, is further evidence.
         let overdue = class.latencies.overdue_multiple() * evidence.slowdown * evidence.expected;
@@ -91,8 +92,9 @@
         };
         let attempt = AttemptNo(number as u32);
         let Some((evidence, elapsed)) = self.attempt_evidence(request, attempt) else { return };
-        let class = &self.estimates.service[pending.class.0];
-        let gain = evidence.retry_gain(&class.latencies, elapsed, self.aim_left(&pending), class.wait);
+        let class = &self.estimates.classes[pending.class.0];
+        let gain =
+            evidence.retry_gain(&class.latencies, elapsed, self.aim_left(&pending), class.expected_latency);
         if gain > self.abandon_cost(&pending) && self.may_retry(&pending, pending.attempts.len()) {
             let attempts = self.requests.get_mut(&request).map(|pending| &mut pending.attempts);
             if let Some(cancelled) = attempts.and_then(|attempts| attempts.get_mut(number)) {
@@ -128,7 +130,7 @@
     ) -> AttemptEvidence {
         let tail_probability = |other: &OutstandingSend| {
             let multiple = (self.now - other.sent) / other.wait;
-            self.estimates.service[other.class.0].latencies.tail_probability(multiple)
+            self.estimates.classes[other.class.0].latencies.tail_probability(multiple)
         };
         let sent_since_last_answer = upstream
             .outstanding
@@ -146,10 +148,11 @@
         // A queue that the server has reported since the attempt was sent explains a longer wait.
         let warm_up_fraction = upstream.warm_up_fraction(self.now, &self.settings.slow_start);
         let queue_depth = (upstream.reported_in_flight + 1.0) / capacity;
-        let has_reported_since = upstream.reported_at > send.sent && self.estimates.believes();
+        let has_reported_since = upstream.reported_at > send.sent && self.estimates.reports_are_trusted();
         let reported_depth = has_reported_since.then_some(queue_depth.max(1.0));
         let expected_by_report = reported_depth.map_or(0.0, |depth| {
-            self.estimates.service[send.class.0].time * self.estimated_slowness(upstream) / warm_up_fraction
+            self.estimates.classes[send.class.0].service_time * self.estimated_slowness(upstream)
+                / warm_up_fraction
                 * depth
         });
         let is_unanswered = |probe_sent: Millis| {
--- a/crates/decide/src/query.rs
+++ b/crates/decide/src/query.rs
@@ -7,7 +7,7 @@
 impl Balancer {
     /// The number of serving servers that are ejected for their failures.
     pub fn ejected_count(&self) -> usize {
-        let (ready, all) = self.upstreams.size(CandidateScope::All);
+        let (ready, all) = self.upstreams.sizes(CandidateScope::All);
         all - ready
     }
 
--- a/crates/decide/src/reports.rs
+++ b/crates/decide/src/reports.rs
@@ -84,10 +84,10 @@
     utilisation: f64,
 ) {
     if (MIN_UTILISATION..SATURATED_UTILISATION).contains(&utilisation) {
-        estimates.kinds.entry(kind).or_default().reported(in_flight, utilisation, FLEET_SMOOTHING);
-        estimates.fleet.reported(in_flight, utilisation, FLEET_SMOOTHING);
+        estimates.kinds.entry(kind).or_default().record_report(in_flight, utilisation, FLEET_SMOOTHING);
+        estimates.fleet.record_report(in_flight, utilisation, FLEET_SMOOTHING);
     } else if utilisation >= SATURATED_UTILISATION {
-        estimates.kinds.entry(kind).or_default().saturated(in_flight);
-        estimates.fleet.saturated(in_flight);
+        estimates.kinds.entry(kind).or_default().record_saturated_report(in_flight);
+        estimates.fleet.record_saturated_report(in_flight);
     }
 }
--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -198,7 +198,7 @@
 
     /// Identifies this sidecar by its name instead of its number, if it has one.
     pub fn with_identity_from_name(mut self, name: &str) -> Config {
-        self.name_key = Some(subset::key(name));
+        self.name_key = Some(subset::name_key(name));
         self
     }
 
--- a/crates/decide/src/upload.rs
+++ b/crates/decide/src/upload.rs
@@ -23,7 +23,7 @@
             // The bytes that have been passed on cannot be sent a second time, so abandoning the attempt
             // gains nothing.
             self.cancel_check(request);
-            let removed = self.upstreams.change(id, |upstream| upstream.remove_send(number)).flatten();
+            let removed = self.upstreams.update(id, |upstream| upstream.remove_send(number)).flatten();
             // A repeated event finds the send removed and changes nothing.
             self.uploads.extend(removed.map(|send| (key, (send, now))));
             return;
@@ -33,7 +33,7 @@
         self.next_send += 1;
         let entered = self
             .upstreams
-            .change(id, |upstream| upstream.add_send(number, OutstandingSend { sent: now, ..send }));
+            .update(id, |upstream| upstream.add_send(number, OutstandingSend { sent: now, ..send }));
         match entered {
             Some(()) => drop(self.sends.insert(key, (number, id))),
             // The server has left the list in the meantime, and its record is gone.
--- a/crates/decide/src/zone_outage.rs
+++ b/crates/decide/src/zone_outage.rs
@@ -92,7 +92,7 @@
         for zone in self.outages.take_due(self.now, jitter) {
             let mut sampler = CandidateSampler::new(&self.upstreams, CandidateScope::Zone(zone), true);
             let slot = sampler.next(&mut self.upstreams, &mut self.rng);
-            match slot.and_then(|slot| self.upstreams.at(slot)) {
+            match slot.and_then(|slot| self.upstreams.at_slot(slot)) {
                 Some((id, _)) if self.settings.limits.probes => self.probe_if_due(id, out),
                 // The zone has no server left to probe, or probes are off and only requests can find it
                 // reachable again.
@@ -108,7 +108,7 @@
             Outcome::Unreachable => {
                 let Some(zone) = self.upstreams.get(id).map(|upstream| upstream.zone) else { return };
                 self.outages.record_unreachable(zone, id, self.now);
-                self.upstreams.unsettle();
+                self.upstreams.invalidate_subset();
             }
             Outcome::TimedOut | Outcome::Cancelled | Outcome::Reset | Outcome::NotSent => {}
         }
@@ -123,7 +123,7 @@
 
     fn record_zone_contact(&mut self, zone: ZoneId) {
         if self.outages.record_contact(zone) {
-            self.upstreams.unsettle();
+            self.upstreams.invalidate_subset();
         }
     }
 
@@ -134,7 +134,7 @@
         if entry.started.is_some() && entry.started > known_start {
             self.record_zone_contact(entry.zone);
         }
-        self.upstreams.list(entry);
+        self.upstreams.apply_listing(entry);
     }
 }
 
--- a/crates/sidecar/src/driver.rs
+++ b/crates/sidecar/src/driver.rs
@@ -562,10 +562,10 @@
 
     /// The state from which a successor continues.
     fn handover_state(&self) -> HandoverState {
-        let Snapshot { servers, all } = self.module.memory(self.module_time(Instant::now()));
-        let server_states = servers.into_iter().filter_map(|(id, memory)| {
+        let Snapshot { servers, all } = self.module.snapshot(self.module_time(Instant::now()));
+        let server_states = servers.into_iter().filter_map(|(id, snapshot)| {
             let host = &self.servers.get(UpstreamId(id))?.host;
-            Some(ServerState { host: host.name.clone(), started_ms: host.started_ms, snapshot: memory })
+            Some(ServerState { host: host.name.clone(), started_ms: host.started_ms, snapshot })
         });
         let list = self.servers.to_host_list(self.seq);
         HandoverState {
@@ -582,7 +582,7 @@
         let snapshot = state.snapshot(|host, started_ms| self.servers.id_of(host, started_ms).map(|id| id.0));
         let now = self.module_time(Instant::now());
         let estimates_restored = match state.names == SettingNames::from_settings(&self.settings) {
-            true => self.module.remember(now, &snapshot).map_err(|fault| fault.to_string()),
+            true => self.module.restore(now, &snapshot).map_err(|fault| fault.to_string()),
             false => {
                 Err("classes, tenants, zones or kinds differ from the predecessor's settings".to_owned())
             }
--- a/crates/sidecar/src/handover/message.rs
+++ b/crates/sidecar/src/handover/message.rs
@@ -130,7 +130,7 @@
         let settings: SettingsObject = serde_json::from_str(SETTINGS).unwrap();
         let mut module = Balancer::new(settings.settings(), 1);
         module.handle(5.0, Event::ListReceived(ListUpdate::Complete(Vec::new())), &mut Vec::new());
-        let Snapshot { all, .. } = module.memory(5.0);
+        let Snapshot { all, .. } = module.snapshot(5.0);
         HandoverState {
             names: SettingNames::from_settings(&settings),
             list: HostList::default(),
@@ -183,7 +183,7 @@
                 if let Ok(Message::HandoverState(state)) = Message::parse(&corrupted) {
                     let settings: SettingsObject = serde_json::from_str(SETTINGS).unwrap();
                     let _ =
-                        Balancer::new(settings.settings(), 1).remember(0.0, &state.snapshot(|_, _| Some(1)));
+                        Balancer::new(settings.settings(), 1).restore(0.0, &state.snapshot(|_, _| Some(1)));
                 }
             }
         }
--- a/crates/sidecar/src/servers.rs
+++ b/crates/sidecar/src/servers.rs
@@ -127,7 +127,7 @@
             lifecycle,
             weight: host.weight,
             started,
-            key: subset::key(&host.name),
+            key: subset::name_key(&host.name),
         };
         let server = self.by_id.entry(id).or_insert_with(|| Server {
             host: host.clone(),
--- a/crates/sidecar/src/watch_liveness.rs
+++ b/crates/sidecar/src/watch_liveness.rs
@@ -8,9 +8,9 @@
 /// A change that a watch misses counts as received this long after the watch became unresponsive, whether or
 /// not it arrived.
 pub const STALENESS_BOUND: Duration = Duration::from_secs(6);
-/// A watch is dead after this time without an empty line or a complete list. While nothing changes an empty
-/// line comes every 2 s, so the timeout must be a little longer than that, and short enough that a second
-/// watch may become unresponsive within [`STALENESS_BOUND`].
+/// A watch is dead after this time without an empty line or a fully received list. While nothing changes an
+/// empty line comes every 2 s, so the timeout must be a little longer than that, and short enough that a
+/// second watch may become unresponsive within [`STALENESS_BOUND`].
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Call timeout for a discovery service that all sidecars share. The service handles calls in turn and
 /// rejects those that have waited for 2 s. The decision module spreads its calls by the same figure.
@@ -19,7 +19,7 @@
 /// discovery is down the agent does not respond, and changes that it gets when discovery returns count as
 /// received at once. A call that hangs must therefore end well within the grace period of a drain.
 const LOCAL_AGENT_CALL_TIMEOUT: [Duration; 2] = [Duration::from_millis(100), Duration::from_millis(500)];
-/// First and longest wait between failed calls.
+/// Wait before a watch that received a list is reopened, and longest wait between failed calls.
 const BACK_OFF: [Duration; 2] = [Duration::from_millis(50), Duration::from_millis(200)];
 /// Sidecars that share a discovery service reopen unresponsive watches spread over this time, each at its own
 /// position. It is long enough to spread the calls, and short enough to leave time for a slow call after it.
@@ -36,11 +36,12 @@
 /// Timeouts of a watch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WatchTimeouts {
-    /// Longest time without an empty line or a complete list.
+    /// Longest time without an empty line or a fully received list.
     pub silence: Duration,
     /// Time for a call to be answered, connecting included.
     pub call: Duration,
-    /// First and longest wait between failed calls; each wait is twice the one before.
+    /// Wait before a watch that received a list is reopened, and longest wait between failed calls. Each wait
+    /// after a failed call is twice the one before.
     pub back_off: [Duration; 2],
 }
 
