--- a/crates/cli/src/bin/sagemast-simhost/wire.rs
+++ b/crates/cli/src/bin/sagemast-simhost/wire.rs
@@ -87,8 +87,8 @@
     fn deserialize<D: serde::Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         let text = std::borrow::Cow::<str>::deserialize(deserializer)?;
         // `from_str_radix` would accept a sign as the first character.
-        let digits = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
-        let value = u64::from_str_radix(&text, 16).ok().filter(|_| digits);
+        let is_hex = text.len() == 16 && text.bytes().all(|byte| byte.is_ascii_hexdigit());
+        let value = u64::from_str_radix(&text, 16).ok().filter(|_| is_hex);
         value.map(Hex).ok_or_else(|| serde::de::Error::custom("a request id must be 16 hex digits"))
     }
 }
--- a/crates/cli/src/sidecar.rs
+++ b/crates/cli/src/sidecar.rs
@@ -23,8 +23,8 @@
 use sagemast_sidecar::resource_limits::ResourceLimits;
 use sagemast_sidecar::watch_liveness;
 
-/// How long connections are accepted after SIGTERM without a successor. Clients still connect for up to 0.4
-/// s, and connections in the accept queue count as accepted.
+/// How long connections are accepted after SIGTERM if there is no successor. Clients still connect for up to
+/// 0.4 s, and requests on connections in the accept queue must be answered.
 const CLOSE_LINGER: Duration = Duration::from_millis(550);
 /// Time limit of a drain beyond the longest deadline. The platform sends SIGKILL soon after it.
 const DRAIN_MARGIN: Duration = Duration::from_millis(640);
@@ -45,8 +45,8 @@
 async fn run_sidecar(config: Config, log: &Log) -> Result<()> {
     let mut terminate = signal(SignalKind::terminate()).context("cannot wait for SIGTERM")?;
     let mut interrupt = signal(SignalKind::interrupt()).context("cannot wait for SIGINT")?;
-    // An unhandled SIGHUP would end the program, so it is handled before the program can be noticed from
-    // outside.
+    // An unhandled SIGHUP would end the program, so the handler is installed before the program becomes
+    // visible to others.
     let mut hangup = signal(SignalKind::hangup()).context("cannot wait for SIGHUP")?;
     let cross_zone_budget = read_cross_zone_budget(&config)?;
     let console_listener = config.console.map(Console::listen).transpose()?;
@@ -64,10 +64,10 @@
     // have begun to drain since. Until then, clients of a shared socket are accepted by the other processes
     // that listen on it, and clients of an own socket wait in its accept queue.
     let (ready, shared_socket) = (Arc::new(Notify::new()), inherited.is_some());
-    let ready_sender = ready.clone();
+    let ready_notifier = ready.clone();
     let events = EventSink::from_fn(move |event| {
         if event == InstanceEvent::Ready {
-            ready_sender.notify_one();
+            ready_notifier.notify_one();
         }
         true
     });
--- a/crates/sidecar/benches/ordinary_path.rs
+++ b/crates/sidecar/benches/ordinary_path.rs
@@ -74,8 +74,8 @@
 }
 
 /// Starts an upstream whose answers have a body of `body_bytes`. If `rejecting`, one in 16 of the requests of
-/// all upstreams, which share `request_count`, is rejected as not processed, and retried by the sidecar. It
-/// is not more because the decision module retries at most one request in ten and refuses the others.
+/// all upstreams, which share `request_count`, is rejected as not processed, and retried by the sidecar. The
+/// decision module retries at most one request in ten and refuses the others, so a larger share would fail.
 fn start_upstream(body_bytes: usize, rejecting: bool, request_count: Arc<AtomicU64>) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a listener");
     let address = listener.local_addr().expect("an address");
--- a/crates/sidecar/src/config.rs
+++ b/crates/sidecar/src/config.rs
@@ -34,11 +34,11 @@
     /// Settings of the decision module.
     pub settings: SettingsObject,
     /// How many processes of this sidecar may run at once. Not part of the file.
-    #[serde(skip, default = "one")]
+    #[serde(skip, default = "default_max_processes")]
     pub max_processes: usize,
 }
 
-fn one() -> usize {
+fn default_max_processes() -> usize {
     1
 }
 
--- a/crates/sidecar/src/connection_activity.rs
+++ b/crates/sidecar/src/connection_activity.rs
@@ -37,7 +37,7 @@
     read_count: AtomicU64,
     /// Number of requests that have been answered.
     answered_requests: AtomicU64,
-    /// Whether the client would mistake an orderly close for the end of an answer that is truncated.
+    /// Whether an orderly close would make a truncated answer look complete.
     reset_on_close: AtomicBool,
     /// When the pipelined request behind the open one was complete; [`UNSET`] if there is none.
     next_request_at_ms: AtomicU64,
@@ -167,8 +167,8 @@
         (ms != UNSET).then(|| self.instant_at(ms))
     }
 
-    /// Records whether the send buffer is too full for the bytes to be written. The connection is quiet only
-    /// after it has taken them: closing the connection earlier would lose the end of an answer.
+    /// Records whether a write waits because the send buffer is full. The connection is quiet only once all
+    /// bytes are in the buffer: closing it earlier would lose the end of an answer.
     pub fn set_write_blocked(&self, blocked: bool) {
         if self.write_blocked.swap(blocked, Ordering::Relaxed) && !blocked && !self.is_busy() {
             self.quiet_since_ms.store(self.now_ms(), Ordering::Relaxed);
--- a/crates/sidecar/src/console.rs
+++ b/crates/sidecar/src/console.rs
@@ -88,10 +88,11 @@
 /// A connected caller.
 struct Caller {
     task: Id,
-    abort: tokio::task::AbortHandle,
+    abort_handle: tokio::task::AbortHandle,
     has_sent_request: Arc<AtomicBool>,
 }
 
+/// Accepts callers and answers their calls.
 async fn serve(listener: TcpListener, control: Control) {
     let mut tasks = JoinSet::new();
     // Oldest first.
@@ -108,17 +109,16 @@
             accepted = listener.accept() => match accepted {
                 Ok((stream, _)) => {
                     if callers.len() >= MAX_CALLERS {
-                        let is_silent = |caller: &Caller| !caller.has_sent_request.load(Ordering::Relaxed);
-                        let oldest_silent = callers.iter().position(is_silent);
-                        if let Some(caller) = callers.remove(oldest_silent.unwrap_or(0)) {
-                            caller.abort.abort();
+                        let has_no_request = |caller: &Caller| !caller.has_sent_request.load(Ordering::Relaxed);
+                        let oldest_without_request = callers.iter().position(has_no_request);
+                        if let Some(caller) = callers.remove(oldest_without_request.unwrap_or(0)) {
+                            caller.abort_handle.abort();
                         }
                     }
                     let has_sent_request = Arc::new(AtomicBool::new(false));
-                    let abort = tasks.spawn(serve_caller(stream, control.clone(), has_sent_request.clone()));
-                    callers.push_back(Caller { task: abort.id(), abort, has_sent_request });
-                    // A request that the caller has already sent is read before the next caller can replace
-                    // it.
+                    let abort_handle = tasks.spawn(serve_caller(stream, control.clone(), has_sent_request.clone()));
+                    callers.push_back(Caller { task: abort_handle.id(), abort_handle, has_sent_request });
+                    // Reads a request that the caller has already sent, before it can be replaced by the next.
                     tokio::task::yield_now().await;
                 }
                 Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
--- a/crates/sidecar/src/handover/link.rs
+++ b/crates/sidecar/src/handover/link.rs
@@ -39,7 +39,7 @@
 const REFUSED_RETRY_PERIOD: Duration = Duration::from_millis(300);
 /// Interval between status messages.
 const STATUS_INTERVAL: Duration = Duration::from_millis(100);
-/// Capacity of the queues to and from a peer. Further messages to a peer are dropped: the status is sent
+/// Capacity of the message queues. A message to a peer whose queue is full is dropped: the status is sent
 /// again, and each process has its own watch of discovery.
 const MESSAGE_QUEUE_CAPACITY: usize = 64;
 /// A peer that does not read a message within this time counts as ended.
--- a/crates/sidecar/src/handover/shares.rs
+++ b/crates/sidecar/src/handover/shares.rs
@@ -1,15 +1,15 @@
 //! How two processes of one sidecar share its resource limits while both run. Pure.
 //!
 //! While both serve, each may use half of the limits; a process whose peer already uses more than half gets
-//! the rest. An ending process keeps what it uses and a reserve to finish with; everything else belongs to
-//! its peer.
+//! the rest. An ending process keeps what it uses, but at least a reserve to finish with; everything else
+//! belongs to its peer.
 
 use serde::{Deserialize, Serialize};
 
 use crate::budget::ResourceCounts;
 
-/// An ending process may use an eighth of the limits, even if it used less when it began to end: it needs
-/// that for second attempts.
+/// An ending process may use at least an eighth of the limits, even if it used less when it began to end: it
+/// needs that for second attempts.
 const ENDING_RESERVE_DIVISOR: usize = 8;
 
 /// Status that one process sends to the other.
--- a/crates/sidecar/src/instance.rs
+++ b/crates/sidecar/src/instance.rs
@@ -38,7 +38,7 @@
     pub seed: u64,
     /// Address of discovery.
     pub discovery: SocketAddr,
-    /// The last host list of a predecessor that has ended.
+    /// The last host list of a predecessor, if it was stored.
     pub initial_host_list: Option<HostList>,
     /// State from a predecessor that still runs. It takes precedence over `initial_host_list`.
     pub handover_state: Option<Box<HandoverState>>,
--- a/crates/sidecar/src/log.rs
+++ b/crates/sidecar/src/log.rs
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Writes to standard error. Failures are ignored: the process serves on without its log.
+    /// Writes to standard error. Failures are ignored: the process continues without its log.
     fn write(&self, text: &str) {
         let printable: String = text
             .chars()
