--- a/crates/cli/tests/transfers.rs
+++ b/crates/cli/tests/transfers.rs
@@ -1,4 +1,4 @@
-//! Bodies of any size, slow peers, and all forms of HTTP/1.1.
+//! Tests of HTTP/1.1 transfers: bodies of any length and framing, slow peers, and connections that break off.
 
 mod loopback;
 
@@ -10,28 +10,29 @@
 
 use loopback::*;
 
-/// Bytes that tell where they stand.
-fn pattern(length: usize) -> Vec<u8> {
-    (0..length).map(|at| (at % 251) as u8 ^ (at / 251) as u8).collect()
+/// A body whose bytes depend on their position, so that lost or moved bytes are noticed.
+fn patterned_body(length: usize) -> Vec<u8> {
+    (0..length).map(|position| (position % 251) as u8 ^ (position / 251) as u8).collect()
 }
 
-fn total(upstreams: &[&Upstream]) -> usize {
+/// The number of complete requests that the upstreams have received.
+fn total_requests(upstreams: &[&Upstream]) -> usize {
     upstreams.iter().map(|upstream| upstream.requests().len()).sum()
 }
 
 #[test]
-fn a_long_answer_goes_on_with_its_first_bytes() {
-    let go = Arc::new(AtomicUsize::new(0));
-    let wait = go.clone();
-    let body = pattern(3_000_000);
+fn long_answer_is_passed_on_from_its_first_bytes() {
+    let released = Arc::new(AtomicUsize::new(0));
+    let is_released = released.clone();
+    let body = patterned_body(3_000_000);
     let sent = body.clone();
     let upstream = Upstream::new(move |_| {
-        let (sent, wait) = (sent.clone(), wait.clone());
+        let (sent, is_released) = (sent.clone(), is_released.clone());
         Deed::play(move |stream| {
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\nX-Note: kept\r\n\r\n", sent.len());
             stream.write_all(head.as_bytes()).unwrap();
             stream.write_all(&sent[..100]).unwrap();
-            until("the client has the first bytes", || wait.load(Ordering::SeqCst) > 0);
+            until("the client has read the first bytes", || is_released.load(Ordering::SeqCst) > 0);
             stream.write_all(&sent[100..]).unwrap();
             true
         })
@@ -46,21 +47,21 @@
         head.push(byte[0]);
     }
     assert!(String::from_utf8_lossy(&head).to_lowercase().contains("x-note: kept"));
-    let mut got = vec![0; 100];
-    client.reader.read_exact(&mut got).unwrap();
-    go.store(1, Ordering::SeqCst);
-    got.resize(body.len(), 0);
-    client.reader.read_exact(&mut got[100..]).unwrap();
-    assert!(got == body, "unchanged");
-    // Both connections go on.
+    let mut received = vec![0; 100];
+    client.reader.read_exact(&mut received).unwrap();
+    released.store(1, Ordering::SeqCst);
+    received.resize(body.len(), 0);
+    client.reader.read_exact(&mut received[100..]).unwrap();
+    assert!(received == body, "the body is unchanged");
+    // The connections to the client and to the upstream are kept.
     assert_eq!(client.ask("bill").body.len(), body.len());
     let connections: Vec<usize> = upstream.requests().iter().map(|message| message.connection).collect();
     assert_eq!(connections[0], connections[1]);
 }
 
 #[test]
-fn a_long_answer_outlasts_its_requests_time_and_pauses_of_its_upstream() {
-    let body = pattern(400_000);
+fn long_answer_continues_after_the_request_timeout_and_a_pause_of_its_upstream() {
+    let body = patterned_body(400_000);
     let sent = body.clone();
     let upstream = Upstream::new(move |_| {
         let sent = sent.clone();
@@ -77,11 +78,11 @@
     let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
     let mut client = Client::to(sidecar.address);
     client.send("bill", 500);
-    assert!(client.read().expect("a whole answer").body == body);
+    assert!(client.read().expect("a complete answer").body == body);
 }
 
 #[test]
-fn a_long_answer_that_breaks_off_is_seen_to_be_broken_and_not_asked_for_again() {
+fn long_answer_that_breaks_off_reaches_the_client_truncated_and_is_not_retried() {
     for head in ["Content-Length: 300000\r\n", "Transfer-Encoding: chunked\r\n"] {
         let upstreams = [0, 1].map(|_| {
             Upstream::new(move |_| {
@@ -103,14 +104,14 @@
         let (sidecar, _discovery) = Sidecar::with(&[&upstreams[0], &upstreams[1]]);
         let mut client = Client::to(sidecar.address);
         client.send("fetch", 6_000);
-        assert!(client.read().is_none(), "not whole");
-        assert_eq!(total(&[&upstreams[0], &upstreams[1]]), 1);
+        assert!(client.read().is_none(), "the answer is truncated");
+        assert_eq!(total_requests(&[&upstreams[0], &upstreams[1]]), 1);
     }
 }
 
 #[test]
-fn answers_of_every_form_are_served() {
-    let long = pattern(100_000);
+fn answers_of_every_framing_are_passed_on() {
+    let long = patterned_body(100_000);
     let chunked: Vec<u8> = long
         .chunks(777)
         .flat_map(|c| [format!("{:x};a=\"b\"\r\n", c.len()).as_bytes(), c, b"\r\n"].concat())
@@ -136,7 +137,7 @@
         ),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".to_vec(), true, b""),
     ];
-    for (bytes, stays, body) in forms {
+    for (bytes, keeps_connection, body) in forms {
         for pieces in [1, 7] {
             let bytes = bytes.clone();
             let upstream = Upstream::new(move |_| {
@@ -146,7 +147,7 @@
                         stream.write_all(piece).unwrap();
                         std::thread::sleep(Duration::from_millis(2));
                     }
-                    stays
+                    keeps_connection
                 })
             });
             let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
@@ -159,7 +160,7 @@
 }
 
 #[test]
-fn an_answer_that_ends_with_its_connection_is_not_whole_if_that_was_reset() {
+fn answer_delimited_by_close_counts_as_truncated_when_the_connection_is_reset() {
     let upstream = Upstream::new(|_| Deed::RawAndReset(b"HTTP/1.1 200 OK\r\n\r\n"));
     let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
     assert_eq!(Client::to(sidecar.address).ask("bill").status(), 502);
@@ -167,10 +168,10 @@
 }
 
 #[test]
-fn slow_heads_and_bodies_are_waited_for() {
-    let upstream = Upstream::new(|m| Deed::Answer(200, "", m.body.clone()));
+fn requests_with_slow_heads_and_bodies_are_served() {
+    let upstream = Upstream::new(|message| Deed::Answer(200, "", message.body.clone()));
     let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
-    let body = pattern(60_000);
+    let body = patterned_body(60_000);
     let head = request("bill", 6_000)
         .strip_suffix("bill")
         .map(|head| head.replace("Content-Length: 4", "Content-Length: 60000"))
@@ -189,7 +190,7 @@
                     client.write(piece);
                     std::thread::sleep(Duration::from_millis(head_ms / 20));
                 }
-                // At 64 kB a second, as the slowest honest one.
+                // At 64 kB a second, the lowest rate that a client may send at.
                 for piece in body.chunks(3_200) {
                     client.write(piece);
                     std::thread::sleep(Duration::from_millis(50));
@@ -203,16 +204,16 @@
 }
 
 #[test]
-fn who_dribbles_is_out_in_time() {
+fn client_that_sends_too_slowly_is_disconnected() {
     let upstream = Upstream::new(|_| Deed::ok("served"));
     let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
     let head =
         request("bill", 6_000).replace("Content-Length: 4\r\n\r\nbill", "Content-Length: 50000\r\n\r\n");
-    for first in [head.as_bytes(), b"GET /fetch HTTP/1.1\r\nX-Long: "] {
+    for first_bytes in [head.as_bytes(), b"GET /fetch HTTP/1.1\r\nX-Long: "] {
         let mut stream = TcpStream::connect(sidecar.address).unwrap();
         stream.set_read_timeout(Some(Duration::from_millis(20))).unwrap();
         let start = Instant::now();
-        stream.write_all(first).unwrap();
+        stream.write_all(first_bytes).unwrap();
         loop {
             let mut answer = [0; 16];
             match stream.read(&mut answer) {
@@ -221,34 +222,34 @@
                 Err(_) => {}
             }
             let _ = stream.write_all(b"x");
-            assert!(start.elapsed() < FOREVER, "it is never out");
+            assert!(start.elapsed() < FOREVER, "the connection is never closed");
         }
-        assert!(start.elapsed() > Duration::from_secs(2), "an honest one has 2 s");
+        assert!(start.elapsed() > Duration::from_secs(2), "a client has at least 2 s");
     }
     assert_eq!(upstream.requests().len(), 0);
 }
 
 #[test]
-fn slow_readers_of_long_answers_leave_others_alone() {
+fn slow_readers_of_long_answers_do_not_delay_other_clients() {
     let upstream = Upstream::new(|message| match message.line.starts_with("POST /bill") {
         true => Deed::Answer(200, "", vec![b'x'; 8 << 20]),
         false => Deed::ok("served"),
     });
     let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
-    let mut slow: Vec<Client> = (0..6).map(|_| Client::to(sidecar.address)).collect();
-    for client in &mut slow {
+    let mut slow_readers: Vec<Client> = (0..6).map(|_| Client::to(sidecar.address)).collect();
+    for client in &mut slow_readers {
         client.send("bill", 6_000);
-        assert!(!client.reader.fill_buf().unwrap().is_empty(), "it has begun");
+        assert!(!client.reader.fill_buf().unwrap().is_empty(), "the answer has begun");
     }
     for _ in 0..100 {
         assert_eq!(Client::to(sidecar.address).ask("fetch").status(), 200);
     }
-    for client in &mut slow {
-        assert_eq!(client.read().expect("all of it").body.len(), 8 << 20);
+    for client in &mut slow_readers {
+        assert_eq!(client.read().expect("the complete answer").body.len(), 8 << 20);
     }
 }
 
-/// The head of a request with a body of this length, or in chunks.
+/// The head of a request whose body has this length, or is chunked if there is none.
 fn upload_head(class: &str, length: Option<usize>) -> String {
     let framing = match length {
         Some(length) => format!("Content-Length: {length}"),
@@ -261,6 +262,7 @@
     format!("{}\r\n{framing}\r\n\r\n", head.join("\r\n"))
 }
 
+/// A body in chunks of this size, with chunk extensions and a trailer field.
 fn chunked(body: &[u8], size: usize) -> Vec<u8> {
     let chunk = |c: &[u8]| [format!("{:X};x=y\r\n", c.len()).as_bytes(), c, b"\r\n"].concat();
     let chunks: Vec<u8> = body.chunks(size).flat_map(chunk).collect();
@@ -268,22 +270,22 @@
 }
 
 #[test]
-fn long_uploads_of_every_form_come_unchanged() {
-    let upstream = Upstream::new(|m| Deed::Answer(200, "", m.body.clone()));
+fn long_uploads_of_every_framing_arrive_unchanged() {
+    let upstream = Upstream::new(|message| Deed::Answer(200, "", message.body.clone()));
     let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
-    let body = pattern(3_000_001);
+    let body = patterned_body(3_000_001);
     for class in ["bill", "log"] {
         let mut client = Client::to(sidecar.address);
         client.write(upload_head(class, Some(body.len())).as_bytes());
         client.write(&body);
         let answer = client.read().expect("an answer");
         assert!((answer.status(), &answer.body) == (200, &body), "{}", answer.line);
-        // On the same connection, in chunks.
+        // A chunked body on the same connection.
         client.write(upload_head(class, None).as_bytes());
         client.write(&chunked(&body, 9_999));
         let answer = client.read().expect("an answer");
         assert!((answer.status(), &answer.body) == (200, &body), "{}", answer.line);
-        // Short ones in chunks are held whole.
+        // A short chunked body is buffered completely before it is sent on.
         client.write(upload_head(class, None).as_bytes());
         client.write(&chunked(b"short", 2));
         assert_eq!(client.read().expect("an answer").body, b"short");
@@ -293,21 +295,21 @@
 }
 
 #[test]
-fn an_upload_reaches_its_upstream_while_it_arrives() {
-    let seen = Arc::new(AtomicUsize::new(0));
+fn upload_is_sent_on_while_it_arrives() {
+    let received_bytes = Arc::new(AtomicUsize::new(0));
     let listener = std::net::TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let count = seen.clone();
+    let count = received_bytes.clone();
     std::thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
             let count = count.clone();
             std::thread::spawn(move || {
                 let mut buffer = vec![0; 64 << 10];
-                while let Ok(got) = stream.read(&mut buffer) {
-                    if got == 0 {
+                while let Ok(read) = stream.read(&mut buffer) {
+                    if read == 0 {
                         return;
                     }
-                    if count.fetch_add(got, Ordering::SeqCst) + got > 500_000 {
+                    if count.fetch_add(read, Ordering::SeqCst) + read > 500_000 {
                         let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
                     }
                 }
@@ -320,20 +322,22 @@
     sidecar.wait_up();
     let mut client = Client::to(sidecar.address);
     client.write(upload_head("bill", Some(500_000)).as_bytes());
-    client.write(&pattern(200_000));
-    until("the upstream has what has come", || seen.load(Ordering::SeqCst) > 190_000);
-    client.write(&pattern(300_000));
+    client.write(&patterned_body(200_000));
+    until("the upstream has received the bytes sent so far", || {
+        received_bytes.load(Ordering::SeqCst) > 190_000
+    });
+    client.write(&patterned_body(300_000));
     assert_eq!(client.read().expect("an answer").body, b"ok");
 }
 
 #[test]
-fn uploads_over_the_limit_are_told_at_once() {
+fn uploads_over_the_size_limit_are_rejected_before_their_end() {
     let upstream = Upstream::new(|_| Deed::ok("served"));
     let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
     let mut client = Client::to(sidecar.address);
     client.write(upload_head("bill", Some((32 << 20) + 1)).as_bytes());
-    assert_eq!(client.read().expect("before its bytes").status(), 413);
-    // In chunks it shows when they have come.
+    assert_eq!(client.read().expect("an answer before the body is sent").status(), 413);
+    // The length of a chunked body is known only as its chunks arrive.
     let mut client = Client::to(sidecar.address);
     client.write(upload_head("bill", None).as_bytes());
     let chunk = [b"100000\r\n", &vec![b'x'; 1 << 20][..], b"\r\n"].concat();
@@ -344,20 +348,20 @@
     }
     let answer = client.read();
     assert!(answer.is_none_or(|answer| answer.status() == 413));
-    assert_eq!(upstream.requests().len(), 0, "none came whole");
+    assert_eq!(upstream.requests().len(), 0, "no request is received completely");
     assert_eq!(Client::to(sidecar.address).ask("bill").status(), 200);
 }
 
 #[test]
-fn an_upload_whose_body_is_kept_goes_to_another_and_one_that_has_gone_does_not() {
-    // Nobody listens at the first: nothing was taken from the client but what is kept.
-    let dead = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let upstream = Upstream::new(|m| Deed::Answer(200, "", m.body.clone()));
-    let known = list(5, true, &[entry("a", upstream.address, "ready"), entry("b", dead, "ready")]);
+fn upload_is_retried_only_while_its_body_is_still_buffered() {
+    // Nothing listens at `b`: the sidecar still has all that it has read from the client.
+    let unused_address = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let upstream = Upstream::new(|message| Deed::Answer(200, "", message.body.clone()));
+    let known = list(5, true, &[entry("a", upstream.address, "ready"), entry("b", unused_address, "ready")]);
     let discovery = Discovery::new(&known);
     let sidecar = Sidecar::start(&config("127.0.0.1:0", discovery.address, &known, 1024, SETTINGS));
     sidecar.wait_up();
-    let body = pattern(300_000);
+    let body = patterned_body(300_000);
     for _ in 0..8 {
         let mut client = Client::to(sidecar.address);
         client.write(upload_head("bill", Some(body.len())).as_bytes());
@@ -365,55 +369,56 @@
         let answer = client.read().expect("an answer");
         assert!((answer.status(), &answer.body) == (200, &body), "{}", answer.line);
     }
-    // Turned away unseen after all of it has gone: it did not run, and that is what the client is told.
-    let away = [0, 1].map(|_| Upstream::new(|_| Deed::Answer(503, "X-Not-Processed: 1\r\n", vec![])));
-    let (sidecar, _discovery) = Sidecar::with(&[&away[0], &away[1]]);
+    // An upstream refuses the request unprocessed after the whole body was sent: the request was not executed, and the
+    // client is told so with a 503.
+    let refusing = [0, 1].map(|_| Upstream::new(|_| Deed::Answer(503, "X-Not-Processed: 1\r\n", vec![])));
+    let (sidecar, _discovery) = Sidecar::with(&[&refusing[0], &refusing[1]]);
     let mut client = Client::to(sidecar.address);
     client.write(upload_head("bill", Some(body.len())).as_bytes());
     client.write(&body);
     assert_eq!(client.read().expect("an answer").status(), 503);
-    assert_eq!(total(&[&away[0], &away[1]]), 1);
-    // One that may have run is not called a refusal.
-    let closes = Upstream::new(|_| Deed::Close);
-    let (sidecar, _discovery) = Sidecar::with(&[&closes]);
+    assert_eq!(total_requests(&[&refusing[0], &refusing[1]]), 1);
+    // A request that may have been executed is answered with a 502, not with a refusal.
+    let closing = Upstream::new(|_| Deed::Close);
+    let (sidecar, _discovery) = Sidecar::with(&[&closing]);
     let mut client = Client::to(sidecar.address);
     client.write(upload_head("bill", None).as_bytes());
     client.write(&chunked(&body, 30_000));
     assert_eq!(client.read().expect("an answer").status(), 502);
-    assert_eq!(closes.requests().len(), 1);
+    assert_eq!(closing.requests().len(), 1);
 }
 
 #[test]
-fn an_upload_that_stops_or_whose_client_leaves_never_runs() {
+fn incomplete_upload_is_never_executed() {
     let upstream = Upstream::new(|_| Deed::ok("served"));
     let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
-    let body = pattern(300_000);
-    let mut stops = Client::to(sidecar.address);
-    stops.write(upload_head("bill", Some(body.len())).as_bytes());
-    stops.write(&body[..299_999]);
-    let answer = stops.read();
+    let body = patterned_body(300_000);
+    let mut stalled = Client::to(sidecar.address);
+    stalled.write(upload_head("bill", Some(body.len())).as_bytes());
+    stalled.write(&body[..299_999]);
+    let answer = stalled.read();
     assert!(answer.as_ref().is_none_or(|answer| answer.status() == 408), "{answer:?}");
     for cut in [70_000, 299_999] {
-        let mut leaves = Client::to(sidecar.address);
-        leaves.write(upload_head("bill", Some(body.len())).as_bytes());
-        leaves.write(&body[..cut]);
-        drop(leaves);
+        let mut leaving = Client::to(sidecar.address);
+        leaving.write(upload_head("bill", Some(body.len())).as_bytes());
+        leaving.write(&body[..cut]);
+        drop(leaving);
     }
     assert_eq!(upstream.requests().len(), 0);
-    until("they stand in nobody's way", || Client::to(sidecar.address).ask("bill").status() == 200);
+    until("a new request is served", || Client::to(sidecar.address).ask("bill").status() == 200);
     assert_eq!(upstream.requests().len(), 1);
 }
 
 #[test]
-fn a_slow_upload_outlasts_its_requests_time() {
-    let upstream = Upstream::new(|m| Deed::Answer(200, "", m.body.clone()));
+fn slow_upload_continues_after_the_request_timeout() {
+    let upstream = Upstream::new(|message| Deed::Answer(200, "", message.body.clone()));
     let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
-    let body = pattern(192_000);
+    let body = patterned_body(192_000);
     let mut client = Client::to(sidecar.address);
     client.write(
         upload_head("bill", Some(body.len())).replace("X-Timeout-Ms: 6000", "X-Timeout-Ms: 400").as_bytes(),
     );
-    // 64 kB a second.
+    // At 64 kB a second.
     for piece in body.chunks(6_400) {
         client.write(piece);
         std::thread::sleep(Duration::from_millis(100));
@@ -423,15 +428,15 @@
 }
 
 #[test]
-fn who_expects_to_be_told_to_go_on_is_told() {
-    let upstream = Upstream::new(|m| Deed::Answer(200, "", m.body.clone()));
+fn expect_100_continue_is_answered_by_the_sidecar() {
+    let upstream = Upstream::new(|message| Deed::Answer(200, "", message.body.clone()));
     let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
     for length in [10, 200_000] {
-        let body = pattern(length);
+        let body = patterned_body(length);
         let head = upload_head("bill", Some(length)).replace("\r\n\r\n", "\r\nExpect: 100-continue\r\n\r\n");
         let mut client = Client::to(sidecar.address);
         client.write(head.as_bytes());
-        assert_eq!(client.read().expect("a notice").status(), 100);
+        assert_eq!(client.read().expect("the interim answer").status(), 100);
         client.write(&body);
         assert!(client.read().expect("an answer").body == body);
     }
@@ -439,12 +444,12 @@
 }
 
 #[test]
-fn pipelined_requests_and_http_1_0_are_served() {
-    let upstream = Upstream::new(|m| Deed::Answer(200, "", m.line.clone().into_bytes()));
+fn pipelined_requests_and_http_1_0_requests_are_served() {
+    let upstream = Upstream::new(|message| Deed::Answer(200, "", message.line.clone().into_bytes()));
     let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
     let mut client = Client::to(sidecar.address);
-    let body = pattern(100_000);
-    let three = [
+    let body = patterned_body(100_000);
+    let three_requests = [
         upload_head("bill", Some(body.len())).as_bytes(),
         &body,
         request("fetch", 6_000).as_bytes(),
@@ -452,10 +457,10 @@
         &chunked(&body, 5_000),
     ]
     .concat();
-    client.write(&three);
-    for begins in ["POST /bill", "GET /fetch", "POST /log"] {
+    client.write(&three_requests);
+    for first_line in ["POST /bill", "GET /fetch", "POST /log"] {
         let answer = client.read().expect("an answer");
-        assert!(answer.body.starts_with(begins.as_bytes()), "{begins}");
+        assert!(answer.body.starts_with(first_line.as_bytes()), "{first_line}");
     }
     let mut client = Client::to(sidecar.address);
     client.write(request("fetch", 6_000).replace("HTTP/1.1", "HTTP/1.0").as_bytes());
--- a/crates/cli/tests/upgrade.rs
+++ b/crates/cli/tests/upgrade.rs
@@ -1,4 +1,4 @@
-//! A new version under load: two processes on one listening socket, as one sidecar.
+//! Tests of an upgrade under load: the predecessor and the successor share one listening socket and serve as one sidecar.
 
 mod loopback;
 
@@ -11,10 +11,10 @@
 
 use loopback::*;
 
-/// A sidecar whose socket the test holds, as the platform does.
+/// The platform that starts the processes of a sidecar and owns their listening socket.
 struct Platform {
-    /// What all its processes see.
-    tmp: PathBuf,
+    /// The temporary directory of all its processes, where they find each other's handover socket.
+    temp_dir: PathBuf,
     socket: TcpListener,
     address: SocketAddr,
     known: String,
@@ -28,9 +28,9 @@
         let known = ready(upstreams);
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let name = format!("tmp-{}-{}", std::process::id(), NUMBER.fetch_add(1, Ordering::SeqCst));
-        let tmp = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
-        std::fs::create_dir_all(&tmp).unwrap();
-        Platform { tmp, socket, address, discovery: Discovery::new(&known), known }
+        let temp_dir = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
+        std::fs::create_dir_all(&temp_dir).unwrap();
+        Platform { temp_dir, socket, address, discovery: Discovery::new(&known), known }
     }
 
     fn config(&self, known: &str) -> String {
@@ -39,7 +39,7 @@
 
     /// Starts a process with this configuration.
     fn start_with(&self, config: &str) -> Sidecar {
-        Sidecar::start_on(&self.socket, config, &[("TMPDIR", &self.tmp)])
+        Sidecar::start_on(&self.socket, config, &[("TMPDIR", &self.temp_dir)])
     }
 
     /// Starts a process and waits until it can serve.
@@ -49,34 +49,34 @@
         sidecar
     }
 
-    /// Where it is asked by who comes next.
-    fn link(&self) -> PathBuf {
-        self.tmp.join("sagemast.sock")
+    /// The handover socket, to which a successor connects.
+    fn handover_socket(&self) -> PathBuf {
+        self.temp_dir.join("sagemast.sock")
     }
 }
 
 impl Drop for Platform {
     fn drop(&mut self) {
-        let _ = std::fs::remove_dir_all(&self.tmp);
+        let _ = std::fs::remove_dir_all(&self.temp_dir);
     }
 }
 
-fn has_said(sidecar: &Sidecar, text: &str) -> bool {
+fn has_logged(sidecar: &Sidecar, text: &str) -> bool {
     sidecar.log.lock().unwrap().iter().any(|line| line.contains(text))
 }
 
 #[test]
-fn clients_do_not_notice_ten_upgrades() {
+fn ten_upgrades_under_load_fail_no_request() {
     let upstream = Upstream::new(|_| {
         std::thread::sleep(Duration::from_millis(3));
         Deed::ok("served")
     });
     let platform = Platform::new(&[&upstream]);
     let mut serving = platform.start();
-    let (stop, asked, turned) = (AtomicBool::new(false), AtomicU64::new(0), AtomicU64::new(0));
+    let (stop, asked, reconnected) = (AtomicBool::new(false), AtomicU64::new(0), AtomicU64::new(0));
     std::thread::scope(|threads| {
         for number in 0..3 {
-            let (stop, asked, turned, address) = (&stop, &asked, &turned, platform.address);
+            let (stop, asked, reconnected, address) = (&stop, &asked, &reconnected, platform.address);
             threads.spawn(move || {
                 let mut client = Client::to(address);
                 while !stop.load(Ordering::SeqCst) {
@@ -84,9 +84,9 @@
                     asked.fetch_add(1, Ordering::SeqCst);
                     let answer = match client.read() {
                         Some(answer) => answer,
-                        // It crossed the close of an idle connection: sent once more on a new one.
+                        // The request crossed the close of an idle connection and is sent again on a new one.
                         None => {
-                            turned.fetch_add(1, Ordering::SeqCst);
+                            reconnected.fetch_add(1, Ordering::SeqCst);
                             client = Client::to(address);
                             client.ask("fetch")
                         }
@@ -100,152 +100,163 @@
             });
         }
         for _ in 0..10 {
-            let next = platform.start();
-            let before = asked.load(Ordering::SeqCst);
-            assert!(has_said(&next, "goes on from 1 upstreams and what was learnt"));
-            until("the old one knows", || has_said(&serving, "a successor has begun"));
+            let successor = platform.start();
+            let asked_before = asked.load(Ordering::SeqCst);
+            assert!(has_logged(&successor, "goes on from 1 upstreams and what was learnt"));
+            until("the predecessor knows its successor", || has_logged(&serving, "a successor has begun"));
             serving.signal("-TERM");
             assert!(serving.wait_exit().success(), "{:?}", serving.log.lock().unwrap());
-            serving = next;
-            until("it serves alone", || asked.load(Ordering::SeqCst) > before + 50);
+            serving = successor;
+            until("the successor has served alone", || asked.load(Ordering::SeqCst) > asked_before + 50);
         }
         stop.store(true, Ordering::SeqCst);
     });
-    assert!(turned.load(Ordering::SeqCst) <= 20, "two an upgrade at most");
+    assert!(reconnected.load(Ordering::SeqCst) <= 20, "at most two requests per upgrade are sent again");
 }
 
 #[test]
-fn who_cannot_serve_yet_accepts_nobody() {
+fn process_that_cannot_serve_yet_accepts_no_connection() {
     let upstream = Upstream::new(|_| Deed::ok("served"));
     let platform = Platform::new(&[&upstream]);
-    let mut old = platform.start();
-    // Without a list, and with a discovery that is down.
-    let nowhere = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let blind = config(&platform.address.to_string(), nowhere, "null", 1024, SETTINGS);
-    let _new = Sidecar::start_on(&platform.socket, &blind, &[]);
+    let mut predecessor = platform.start();
+    // The new process has no server list, and its discovery is down.
+    let unused_address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let config_without_list = config(&platform.address.to_string(), unused_address, "null", 1024, SETTINGS);
+    let _successor = Sidecar::start_on(&platform.socket, &config_without_list, &[]);
     for _ in 0..50 {
-        assert_eq!(Client::to(platform.address).ask("fetch").status(), 200, "the old one serves alone");
+        assert_eq!(Client::to(platform.address).ask("fetch").status(), 200, "the predecessor serves alone");
     }
-    old.signal("-TERM");
-    assert!(old.wait_exit().success());
+    predecessor.signal("-TERM");
+    assert!(predecessor.wait_exit().success());
 }
 
 #[test]
-fn the_old_process_answers_one_more_request_on_each_connection_and_ends() {
-    let go = Arc::new(AtomicUsize::new(0));
-    let wait = go.clone();
+fn predecessor_told_to_end_answers_one_more_request_on_each_connection() {
+    let released = Arc::new(AtomicUsize::new(0));
+    let is_released = released.clone();
     let upstream = Upstream::new(move |message| match message.line.starts_with("POST /bill") {
-        true => Deed::Wait(wait.clone()),
+        true => Deed::Wait(is_released.clone()),
         false => Deed::ok("served"),
     });
     let platform = Platform::new(&[&upstream]);
-    let mut old = platform.start();
+    let mut predecessor = platform.start();
     let mut idle: Vec<Client> = (0..20).map(|_| Client::to(platform.address)).collect();
     idle.iter_mut().for_each(|client| assert_eq!(client.ask("fetch").status(), 200));
     let mut waiting = Client::to(platform.address);
     waiting.send("bill", 6_000);
-    until("it is out", || upstream.requests().iter().any(|m| m.line.starts_with("POST /bill")));
-    let new = platform.start();
-    old.signal("-TERM");
-    old.wait_log("finishing what is held");
+    until("the request is in flight", || {
+        upstream.requests().iter().any(|m| m.line.starts_with("POST /bill"))
+    });
+    let successor = platform.start();
+    predecessor.signal("-TERM");
+    predecessor.wait_log("finishing what is held");
     for client in &mut idle[..10] {
         let answer = client.ask("fetch");
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     }
     for client in &mut idle[10..] {
-        assert_eq!(client.read_to_close().expect("it is closed late"), b"");
+        assert_eq!(client.read_to_close().expect("an idle connection is closed"), b"");
     }
-    let mut fresh = Client::to(platform.address);
-    assert_eq!(fresh.ask("fetch").header("connection"), None, "who comes now is for the new one");
-    go.store(1, Ordering::SeqCst);
-    let answer = waiting.read().expect("what was taken is answered");
+    let mut new_client = Client::to(platform.address);
+    assert_eq!(new_client.ask("fetch").header("connection"), None, "the successor serves new connections");
+    released.store(1, Ordering::SeqCst);
+    let answer = waiting.read().expect("an accepted request is answered");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert!(old.wait_exit().success());
-    drop(new);
+    assert!(predecessor.wait_exit().success());
+    drop(successor);
 }
 
 #[test]
-fn a_socket_that_is_none_is_one_line_and_an_exit() {
+fn start_with_an_unusable_socket_descriptor_fails_with_one_line() {
     let upstream = Upstream::new(|_| Deed::ok("served"));
     let platform = Platform::new(&[&upstream]);
     let elsewhere = platform.config("null").replace(&platform.address.to_string(), "127.0.0.1:9");
     let (child, _) = spawn_on(&platform.socket, &elsewhere, &[]);
-    for (mut child, what) in [
+    for (mut child, expected) in [
         (child, "listens on"),
         (spawn_in(&platform.config("null"), &[("ROUTER_SOCKET_FD", &PathBuf::from("77"))]), "77"),
         (spawn_in(&platform.config("null"), &[("ROUTER_SOCKET_FD", &PathBuf::from("three"))]), "three"),
         (spawn_in(&platform.config("null"), &[("ROUTER_SOCKET_FD", &PathBuf::from("1"))]), "1"),
     ] {
-        let mut said = String::new();
-        child.stderr.take().unwrap().read_to_string(&mut said).unwrap();
+        let mut stderr = String::new();
+        child.stderr.take().unwrap().read_to_string(&mut stderr).unwrap();
         assert!(!child.wait().unwrap().success());
         assert!(
-            said.lines().count() == 1 && said.contains(what) && said.contains("ROUTER_SOCKET_FD"),
-            "{said}"
+            stderr.lines().count() == 1 && stderr.contains(expected) && stderr.contains("ROUTER_SOCKET_FD"),
+            "{stderr}"
         );
     }
 }
 
-/// An upstream that fails, beside two that serve.
-fn one_that_fails() -> [Upstream; 3] {
+/// One upstream that fails each request, and two that serve.
+fn failing_and_two_serving_upstreams() -> [Upstream; 3] {
     [0, 1, 2].map(|number| {
         Upstream::new(move |_| if number == 0 { Deed::Answer(500, "", vec![]) } else { Deed::ok("served") })
     })
 }
 
-fn console_of(config: &str) -> (String, SocketAddr) {
+/// Adds a console on a free port to a configuration; also returns the console's address.
+fn with_free_console(config: &str) -> (String, SocketAddr) {
     let console = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     (config.replacen('{', &format!(r#"{{"console":"{console}","#), 1), console)
 }
 
-fn figure(console: SocketAddr, name: &str) -> u64 {
-    let answer = Client::to(console).get("/api/telemetry").expect("figures");
-    let figures: serde_json::Value = serde_json::from_slice(&answer.body).unwrap();
-    figures[name].as_u64().unwrap()
+/// One value of the console's telemetry.
+fn telemetry_value(console: SocketAddr, name: &str) -> u64 {
+    let answer = Client::to(console).get("/api/telemetry").expect("telemetry");
+    let values: serde_json::Value = serde_json::from_slice(&answer.body).unwrap();
+    values[name].as_u64().unwrap()
 }
 
 #[test]
-fn the_new_process_goes_on_from_what_the_old_one_knows() {
-    let upstreams = one_that_fails();
+fn successor_continues_from_the_handover_state_of_its_predecessor() {
+    let upstreams = failing_and_two_serving_upstreams();
     let platform = Platform::new(&[&upstreams[0], &upstreams[1], &upstreams[2]]);
-    let (text, console) = console_of(&platform.config(&platform.known));
-    let mut old = platform.start_with(&text);
-    old.wait_log("serving");
+    let (text, console) = with_free_console(&platform.config(&platform.known));
+    let mut predecessor = platform.start_with(&text);
+    predecessor.wait_log("serving");
     let mut client = Client::to(platform.address);
-    until("the one that fails is out", || {
+    until("the failing upstream is skipped", || {
         client.ask("fetch");
-        figure(console, "skipped_upstreams") == 1
+        telemetry_value(console, "skipped_upstreams") == 1
     });
-    // The new one has no list of its own, and no discovery: what the old one has told it must do.
-    let nowhere = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let blind = config(&platform.address.to_string(), nowhere, "null", 1024, SETTINGS);
-    let (text, console) = console_of(&blind);
-    let new = platform.start_with(&text);
-    new.wait_log("serving");
-    assert!(has_said(&new, "goes on from 3 upstreams and what was learnt"));
-    assert_eq!(figure(console, "known_upstreams"), 3);
-    assert_eq!(figure(console, "skipped_upstreams"), 1, "before it has sent anything");
-    until("the old one knows that it is succeeded", || has_said(&old, "a successor has begun"));
-    old.signal("-TERM");
-    assert!(old.wait_exit().success());
-    new.wait_log("the predecessor has ended");
+    // The successor has neither a server list of its own nor discovery: it depends on the handover state.
+    let unused_address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let config_without_list = config(&platform.address.to_string(), unused_address, "null", 1024, SETTINGS);
+    let (text, console) = with_free_console(&config_without_list);
+    let successor = platform.start_with(&text);
+    successor.wait_log("serving");
+    assert!(has_logged(&successor, "goes on from 3 upstreams and what was learnt"));
+    assert_eq!(telemetry_value(console, "known_upstreams"), 3);
+    assert_eq!(
+        telemetry_value(console, "skipped_upstreams"),
+        1,
+        "the successor skips the failing upstream before it has sent an attempt"
+    );
+    until("the predecessor knows its successor", || has_logged(&predecessor, "a successor has begun"));
+    predecessor.signal("-TERM");
+    assert!(predecessor.wait_exit().success());
+    successor.wait_log("the predecessor has ended");
     assert_eq!(Client::to(platform.address).ask("fetch").status(), 200);
 }
 
 #[test]
-fn a_drain_that_one_of_them_was_told_holds_for_both() {
+fn drain_notified_to_the_predecessor_takes_effect_in_the_successor() {
     let upstreams = [0, 1].map(|_| Upstream::new(|_| Deed::ok("served")));
     let platform = Platform::new(&[&upstreams[0], &upstreams[1]]);
-    let old = platform.start();
-    let silent = Discovery::new("");
-    let deaf = config(&platform.address.to_string(), silent.address, &platform.known, 1024, SETTINGS);
-    let (text, console) = console_of(&deaf);
-    let new = platform.start_with(&text);
-    new.wait_log("serving");
+    let predecessor = platform.start();
+    let silent_discovery = Discovery::new("");
+    let config_with_silent_discovery =
+        config(&platform.address.to_string(), silent_discovery.address, &platform.known, 1024, SETTINGS);
+    let (text, console) = with_free_console(&config_with_silent_discovery);
+    let successor = platform.start_with(&text);
+    successor.wait_log("serving");
     let drained = list(6, false, &[entry("a", upstreams[0].address, "draining")]);
     platform.discovery.say(&format!("{drained}\n"));
-    until("the new one hears of it from the old one", || figure(console, "skipped_upstreams") == 1);
-    drop(old);
+    until("the predecessor has told the successor of the drain", || {
+        telemetry_value(console, "skipped_upstreams") == 1
+    });
+    drop(predecessor);
     let before = upstreams[0].requests().len();
     for _ in 0..30 {
         assert_eq!(Client::to(platform.address).ask("fetch").status(), 200);
@@ -254,161 +265,163 @@
 }
 
 #[test]
-fn a_successor_that_is_killed_leaves_all_as_it_was_and_the_next_one_is_served() {
+fn killed_successor_changes_nothing_and_a_later_upgrade_succeeds() {
     let upstream = Upstream::new(|_| Deed::ok("served"));
     let platform = Platform::new(&[&upstream]);
-    let mut old = platform.start();
-    // One without a list never serves; it is killed while it starts.
-    let nowhere = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
+    let mut predecessor = platform.start();
+    // A successor without a server list never serves; it is killed while it starts.
+    let unused_address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     for _ in 0..3 {
-        let mut half = Sidecar::start_on(
+        let mut successor = Sidecar::start_on(
             &platform.socket,
-            &config(&platform.address.to_string(), nowhere, "null", 1024, SETTINGS),
-            &[("TMPDIR", &platform.tmp)],
+            &config(&platform.address.to_string(), unused_address, "null", 1024, SETTINGS),
+            &[("TMPDIR", &platform.temp_dir)],
         );
-        until("it is met", || has_said(&half, "handover: goes on from"));
-        half.child.kill().unwrap();
-        half.wait_exit();
-        until("the old one knows", || {
-            let log = old.log.lock().unwrap();
-            let count = |what: &str| log.iter().filter(|line| line.contains(what)).count();
+        until("the successor has received the handover state", || {
+            has_logged(&successor, "handover: goes on from")
+        });
+        successor.child.kill().unwrap();
+        successor.wait_exit();
+        until("the predecessor has seen the successor end", || {
+            let log = predecessor.log.lock().unwrap();
+            let count = |text: &str| log.iter().filter(|line| line.contains(text)).count();
             count("a successor has begun") > 0
                 && count("a successor has begun") == count("the successor has ended")
         });
         assert_eq!(Client::to(platform.address).ask("fetch").status(), 200);
     }
-    let new = platform.start();
-    assert!(has_said(&new, "goes on from 1 upstreams and what was learnt"));
-    old.signal("-TERM");
-    assert!(old.wait_exit().success());
+    let successor = platform.start();
+    assert!(has_logged(&successor, "goes on from 1 upstreams and what was learnt"));
+    predecessor.signal("-TERM");
+    assert!(predecessor.wait_exit().success());
     assert_eq!(Client::to(platform.address).ask("fetch").status(), 200);
 }
 
 #[test]
-fn an_old_process_that_is_killed_is_missed_and_no_more() {
+fn killed_predecessor_does_not_disturb_its_successor() {
     let upstream = Upstream::new(|_| Deed::ok("served"));
     let platform = Platform::new(&[&upstream]);
-    let mut old = platform.start();
-    let mut new = platform.start();
-    old.child.kill().unwrap();
-    old.wait_exit();
-    new.wait_log("the predecessor has ended");
+    let mut predecessor = platform.start();
+    let mut successor = platform.start();
+    predecessor.child.kill().unwrap();
+    predecessor.wait_exit();
+    successor.wait_log("the predecessor has ended");
     assert_eq!(Client::to(platform.address).ask("fetch").status(), 200);
-    // What it left on its way is no predecessor: a third start goes on from the second.
+    // The killed process has left its handover socket behind: a third process still continues from the second.
     let third = platform.start();
-    assert!(has_said(&third, "goes on from 1 upstreams"));
-    new.signal("-HUP");
-    new.wait_log("discovery is at");
-    new.signal("-TERM");
-    assert!(new.wait_exit().success(), "{:?}", new.log.lock().unwrap());
+    assert!(has_logged(&third, "goes on from 1 upstreams"));
+    successor.signal("-HUP");
+    successor.wait_log("discovery is at");
+    successor.signal("-TERM");
+    assert!(successor.wait_exit().success(), "{:?}", successor.log.lock().unwrap());
 }
 
 #[test]
-fn a_socket_that_nobody_serves_or_that_speaks_nonsense_holds_no_start_up() {
+fn stale_malformed_or_unresponsive_handover_socket_does_not_block_a_start() {
     let upstream = Upstream::new(|_| Deed::ok("served"));
     let platform = Platform::new(&[&upstream]);
-    // Of a process that was killed.
-    drop(std::os::unix::net::UnixListener::bind(platform.link()).unwrap());
+    // A socket that a killed process left behind.
+    drop(std::os::unix::net::UnixListener::bind(platform.handover_socket()).unwrap());
     let sidecar = platform.start();
-    assert!(has_said(&sidecar, "starting without a predecessor"));
+    assert!(has_logged(&sidecar, "starting without a predecessor"));
     assert_eq!(Client::to(platform.address).ask("fetch").status(), 200);
     drop(sidecar);
-    for nonsense in [
+    for malformed in [
         &b""[..],
         b"\x00\xffnoise\n",
         b"{\"kind\":\"hello\",\"v\":1}\n",
         b"{\"kind\":\"estate\",\"list\":{\"seq\":1,\"hosts\":[]}}\n",
         b"{\"kind\":\"estate\"",
     ] {
-        let _ = std::fs::remove_file(platform.link());
-        let listener = std::os::unix::net::UnixListener::bind(platform.link()).unwrap();
-        let answering = std::thread::spawn(move || {
+        let _ = std::fs::remove_file(platform.handover_socket());
+        let listener = std::os::unix::net::UnixListener::bind(platform.handover_socket()).unwrap();
+        let peer = std::thread::spawn(move || {
             let (mut stream, _) = listener.accept().unwrap();
-            let _ = std::io::Write::write_all(&mut stream, nonsense);
+            let _ = std::io::Write::write_all(&mut stream, malformed);
         });
         let sidecar = platform.start();
-        answering.join().unwrap();
-        assert!(has_said(&sidecar, "starting without a predecessor"), "{nonsense:?}");
+        peer.join().unwrap();
+        assert!(has_logged(&sidecar, "starting without a predecessor"), "{malformed:?}");
         assert_eq!(Client::to(platform.address).ask("fetch").status(), 200);
     }
-    // One that takes the call and says nothing.
-    let _ = std::fs::remove_file(platform.link());
-    let silent = std::os::unix::net::UnixListener::bind(platform.link()).unwrap();
+    // A peer that never answers.
+    let _ = std::fs::remove_file(platform.handover_socket());
+    let unresponsive = std::os::unix::net::UnixListener::bind(platform.handover_socket()).unwrap();
     let sidecar = platform.start();
-    assert!(has_said(&sidecar, "starting without a predecessor"));
-    drop(silent);
+    assert!(has_logged(&sidecar, "starting without a predecessor"));
+    drop(unresponsive);
 }
 
 #[test]
-fn a_long_directory_is_no_hindrance() {
+fn handover_works_in_a_directory_with_a_long_path() {
     let upstream = Upstream::new(|_| Deed::ok("served"));
     let mut platform = Platform::new(&[&upstream]);
-    let short = platform.tmp.clone();
-    platform.tmp = short.join("d".repeat(100)).join("e".repeat(100));
-    std::fs::create_dir_all(&platform.tmp).unwrap();
-    let _old = platform.start();
-    let new = platform.start();
-    assert!(has_said(&new, "goes on from 1 upstreams"));
-    platform.tmp = short;
+    let short_dir = platform.temp_dir.clone();
+    platform.temp_dir = short_dir.join("d".repeat(100)).join("e".repeat(100));
+    std::fs::create_dir_all(&platform.temp_dir).unwrap();
+    let _predecessor = platform.start();
+    let successor = platform.start();
+    assert!(has_logged(&successor, "goes on from 1 upstreams"));
+    platform.temp_dir = short_dir;
 }
 
 #[test]
-fn who_starts_beside_a_full_one_serves_with_what_is_left() {
-    let go = Arc::new(AtomicUsize::new(0));
-    let wait = go.clone();
+fn successor_of_a_predecessor_at_capacity_serves_with_the_remaining_descriptors() {
+    let released = Arc::new(AtomicUsize::new(0));
+    let is_released = released.clone();
     let upstreams: Vec<Upstream> = (0..20)
         .map(|_| {
-            let wait = wait.clone();
+            let is_released = is_released.clone();
             Upstream::new(move |message| match message.line.starts_with("POST /bill") {
-                true => Deed::Wait(wait.clone()),
+                true => Deed::Wait(is_released.clone()),
                 false => Deed::ok("served"),
             })
         })
         .collect();
     let platform = Platform::new(&upstreams.iter().collect::<Vec<_>>());
-    // 256 descriptors: 88 for two processes, 84 connections on each side for both together.
-    let small =
+    // 256 descriptors: 88 for the two processes, and 84 connections on each side for both together.
+    let config_256_sockets =
         config(&platform.address.to_string(), platform.discovery.address, &platform.known, 256, SETTINGS);
-    let (text, _) = console_of(&small);
-    let mut old = platform.start_with(&text);
-    old.wait_log("serving");
+    let (text, _) = with_free_console(&config_256_sockets);
+    let mut predecessor = platform.start_with(&text);
+    predecessor.wait_log("serving");
     let mut held: Vec<Client> = (0..60).map(|_| Client::to(platform.address)).collect();
     held.iter_mut().for_each(|client| client.send("bill", 6_000));
-    let out = || upstreams.iter().map(|upstream| upstream.requests().len()).sum::<usize>();
-    until("some are out", || out() >= 20);
-    let (text, console) = console_of(&small);
-    let new = platform.start_with(&text);
-    new.wait_log("serving");
-    until("the old one knows", || has_said(&old, "a successor has begun"));
-    old.signal("-TERM");
-    old.signal("-HUP");
-    old.wait_log("finishing what is held");
-    new.signal("-HUP");
-    new.wait_log("discovery is at");
+    let received = || upstreams.iter().map(|upstream| upstream.requests().len()).sum::<usize>();
+    until("20 requests are in flight", || received() >= 20);
+    let (text, console) = with_free_console(&config_256_sockets);
+    let successor = platform.start_with(&text);
+    successor.wait_log("serving");
+    until("the predecessor knows its successor", || has_logged(&predecessor, "a successor has begun"));
+    predecessor.signal("-TERM");
+    predecessor.signal("-HUP");
+    predecessor.wait_log("finishing what is held");
+    successor.signal("-HUP");
+    successor.wait_log("discovery is at");
     for _ in 0..30 {
         assert_eq!(Client::to(platform.address).ask("fetch").status(), 200);
     }
-    assert!(figure(console, "known_upstreams") == 20);
-    go.store(1, Ordering::SeqCst);
+    assert!(telemetry_value(console, "known_upstreams") == 20);
+    released.store(1, Ordering::SeqCst);
     for client in &mut held {
-        let answer = client.read().expect("what was taken is answered");
+        let answer = client.read().expect("an accepted request is answered");
         assert!(matches!(answer.status(), 200 | 503), "{answer:?}");
     }
-    assert!(old.wait_exit().success());
+    assert!(predecessor.wait_exit().success());
 }
 
 #[test]
-fn a_transfer_under_way_outlasts_the_upgrade() {
-    let go = Arc::new(AtomicUsize::new(0));
-    let wait = go.clone();
+fn transfer_in_progress_is_completed_during_an_upgrade() {
+    let released = Arc::new(AtomicUsize::new(0));
+    let is_released = released.clone();
     let upstream = Upstream::new(move |message| {
-        let wait = wait.clone();
+        let is_released = is_released.clone();
         match message.line.starts_with("POST /bill") {
             true => Deed::play(move |stream| {
                 std::io::Write::write_all(stream, b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n")
                     .unwrap();
                 std::io::Write::write_all(stream, &[b'x'; 100_000]).unwrap();
-                until("the test lets go", || wait.load(Ordering::SeqCst) > 0);
+                until("the test releases the answer", || is_released.load(Ordering::SeqCst) > 0);
                 std::io::Write::write_all(stream, &[b'x'; 100_000]).unwrap();
                 true
             }),
@@ -416,16 +429,16 @@
         }
     });
     let platform = Platform::new(&[&upstream]);
-    let mut old = platform.start();
+    let mut predecessor = platform.start();
     let mut client = Client::to(platform.address);
     client.send("bill", 6_000);
-    assert!(!std::io::BufRead::fill_buf(&mut client.reader).unwrap().is_empty(), "it has begun");
-    let _new = platform.start();
-    until("the old one knows", || has_said(&old, "a successor has begun"));
-    old.signal("-TERM");
-    old.wait_log("finishing what is held");
+    assert!(!std::io::BufRead::fill_buf(&mut client.reader).unwrap().is_empty(), "the answer has begun");
+    let _successor = platform.start();
+    until("the predecessor knows its successor", || has_logged(&predecessor, "a successor has begun"));
+    predecessor.signal("-TERM");
+    predecessor.wait_log("finishing what is held");
     assert_eq!(Client::to(platform.address).ask("fetch").status(), 200);
-    go.store(1, Ordering::SeqCst);
-    assert_eq!(client.read().expect("all of it").body.len(), 200_000);
-    assert!(old.wait_exit().success());
+    released.store(1, Ordering::SeqCst);
+    assert_eq!(client.read().expect("the complete answer").body.len(), 200_000);
+    assert!(predecessor.wait_exit().success());
 }
