--- a/crates/cli/tests/crossings.rs
+++ b/crates/cli/tests/crossings.rs
@@ -1,4 +1,4 @@
-//! Moments in which two events cross, forced by what the test's own stage does, on real sockets.
+//! Tests of races between two events, on real sockets. The stand-ins of each test force the order of the events.
 
 mod loopback;
 
@@ -9,52 +9,58 @@
 
 use loopback::*;
 
-/// The same list, as an editor would lay it out.
+/// The same list in indented JSON.
 fn indented(list: &str) -> String {
     let value: serde_json::Value = serde_json::from_str(list).unwrap();
     serde_json::to_string_pretty(&value).unwrap()
 }
 
-// --- Lists and watches -----------------------------------------------------------------------
+// --- Lists and watches ------------------------------------------------------------------------
 
-/// Guards against a reader that takes each line of an indented list for a broken one, asks for the whole list again and is
-/// told that indented, too, for good.
+/// Guards against a reader that takes each line of an indented list for a malformed list: it would ask for the complete list
+/// again and get that indented, too, without end.
 #[test]
-fn indented_lists_are_read_and_the_watch_goes_on() {
+fn indented_lists_are_read_without_reopening_the_watch() {
     let [a, b] = [0, 1].map(|_| Upstream::new(|_| Deed::ok("served")));
     let first = list(9, true, &[entry("a", a.address, "ready"), entry("b", b.address, "ready")]);
     let discovery = Discovery::new(&indented(&first));
     let sidecar = Sidecar::start(&config("127.0.0.1:0", discovery.address, "null", 1024, SETTINGS));
     sidecar.wait_up();
     let mut client = Client::to(sidecar.address);
-    until("both serve", || {
+    until("both upstreams serve", || {
         client.ask("fetch");
         !a.requests().is_empty() && !b.requests().is_empty()
     });
-    // A drain in pieces, with nothing but white space behind it.
+    // The drain comes in two pieces, with nothing but white space after it.
     let drain = indented(&list(10, false, &[entry("a", a.address, "draining")]));
     let (head, tail) = drain.split_at(drain.len() / 2);
     discovery.say(head);
     std::thread::sleep(Duration::from_millis(50));
     discovery.say(tail);
-    until("the drain is kept", || {
+    until("the drain is in force", || {
         let before = a.requests().len();
         (0..20).for_each(|_| drop(client.ask("fetch")));
         a.requests().len() == before
     });
-    assert_eq!(discovery.watches().len(), 1, "it was understood at once: {:?}", sidecar.log.lock().unwrap());
+    assert_eq!(
+        discovery.watches().len(),
+        1,
+        "the watch was not opened again: {:?}",
+        sidecar.log.lock().unwrap()
+    );
 }
 
-/// Guards against a peer that goes on sending bytes which end nothing: half a list is no sign of life.
+/// Guards against a watch that counts as alive while its peer sends bytes that never complete a list, or sends nothing after
+/// its head.
 #[test]
-fn a_watch_that_dribbles_or_says_nothing_behind_its_head_is_silent() {
+fn watch_without_a_complete_list_counts_as_unresponsive() {
     let [a, b] = [0, 1].map(|_| Upstream::new(|_| Deed::ok("served")));
     let first = list(5, true, &[entry("a", a.address, "ready")]);
     let last = list(6, true, &[entry("b", b.address, "ready")]);
     let (address, asked) = discovery(move |number, stream| match number {
         0 => {
             chunk(stream, format!("{first}\n{{\"seq\": 6,").as_bytes()).unwrap();
-            // White space that could go on for good.
+            // White space without end.
             while chunk(stream, b" ").is_ok() {
                 std::thread::sleep(Duration::from_millis(100));
             }
@@ -65,17 +71,20 @@
     let sidecar = Sidecar::start(&config("127.0.0.1:0", address, "null", 1024, SETTINGS));
     sidecar.wait_up();
     let mut client = Client::to(sidecar.address);
-    until("what the silent ones kept back is known", || {
+    until("the list of the third watch is known", || {
         client.ask("fetch").status() == 200 && !b.requests().is_empty()
     });
     let asked = asked.lock().unwrap();
-    assert!(asked.len() >= 3 && asked[1].contains("from=0 "), "half a list was missed: {asked:?}");
+    assert!(
+        asked.len() >= 3 && asked[1].contains("from=0 "),
+        "the partial list is requested again: {asked:?}"
+    );
 }
 
-/// Guards against a module that, where discovery is asked, spreads its next call over all the time in which it must ask: a
-/// watch that has fallen silent may have missed a drain, which counts as told soon.
+/// Guards against a module in subscribe mode that reopens an unresponsive watch at a random time within `must_ask_in`: the
+/// watch may have missed a drain, which counts as notified soon.
 #[test]
-fn where_discovery_is_asked_a_silent_watch_is_opened_anew_at_once() {
+fn unresponsive_watch_is_reopened_at_once_in_subscribe_mode() {
     let [a, b] = [0, 1].map(|_| Upstream::new(|_| Deed::ok("served")));
     let first = list(5, true, &[entry("a", a.address, "ready")]);
     let last = list(6, true, &[entry("b", b.address, "ready")]);
@@ -83,110 +92,110 @@
     let (address, asked) = discovery(move |number, stream| {
         let _ = chunk(stream, format!("{}\n", if number == 0 { &first } else { &last }).as_bytes());
     });
-    // It must ask once in ten hours: were the next call spread over that, none would come here. The first one is made
-    // for all that, since the process knows how long what it has not heard may count as told.
+    // `must_ask_in` is ten hours: a call at a random time within it would not come during this test. The first call is made
+    // at once, because the process knows how soon an update that it has not received counts as notified.
     let settings =
         SETTINGS.replace("automatic", "subscribe").replace(r#""must_ask_in":400.0"#, r#""must_ask_in":36e6"#);
     let sidecar = Sidecar::start(&config("127.0.0.1:0", address, &known, 1024, &settings));
     let mut client = Client::to(sidecar.address);
-    until("what the silent one kept back is known", || {
+    until("the list of the second watch is known", || {
         client.ask("fetch").status() == 200 && !b.requests().is_empty()
     });
     assert_eq!(asked.lock().unwrap().len(), 2);
     assert!(
         !sidecar.log.lock().unwrap().iter().any(|line| line.contains("unavailable")),
-        "the module was not asked"
+        "the module did not report discovery as unavailable"
     );
 }
 
-/// Guards against a drain that is undone by what was told before it.
+/// Guards against a drain that is undone by an older update that arrives after it.
 #[test]
-fn a_change_of_an_older_version_undoes_nothing_and_is_asked_about() {
+fn update_of_an_older_version_is_ignored_and_the_complete_list_is_requested() {
     let [a, b] = [0, 1].map(|_| Upstream::new(|_| Deed::ok("served")));
     let (sidecar, discovery) = Sidecar::with(&[&a, &b]);
     let mut client = Client::to(sidecar.address);
-    // In one piece: the drain, the same once more, and what was true before.
+    // One write holds the drain, its repetition, and an older update.
     let drain = list(9, false, &[entry("a", a.address, "draining")]);
-    let before = list(8, false, &[entry("a", a.address, "ready")]);
-    until("it watches", || discovery.watches().len() == 1);
-    discovery.say(&format!("{drain}\n{drain}\n{before}\n"));
-    until("the drain has come", || {
+    let older = list(8, false, &[entry("a", a.address, "ready")]);
+    until("the sidecar watches", || discovery.watches().len() == 1);
+    discovery.say(&format!("{drain}\n{drain}\n{older}\n"));
+    until("the drain is in force", || {
         let before = a.requests().len();
         (0..20).for_each(|_| drop(client.ask("fetch")));
         a.requests().len() == before
     });
     discovery.break_off();
-    until("it asks for the whole list", || discovery.watches().len() >= 2);
+    until("the sidecar opens a new watch", || discovery.watches().len() >= 2);
     assert!(discovery.watches()[1].contains("from=0 "), "{:?}", discovery.watches());
 }
 
-/// Guards against requests that a new process sends by the list that it was started with, while the agent beside it has
-/// been told of a drain since: that counts as told from the first moment on. The request waits before the process listens
-/// for it; the list comes right after.
+/// Guards against requests that a new process sends according to the list that it was started with, although the discovery
+/// agent knows of a drain since then, which counts as notified from the start. The request is written before the list comes.
 #[test]
-fn a_new_process_sends_nothing_before_it_has_heard_what_the_agent_knows() {
-    let mut crossed = 0;
+fn new_process_sends_no_attempt_before_it_has_the_list_of_the_agent() {
+    let mut valid_tries = 0;
     for _ in 0..20 {
-        let [drains, serves] = [0, 1].map(|_| Upstream::new(|_| Deed::ok("served")));
-        let news = [entry("a", drains.address, "draining"), entry("b", serves.address, "ready")];
-        let news = list(6, true, &news);
+        let [draining, serving] = [0, 1].map(|_| Upstream::new(|_| Deed::ok("served")));
+        let entries = [entry("a", draining.address, "draining"), entry("b", serving.address, "ready")];
+        let update = list(6, true, &entries);
         let written = Arc::new(AtomicUsize::new(0));
         let is_written = written.clone();
         let (address, _asked) = discovery(move |_, stream| {
             until("the request is written", || is_written.load(Ordering::SeqCst) == 1);
-            let _ = chunk(stream, format!("{news}\n").as_bytes());
+            let _ = chunk(stream, format!("{update}\n").as_bytes());
         });
-        let known = list(5, true, &[entry("a", drains.address, "ready")]);
-        let begins = std::time::Instant::now();
+        let known = list(5, true, &[entry("a", draining.address, "ready")]);
+        let started_at = std::time::Instant::now();
         let sidecar = Sidecar::start(&config("127.0.0.1:0", address, &known, 1024, SETTINGS));
         let mut client = Client::to(sidecar.address);
         client.send("fetch", 20_000);
         written.store(1, Ordering::SeqCst);
-        let took = begins.elapsed();
+        let elapsed = started_at.elapsed();
         assert_eq!(client.read().expect("an answer").status(), 200);
-        // On a machine that was held up the process has waited as long as it may: no crossing, so once more.
-        if took < Duration::from_millis(60) {
-            assert_eq!((drains.requests().len(), serves.requests().len()), (0, 1));
-            crossed += 1;
+        // On a busy machine the process may have waited for the list as long as it may: such a try does not count.
+        if elapsed < Duration::from_millis(60) {
+            assert_eq!((draining.requests().len(), serving.requests().len()), (0, 1));
+            valid_tries += 1;
         }
     }
-    assert!(crossed > 0, "the crossing was never played");
+    assert!(valid_tries > 0, "no try was fast enough to test the race");
 }
 
-/// Where the agent is silent the process serves by what it was started with.
+/// If the discovery agent sends nothing, the process serves according to the list that it was started with.
 #[test]
-fn a_new_process_is_not_kept_waiting_by_an_agent_that_says_nothing() {
+fn new_process_serves_when_the_agent_is_unresponsive() {
     let upstream = Upstream::new(|_| Deed::ok("served"));
     let (address, _asked) = discovery(|_, _| {});
     let sidecar = Sidecar::start(&config("127.0.0.1:0", address, &ready(&[&upstream]), 1024, SETTINGS));
     assert_eq!(Client::to(sidecar.address).ask("fetch").status(), 200);
 }
 
-// --- Clients that leave -----------------------------------------------------------------------
+// --- Clients that disconnect ------------------------------------------------------------------
 
-/// How a client leaves.
+/// A way in which a client disconnects.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Leaves {
-    /// It closes, or ends its sending: both say that it has gone away.
-    Closes,
-    EndsSending,
-    /// It resets its connection.
-    Resets,
+enum Disconnect {
+    /// Closes the connection.
+    Close,
+    /// Shuts down the sending side, which counts as a disconnect, too.
+    ShutdownWrite,
+    /// Resets the connection.
+    Reset,
 }
 
-const LEAVES: [Leaves; 3] = [Leaves::Closes, Leaves::EndsSending, Leaves::Resets];
+const DISCONNECTS: [Disconnect; 3] = [Disconnect::Close, Disconnect::ShutdownWrite, Disconnect::Reset];
 
-impl Leaves {
-    /// Leaves; what is still to be held on to for it, if anything is.
-    fn leave(self, client: Client) -> Option<Client> {
+impl Disconnect {
+    /// Disconnects the client. Returns the client if its connection must stay open on this side.
+    fn apply_to(self, client: Client) -> Option<Client> {
         let stream: &TcpStream = client.reader.get_ref();
         match self {
-            Leaves::Closes => None,
-            Leaves::EndsSending => {
+            Disconnect::Close => None,
+            Disconnect::ShutdownWrite => {
                 stream.shutdown(Shutdown::Write).unwrap();
                 Some(client)
             }
-            Leaves::Resets => {
+            Disconnect::Reset => {
                 rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO)).unwrap();
                 None
             }
@@ -198,72 +207,72 @@
     figures(console)["in_progress"].as_u64().unwrap()
 }
 
-/// Guards against requests whose clients have left while they waited and that are sent on all the same: hyper reads no
-/// further where bytes wait behind an open request, and so never saw the end behind them.
+/// Guards against requests that are sent on although their clients disconnected while the requests waited: hyper does not
+/// read on while bytes wait behind an open request, and so did not see the end of the connection behind them.
 #[test]
-fn who_has_left_while_waiting_is_not_sent_on_whatever_lies_behind_the_request() {
+fn waiting_request_is_not_sent_on_after_its_client_disconnects() {
     let (sidecar, _discovery, console, slow) = before_clogged(1);
-    // Nothing, one byte, a whole request, and more than is read ahead.
-    let behind: [Vec<u8>; 4] = [
+    // Nothing, one byte, one request, and more bytes than are read ahead.
+    let trailing_bytes: [Vec<u8>; 4] = [
         Vec::new(),
         b"G".to_vec(),
         request("fetch", 100_000).into(),
         request("fetch", 100_000).repeat(1_000).into(),
     ];
-    assert!(behind[3].len() > 128 << 10, "more than the sidecar keeps");
+    assert!(trailing_bytes[3].len() > 128 << 10, "more than the sidecar reads ahead");
     let mut held = Vec::new();
     for class in ["fetch", "log", "bill"] {
-        for leaves in LEAVES {
-            for more in &behind {
+        for disconnect in DISCONNECTS {
+            for trailing in &trailing_bytes {
                 let mut client = Client::to(sidecar.address);
                 client.send(class, 100_000);
-                until("it waits", || in_progress(console) == 1);
-                client.write(more);
-                held.extend(leaves.leave(client));
+                until("the request waits", || in_progress(console) == 1);
+                client.write(trailing);
+                held.extend(disconnect.apply_to(client));
                 until(
-                    &format!("{class}, {leaves:?}, {} bytes: it is known to have left", more.len()),
+                    &format!("{class}, {disconnect:?}, {} bytes: the disconnect is noticed", trailing.len()),
                     || in_progress(console) == 0,
                 );
             }
         }
     }
     let written = slow.let_through();
-    // One that has stayed is served, and by then the others would have been.
+    // By the time this request is served, any request of a disconnected client would have been sent on as well.
     assert_eq!(Client::to(sidecar.address).ask("fetch").body, b"slow");
     let written = written.lock().unwrap();
-    assert_eq!(written.len(), 1, "of 36 that left none is sent on: {written:?}");
+    assert_eq!(written.len(), 1, "of 36 abandoned requests none is sent on: {written:?}");
 }
 
-/// The same for hundreds that leave at once while others wait on.
+/// Guards against the same fault when 200 clients disconnect at once while ten others keep waiting.
 #[test]
-fn of_a_burst_of_clients_that_leave_none_is_sent_on_and_who_stays_is_served() {
+fn mass_disconnect_sends_no_abandoned_request_on_and_serves_the_others() {
     let (sidecar, _discovery, console, slow) = before_clogged(200);
-    let waiting = |_| {
+    let send_request = |_| {
         let mut client = Client::to(sidecar.address);
         client.send("log", 100_000);
         client
     };
-    let stay: Vec<Client> = (0..10).map(waiting).collect();
-    let leave: Vec<Client> = (0..200).map(waiting).collect();
-    until("all wait", || in_progress(console) == 210);
-    let _held: Vec<Client> = leave
+    let staying: Vec<Client> = (0..10).map(send_request).collect();
+    let leaving: Vec<Client> = (0..200).map(send_request).collect();
+    until("all requests wait", || in_progress(console) == 210);
+    let _held: Vec<Client> = leaving
         .into_iter()
-        .zip(LEAVES.iter().cycle())
-        .filter_map(|(client, leaves)| leaves.leave(client))
+        .zip(DISCONNECTS.iter().cycle())
+        .filter_map(|(client, disconnect)| disconnect.apply_to(client))
         .collect();
-    until("they are known to have left", || in_progress(console) == 10);
+    until("the disconnects are noticed", || in_progress(console) == 10);
     let written = slow.let_through();
-    for mut client in stay {
+    for mut client in staying {
         assert_eq!(client.read().expect("an answer").body, b"slow");
     }
-    assert_eq!(written.lock().unwrap().len(), 10, "of 200 that left none is sent on");
+    assert_eq!(written.lock().unwrap().len(), 10, "of 200 abandoned requests none is sent on");
 }
 
-// --- The end ----------------------------------------------------------------------------------
+// --- Termination ------------------------------------------------------------------------------
 
-/// SIGTERM crosses a start that has no list yet: who waits in the accept queue is answered, and the end is in order.
+/// Guards against a SIGTERM that, during a start without a server list, drops the connections in the accept queue.
 #[test]
-fn who_waits_for_a_process_that_is_told_to_end_before_it_is_ready_is_answered() {
+fn queued_request_is_answered_when_sigterm_precedes_readiness() {
     let (address, _asked) = discovery(|_, _| {});
     let mut sidecar = Sidecar::start(&config("127.0.0.1:0", address, "null", 1024, SETTINGS));
     let mut client = Client::to(sidecar.address);
@@ -273,16 +282,16 @@
     assert!(sidecar.wait_exit().success());
 }
 
-/// Signals that come together or twice: what is held is answered, and a new configuration changes nothing about the end.
+/// Guards against further SIGTERMs or SIGHUPs that cut off requests in flight or delay the exit.
 #[test]
-fn further_signals_neither_hasten_nor_put_off_the_end() {
-    let go = Arc::new(AtomicUsize::new(0));
-    let let_go = go.clone();
-    let upstream = Upstream::new(move |_| Deed::Wait(let_go.clone()));
+fn repeated_signals_neither_hasten_nor_delay_the_exit() {
+    let released = Arc::new(AtomicUsize::new(0));
+    let is_released = released.clone();
+    let upstream = Upstream::new(move |_| Deed::Wait(is_released.clone()));
     let (mut sidecar, discovery) = Sidecar::with(&[&upstream]);
     let mut held = Client::to(sidecar.address);
     held.send("bill", 8_000);
-    until("it is held", || upstream.requests().len() == 1);
+    until("the request is in flight", || upstream.requests().len() == 1);
     sidecar.reload(&config("127.0.0.1:0", discovery.address, "null", 1024, SETTINGS));
     sidecar.signal("-TERM");
     sidecar.wait_log("SIGTERM");
@@ -291,20 +300,20 @@
     }
     let mut late = Client::to(sidecar.address);
     late.send("bill", 8_000);
-    until("who comes late is held as well", || upstream.requests().len() == 2);
-    go.store(1, Ordering::SeqCst);
+    until("the late request is in flight as well", || upstream.requests().len() == 2);
+    released.store(1, Ordering::SeqCst);
     for client in [&mut held, &mut late] {
-        assert_eq!(client.read().expect("a whole answer").body, b"late");
+        assert_eq!(client.read().expect("a complete answer").body, b"late");
     }
     assert!(sidecar.wait_exit().success());
-    assert_eq!(upstream.requests().len(), 2, "each once");
+    assert_eq!(upstream.requests().len(), 2, "each request is sent on once");
 }
 
-// --- Settings of other customers --------------------------------------------------------------
+// --- Different settings -----------------------------------------------------------------------
 
-/// Short calls, discovery asked, loads in answers, tenants, nothing called off, a window shorter than connecting may take;
-/// keys that nobody knows.
-const SHORT: &str = r#"{"allowed":{"cancel":false,"connect_timeout":900.0,"max_attempts":3,"retry_after":true,
+/// Short requests, subscribed discovery, load reports in answers, tenants, no cancellation, a window shorter than
+/// `connect_timeout`, and unknown keys.
+const SETTINGS_SHORT_REQUESTS: &str = r#"{"allowed":{"cancel":false,"connect_timeout":900.0,"max_attempts":3,"retry_after":true,
 "max_retry_after":400.0,"probes":true,"cpu_us_per_request":0.0,"of_tomorrow":[1,{"a":null}]},"azs":["quay","mill","dunes"],
 "classes":[{"name":"fetch","aim":40.0,"hard_limit":60.0,"importance":1.0,"late_worth":0.2,"effect":"repeatable"},
 {"name":"log","aim":50.0,"hard_limit":80.0,"importance":2.0,"effect":"by_key","dedup_scope":"all","window":300.0},
@@ -314,22 +323,24 @@
 "telemetry":{"how":"piggyback","columns":["inflight","util","qps"]},
 "tenants":[{"name":"acme","quota_per_s":50.0},{"name":"south","quota_per_s":80.0}],"zone":1}"#;
 
-/// Long calls, one attempt, nothing that may be repeated, no probes, reports, retry-after, zones, kinds or number.
-const LONG: &str = r#"{"allowed":{"max_attempts":1},
+/// Long requests, one attempt, no repeatable class, and no probes, load reports, retry-after, zones, kinds or rank.
+const SETTINGS_LONG_REQUESTS: &str = r#"{"allowed":{"max_attempts":1},
 "classes":[{"name":"bill","aim":12000.0,"hard_limit":30000.0,"importance":3.0,"effect":"once"}],
 "invariants":{"cold_share":0.15,"warm_up":18000.0,"fall_multiple":2.2,"fall":2500.0},
 "membership_mode":"automatic","peers_total":1,"telemetry":{}}"#;
 
-/// Guards against what only one customer's settings allow: every class is served, and the end comes in order.
+/// Guards against code that works with the settings of one customer only: every class is served, and the process exits cleanly.
 #[test]
-fn settings_unlike_each_other_are_served_and_ended() {
-    for (settings, classes) in [(SHORT, &["fetch", "log", "bill"][..]), (LONG, &["bill"][..])] {
+fn different_settings_serve_every_class_and_exit_cleanly() {
+    for (settings, classes) in
+        [(SETTINGS_SHORT_REQUESTS, &["fetch", "log", "bill"][..]), (SETTINGS_LONG_REQUESTS, &["bill"][..])]
+    {
         let upstream = Upstream::new(|_| {
             Deed::Answer(200, "X-Server-Load: TEXT inflight=1, util=0.1\r\n", b"served".to_vec())
         });
         let (mut sidecar, _discovery) = Sidecar::with_settings(&[&upstream], settings);
         for class in classes {
-            // A machine that is held up may take longer than a class has: that is told, and no fault of the settings.
+            // On a busy machine a request may exceed the deadline of its class, which is no fault of the settings.
             until(&format!("{class} is served"), || {
                 let mut client = Client::to(sidecar.address);
                 client.send(class, 2_000);
@@ -339,18 +350,23 @@
         sidecar.signal("-TERM");
         assert!(sidecar.wait_exit().success());
     }
-    // What is out of range is one plain line before anything listens.
+    // A value out of range is reported in one line before the process listens.
     for (from, to, key) in [
         (r#""drain_grace":900.0"#, r#""drain_grace":-1"#, "drain_grace"),
         (r#""max_attempts":3"#, r#""max_attempts":0"#, "max_attempts"),
         (r#""aim":40.0"#, r#""aim":"soon""#, "soon"),
     ] {
-        assert!(SHORT.contains(from));
-        let text =
-            config("127.0.0.1:0", "127.0.0.1:1".parse().unwrap(), "null", 1024, &SHORT.replace(from, to));
+        assert!(SETTINGS_SHORT_REQUESTS.contains(from));
+        let text = config(
+            "127.0.0.1:0",
+            "127.0.0.1:1".parse().unwrap(),
+            "null",
+            1024,
+            &SETTINGS_SHORT_REQUESTS.replace(from, to),
+        );
         let ended = spawn(&text).wait_with_output().unwrap();
-        let said = String::from_utf8(ended.stderr).unwrap();
-        assert_eq!((ended.status.code(), said.lines().count()), (Some(1), 1), "{said}");
-        assert!(said.contains(key) && !said.contains("listening"), "{said}");
+        let stderr = String::from_utf8(ended.stderr).unwrap();
+        assert_eq!((ended.status.code(), stderr.lines().count()), (Some(1), 1), "{stderr}");
+        assert!(stderr.contains(key) && !stderr.contains("listening"), "{stderr}");
     }
 }
--- a/crates/cli/tests/operations.rs
+++ b/crates/cli/tests/operations.rs
@@ -1,4 +1,4 @@
-//! What operators do with a running sidecar: the console, its figures, evacuation and rejoining.
+//! Tests of the operation of a running sidecar: its console, telemetry, evacuation and rejoining, and SIGTERM.
 
 mod loopback;
 
@@ -11,32 +11,33 @@
 
 use loopback::*;
 
-fn up(sidecar: &Sidecar) -> u16 {
+/// The status of the sidecar's `/up` path.
+fn up_status(sidecar: &Sidecar) -> u16 {
     Client::to(sidecar.address).get("/up").expect("an answer").status()
 }
 
 #[test]
-fn calls_are_answered_and_all_else_is_told_apart() {
+fn console_answers_calls_and_rejects_other_input_with_distinct_statuses() {
     let upstream = Upstream::new(|_| Deed::ok("served"));
     let (_sidecar, _discovery, console) = operated(&[&upstream]);
     assert_eq!(call(console, "GET", "/api/ready").0, 200);
     assert_eq!(call(console, "GET", "/api/nothing").0, 404);
     assert_eq!(call(console, "GET", "/api/evacuate").0, 405);
     assert_eq!(call(console, "POST", "/api/telemetry").0, 405);
-    let raw = |bytes: &[u8]| {
+    let status_of = |bytes: &[u8]| {
         let mut client = Client::to(console);
         client.write(bytes);
         client.read().map_or(0, |answer| answer.status())
     };
-    assert_eq!(raw(b"\x00\x01noise\r\n\r\n"), 400);
-    let long = format!("GET /api/ready HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(64 << 10));
-    assert_eq!(raw(long.as_bytes()), 431);
-    // A body that no call needs is not waited for.
-    let waiting = b"PUT /api/rejoin HTTP/1.1\r\nHost: c\r\nContent-Length: 9\r\n\r\n";
-    assert_eq!(raw(waiting), 200);
-    let huge = b"PUT /api/rejoin HTTP/1.1\r\nHost: c\r\nContent-Length: 99999999\r\n\r\n";
-    assert_eq!(raw(huge), 413);
-    // A caller that ends its writing with its request, as some do.
+    assert_eq!(status_of(b"\x00\x01noise\r\n\r\n"), 400);
+    let long_head = format!("GET /api/ready HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(64 << 10));
+    assert_eq!(status_of(long_head.as_bytes()), 431);
+    // The console does not wait for a body, because no call uses one.
+    let without_body = b"PUT /api/rejoin HTTP/1.1\r\nHost: c\r\nContent-Length: 9\r\n\r\n";
+    assert_eq!(status_of(without_body), 200);
+    let too_long_body = b"PUT /api/rejoin HTTP/1.1\r\nHost: c\r\nContent-Length: 99999999\r\n\r\n";
+    assert_eq!(status_of(too_long_body), 413);
+    // Some clients shut down their sending side after the request.
     let mut caller = TcpStream::connect(console).unwrap();
     caller.write_all(b"GET /api/ready HTTP/1.1\r\nHost: c\r\n\r\n").unwrap();
     caller.shutdown(std::net::Shutdown::Write).unwrap();
@@ -46,10 +47,10 @@
 }
 
 #[test]
-fn the_console_answers_beside_callers_that_say_nothing_or_half_a_call() {
+fn console_answers_calls_beside_clients_that_send_nothing_or_half_a_call() {
     let upstream = Upstream::new(|_| Deed::ok("served"));
     let (_sidecar, _discovery, console) = operated(&[&upstream]);
-    let silent: Vec<TcpStream> = (0..100)
+    let unresponsive: Vec<TcpStream> = (0..100)
         .map(|number| {
             let mut stream = TcpStream::connect(console).unwrap();
             if number % 2 == 0 {
@@ -61,11 +62,11 @@
     for _ in 0..20 {
         assert_eq!(call(console, "GET", "/api/ready").0, 200);
     }
-    drop(silent);
+    drop(unresponsive);
 }
 
 #[test]
-fn a_sidecar_without_a_list_is_not_ready() {
+fn sidecar_without_a_server_list_is_not_ready() {
     let discovery = free();
     let console = free();
     let text = config("127.0.0.1:0", discovery, "null", 1024, SETTINGS);
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn the_figures_are_what_clients_and_upstreams_saw() {
+fn telemetry_matches_the_answers_and_attempts_that_clients_and_upstreams_saw() {
     let count = AtomicUsize::new(0);
     let upstream = Upstream::new(move |message| match count.fetch_add(1, Ordering::SeqCst) {
         _ if message.line.starts_with("GET") => Deed::ok("served"),
@@ -84,37 +85,37 @@
         _ => Deed::ok("served"),
     });
     let (sidecar, _discovery, console) = operated(&[&upstream]);
-    let zero = figures(console);
+    let initial = figures(console);
     for class in ["fetch", "log", "bill"] {
-        assert_eq!(zero["handled"][class]["passed"], 0, "all classes are there from the start");
+        assert_eq!(initial["handled"][class]["passed"], 0, "every class is listed from the start");
     }
     let mut seen = std::collections::BTreeMap::new();
     for class in ["bill", "bill", "fetch", "bill", "log", "fetch", "bill"] {
-        let word = match Client::to(sidecar.address).ask(class).status() {
+        let counter = match Client::to(sidecar.address).ask(class).status() {
             200 => "passed",
             503 => "dropped",
             _ => "bad_gateway",
         };
-        *seen.entry((class, word)).or_insert(0) += 1;
+        *seen.entry((class, counter)).or_insert(0) += 1;
     }
-    // What is no request of a class counts nowhere.
+    // A request without a class is not counted.
     Client::to(sidecar.address).get("/nothing").unwrap();
-    let got = figures(console);
+    let telemetry = figures(console);
     for class in ["fetch", "log", "bill"] {
-        for word in ["passed", "dropped", "bad_gateway"] {
-            let seen = seen.get(&(class, word)).copied().unwrap_or(0);
-            assert_eq!(got["handled"][class][word], seen, "{class} {word}: {got}");
+        for counter in ["passed", "dropped", "bad_gateway"] {
+            let seen = seen.get(&(class, counter)).copied().unwrap_or(0);
+            assert_eq!(telemetry["handled"][class][counter], seen, "{class} {counter}: {telemetry}");
         }
     }
-    assert_eq!(got["upstream_tries"], upstream.requests().len());
-    assert_eq!((&got["in_progress"], &got["known_upstreams"]), (&0.into(), &1.into()));
+    assert_eq!(telemetry["upstream_tries"], upstream.requests().len());
+    assert_eq!((&telemetry["in_progress"], &telemetry["known_upstreams"]), (&0.into(), &1.into()));
 }
 
 #[test]
-fn what_is_open_shows_and_what_is_avoided_is_told() {
-    let go = Arc::new(AtomicUsize::new(0));
-    let wait = go.clone();
-    let slow = Upstream::new(move |_| Deed::Wait(wait.clone()));
+fn telemetry_counts_requests_in_progress_and_skipped_upstreams() {
+    let released = Arc::new(AtomicUsize::new(0));
+    let is_released = released.clone();
+    let slow = Upstream::new(move |_| Deed::Wait(is_released.clone()));
     let known = list(5, true, &[entry("a", slow.address, "ready"), entry("b", slow.address, "draining")]);
     let discovery = Discovery::new(&known);
     let console = free();
@@ -123,29 +124,29 @@
     sidecar.wait_up();
     let mut clients: Vec<Client> = (0..2).map(|_| Client::to(sidecar.address)).collect();
     clients.iter_mut().for_each(|client| client.send("bill", 6_000));
-    until("all are out", || figures(console)["upstream_tries"] == 2);
-    let got = figures(console);
-    assert_eq!((&got["in_progress"], &got["known_upstreams"]), (&2.into(), &2.into()));
-    assert_eq!(got["skipped_upstreams"], 1, "one is listed as draining");
-    go.store(1, Ordering::SeqCst);
+    until("both requests are in flight", || figures(console)["upstream_tries"] == 2);
+    let telemetry = figures(console);
+    assert_eq!((&telemetry["in_progress"], &telemetry["known_upstreams"]), (&2.into(), &2.into()));
+    assert_eq!(telemetry["skipped_upstreams"], 1, "one upstream is listed as draining");
+    released.store(1, Ordering::SeqCst);
     clients.iter_mut().for_each(|client| assert_eq!(client.read().unwrap().status(), 200));
-    until("none is open", || figures(console)["in_progress"] == 0);
+    until("no request is in progress", || figures(console)["in_progress"] == 0);
 }
 
 #[test]
-fn evacuation_empties_the_sidecar_and_rejoining_fills_it_again() {
-    let go = Arc::new(AtomicUsize::new(0));
-    let wait = go.clone();
+fn evacuation_closes_client_connections_and_rejoining_keeps_them_open_again() {
+    let released = Arc::new(AtomicUsize::new(0));
+    let is_released = released.clone();
     let upstream = Upstream::new(move |message| match message.line.starts_with("POST /bill") {
-        true => Deed::Wait(wait.clone()),
+        true => Deed::Wait(is_released.clone()),
         false => Deed::ok("served"),
     });
     let (sidecar, _discovery, console) = operated(&[&upstream]);
-    // 200 clients hold idle connections, 50 are half way through a head, one waits for its answer.
+    // 200 clients have idle connections, 50 have sent half of a head, and one waits for its answer.
     let mut idle: Vec<Client> = (0..200).map(|_| Client::to(sidecar.address)).collect();
     idle.iter_mut().take(50).for_each(|client| assert_eq!(client.ask("fetch").status(), 200));
-    let half: Vec<String> = (0..50).map(|_| request("fetch", 6_000)).collect();
-    let mut halves: Vec<Client> = half
+    let requests: Vec<String> = (0..50).map(|_| request("fetch", 6_000)).collect();
+    let mut partial: Vec<Client> = requests
         .iter()
         .map(|text| {
             let mut client = Client::to(sidecar.address);
@@ -155,99 +156,102 @@
         .collect();
     let mut waiting = Client::to(sidecar.address);
     waiting.send("bill", 8_000);
-    until("it is out", || upstream.requests().iter().any(|m| m.line.starts_with("POST /bill")));
+    until("the request is in flight", || {
+        upstream.requests().iter().any(|m| m.line.starts_with("POST /bill"))
+    });
     assert_eq!(call(console, "PUT", "/api/evacuate").0, 200);
-    assert_eq!(call(console, "PUT", "/api/evacuate").0, 200, "twice is once");
-    assert_eq!(up(&sidecar), 503, "at once");
-    assert_eq!(call(console, "GET", "/api/ready").0, 200, "the process can serve");
-    // Who has an idle connection may use it once more, and so may who comes now.
+    assert_eq!(call(console, "PUT", "/api/evacuate").0, 200, "a second evacuation changes nothing");
+    assert_eq!(up_status(&sidecar), 503, "the sidecar reports itself down at once");
+    assert_eq!(call(console, "GET", "/api/ready").0, 200, "the process is still able to serve");
+    // An idle connection and a new one each serve one more request.
     let last = idle[0].ask("fetch");
     assert_eq!((last.status(), last.header("connection")), (200, Some("close")));
     let new = Client::to(sidecar.address).ask("fetch");
     assert_eq!((new.status(), new.header("connection")), (200, Some("close")));
-    for (half, text) in halves.iter_mut().zip(&half) {
-        half.write(&text.as_bytes()[60..]);
-        let answer = half.read().expect("what had begun is answered");
+    for (client, text) in partial.iter_mut().zip(&requests) {
+        client.write(&text.as_bytes()[60..]);
+        let answer = client.read().expect("a request that had begun is answered");
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     }
     for client in &mut idle[1..] {
-        assert_eq!(client.read_to_close().expect("idle ones are closed"), b"");
+        assert_eq!(client.read_to_close().expect("idle connections are closed"), b"");
     }
-    // What was taken gets its answer, however late.
-    go.store(1, Ordering::SeqCst);
+    // An accepted request gets its answer, however late.
+    released.store(1, Ordering::SeqCst);
     let answer = waiting.read().expect("an answer");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    let before = upstream.connections();
+    let connections_before = upstream.connections();
     assert_eq!(call(console, "PUT", "/api/rejoin").0, 200);
-    assert_eq!(up(&sidecar), 200);
+    assert_eq!(up_status(&sidecar), 200);
     let mut client = Client::to(sidecar.address);
     for _ in 0..5 {
-        assert_eq!(client.ask("fetch").header("connection"), None, "connections are kept again");
+        assert_eq!(client.ask("fetch").header("connection"), None, "connections are kept open again");
     }
-    assert_eq!(upstream.connections(), before, "those to upstreams were kept");
+    assert_eq!(upstream.connections(), connections_before, "connections to upstreams were kept");
 }
 
 #[test]
-fn evacuation_and_its_end_in_any_order_leave_it_as_the_last_call_says() {
+fn last_call_of_evacuate_and_rejoin_takes_effect() {
     let upstream = Upstream::new(|_| Deed::ok("served"));
     let (mut sidecar, discovery, console) = operated(&[&upstream]);
-    assert_eq!(call(console, "PUT", "/api/rejoin").0, 200, "there is nothing to undo");
-    let mut kept = Client::to(sidecar.address);
-    assert_eq!(kept.ask("fetch").status(), 200);
+    assert_eq!(call(console, "PUT", "/api/rejoin").0, 200, "there is no evacuation to end");
+    let mut client = Client::to(sidecar.address);
+    assert_eq!(client.ask("fetch").status(), 200);
     assert_eq!(call(console, "PUT", "/api/evacuate").0, 200);
     sidecar.signal("-HUP");
-    assert_eq!(call(console, "PUT", "/api/rejoin").0, 200, "some ms later");
-    assert_eq!(kept.ask("fetch").header("connection"), None, "it was not closed meanwhile");
-    assert_eq!(up(&sidecar), 200);
+    assert_eq!(call(console, "PUT", "/api/rejoin").0, 200, "a few milliseconds after the evacuation");
+    assert_eq!(client.ask("fetch").header("connection"), None, "the connection was kept open");
+    assert_eq!(up_status(&sidecar), 200);
     assert_eq!(call(console, "PUT", "/api/evacuate").0, 200);
     sidecar.wait_log("discovery is at");
-    assert_eq!(up(&sidecar), 503, "a new configuration is no rejoining");
+    assert_eq!(up_status(&sidecar), 503, "a new configuration does not end the evacuation");
     sidecar.signal("-TERM");
     sidecar.wait_log("finishing what is held");
-    let mut said = 200;
-    // Until it ends, it is ending: no call undoes that.
+    let mut status = 200;
+    // No console call cancels a termination. The console may already be closed, which counts as a refusal.
     if let Ok(mut stream) = TcpStream::connect(console) {
         let _ = stream.write_all(b"PUT /api/rejoin HTTP/1.1\r\nHost: c\r\n\r\n");
         let mut answer = String::new();
         let _ = stream.read_to_string(&mut answer);
-        said = answer.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(409);
+        status = answer.split(' ').nth(1).and_then(|code| code.parse().ok()).unwrap_or(409);
     }
     assert!(sidecar.wait_exit().success());
-    assert_eq!(said, 409);
+    assert_eq!(status, 409);
     drop(discovery);
 }
 
 #[test]
-fn an_unsound_console_is_one_line_and_an_exit() {
+fn start_with_an_unusable_console_address_fails_with_one_line() {
     let known = "null";
     let text = config("127.0.0.1:7", free(), known, 1024, SETTINGS);
     for console in ["nowhere", "127.0.0.1:7", "127.0.0.1"] {
         let mut child = spawn(&with_console(&text, console));
-        let said = errors(&mut child);
+        let stderr = stderr_of(&mut child);
         assert!(!child.wait().unwrap().success());
-        assert_eq!(said.lines().count(), 1, "{said}");
+        assert_eq!(stderr.lines().count(), 1, "{stderr}");
     }
     let taken = TcpListener::bind("127.0.0.1:0").unwrap();
     let text = config("127.0.0.1:0", free(), known, 1024, SETTINGS);
     let mut child = spawn(&with_console(&text, &taken.local_addr().unwrap().to_string()));
-    let said = errors(&mut child);
+    let stderr = stderr_of(&mut child);
     assert!(!child.wait().unwrap().success());
-    assert!(said.lines().count() == 1 && said.contains("(console)"), "{said}");
+    assert!(stderr.lines().count() == 1 && stderr.contains("(console)"), "{stderr}");
 }
 
-fn errors(child: &mut Child) -> String {
-    let mut said = String::new();
-    child.stderr.take().unwrap().read_to_string(&mut said).unwrap();
-    said
+/// Reads all standard error output of a process.
+fn stderr_of(child: &mut Child) -> String {
+    let mut stderr = String::new();
+    child.stderr.take().unwrap().read_to_string(&mut stderr).unwrap();
+    stderr
 }
 
 #[test]
-fn noise_and_every_cut_of_a_call_leave_the_console_at_work() {
+fn console_answers_after_random_bytes_and_truncated_calls() {
     let upstream = Upstream::new(|_| Deed::ok("served"));
     let (_sidecar, _discovery, console) = operated(&[&upstream]);
-    let sound = b"PUT /api/rejoin HTTP/1.1\r\nHost: console\r\nContent-Length: 2\r\n\r\nok";
-    for cut in 0..=sound.len() {
-        TcpStream::connect(console).unwrap().write_all(&sound[..cut]).unwrap();
+    let valid = b"PUT /api/rejoin HTTP/1.1\r\nHost: console\r\nContent-Length: 2\r\n\r\nok";
+    for cut in 0..=valid.len() {
+        TcpStream::connect(console).unwrap().write_all(&valid[..cut]).unwrap();
     }
     let mut state = 88_172_645_463_325_252_u64;
     for length in 0..60 {
@@ -267,18 +271,18 @@
 }
 
 #[test]
-fn who_is_half_way_through_a_head_when_the_time_is_up_may_end_it() {
+fn request_head_begun_before_idle_connections_close_may_be_completed() {
     let upstream = Upstream::new(|_| Deed::ok("served"));
     let (sidecar, _discovery, console) = operated(&[&upstream]);
     let mut idle = Client::to(sidecar.address);
     assert_eq!(idle.ask("fetch").status(), 200);
     assert_eq!(call(console, "PUT", "/api/evacuate").0, 200);
     let text = request("fetch", 6_000);
-    let mut slow: Vec<Client> = [true, false]
+    let mut slow_clients: Vec<Client> = [true, false]
         .into_iter()
-        .map(|used| {
+        .map(|has_asked_before| {
             let mut client = Client::to(sidecar.address);
-            if used {
+            if has_asked_before {
                 assert_eq!(client.get("/up").map(|up| up.status()), Some(503));
                 client = Client::to(sidecar.address);
             }
@@ -286,12 +290,12 @@
         })
         .collect();
     std::thread::sleep(Duration::from_millis(600));
-    slow.iter_mut().for_each(|client| client.write(&text.as_bytes()[..50]));
-    assert_eq!(idle.read_to_close().expect("the idle one is closed"), b"");
-    // Longer than an idle one has.
+    slow_clients.iter_mut().for_each(|client| client.write(&text.as_bytes()[..50]));
+    assert_eq!(idle.read_to_close().expect("the idle connection is closed"), b"");
+    // Longer than the time after which an idle connection is closed.
     std::thread::sleep(Duration::from_millis(900));
     let ids = ["cccccccccccccccc", "dddddddddddddddd"];
-    for (client, id) in slow.iter_mut().zip(ids) {
+    for (client, id) in slow_clients.iter_mut().zip(ids) {
         let at = text.find("X-Request-ID: ").unwrap() + 14;
         let text = format!("{}{id}{}", &text[..at], &text[at + 16..]);
         client.write(&text.as_bytes()[50..]);
@@ -300,18 +304,18 @@
     }
 }
 
-/// An upstream whose bill is long: its first half comes at once, the rest when the test says so.
-fn long_bills(go: &Arc<AtomicUsize>) -> Upstream {
-    let go = go.clone();
+/// An upstream with long answers to `bill`: the first half is sent at once, the second half after the test releases it.
+fn upstream_with_long_bill_answers(released: &Arc<AtomicUsize>) -> Upstream {
+    let released = released.clone();
     Upstream::new(move |message| {
         if !message.line.starts_with("POST /bill") {
             return Deed::ok("served");
         }
-        let go = go.clone();
+        let released = released.clone();
         Deed::play(move |stream| {
             stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 400000\r\n\r\n").unwrap();
             stream.write_all(&[b'x'; 200_000]).unwrap();
-            until("the test lets go", || go.load(Ordering::SeqCst) > 0);
+            until("the test releases the answer", || released.load(Ordering::SeqCst) > 0);
             stream.write_all(&[b'x'; 200_000]).unwrap();
             true
         })
@@ -319,38 +323,38 @@
 }
 
 #[test]
-fn a_transfer_under_way_outlasts_evacuation() {
-    let go = Arc::new(AtomicUsize::new(0));
-    let upstream = long_bills(&go);
+fn transfer_in_progress_is_completed_during_evacuation() {
+    let released = Arc::new(AtomicUsize::new(0));
+    let upstream = upstream_with_long_bill_answers(&released);
     let (sidecar, _discovery, console) = operated(&[&upstream]);
     let mut client = Client::to(sidecar.address);
     client.send("bill", 3_000);
-    assert!(!client.reader.fill_buf().unwrap().is_empty(), "it has begun");
+    assert!(!client.reader.fill_buf().unwrap().is_empty(), "the answer has begun");
     let mut idle = Client::to(sidecar.address);
     assert_eq!(idle.ask("fetch").status(), 200);
     assert_eq!(call(console, "PUT", "/api/evacuate").0, 200);
-    assert_eq!(idle.read_to_close().expect("the idle one is closed"), b"");
-    assert_eq!(figures(console)["in_progress"], 1, "what still passes is in progress");
-    go.store(1, Ordering::SeqCst);
-    assert_eq!(client.read().expect("all of it").body.len(), 400_000);
-    assert_eq!(client.read_to_close().expect("and then the end"), b"");
-    until("it is through", || figures(console)["in_progress"] == 0);
+    assert_eq!(idle.read_to_close().expect("the idle connection is closed"), b"");
+    assert_eq!(figures(console)["in_progress"], 1, "a transfer that is not complete is in progress");
+    released.store(1, Ordering::SeqCst);
+    assert_eq!(client.read().expect("the complete answer").body.len(), 400_000);
+    assert_eq!(client.read_to_close().expect("the connection is closed after the answer"), b"");
+    until("the transfer is complete", || figures(console)["in_progress"] == 0);
     assert_eq!(figures(console)["handled"]["bill"]["passed"], 1);
     assert_eq!(call(console, "PUT", "/api/rejoin").0, 200);
     assert_eq!(Client::to(sidecar.address).ask("fetch").header("connection"), None);
 }
 
 #[test]
-fn a_transfer_under_way_outlasts_sigterm() {
-    let go = Arc::new(AtomicUsize::new(0));
-    let upstream = long_bills(&go);
+fn transfer_in_progress_is_completed_after_sigterm() {
+    let released = Arc::new(AtomicUsize::new(0));
+    let upstream = upstream_with_long_bill_answers(&released);
     let (mut sidecar, _discovery, _console) = operated(&[&upstream]);
     let mut client = Client::to(sidecar.address);
     client.send("bill", 3_000);
-    assert!(!client.reader.fill_buf().unwrap().is_empty(), "it has begun");
+    assert!(!client.reader.fill_buf().unwrap().is_empty(), "the answer has begun");
     sidecar.signal("-TERM");
     sidecar.wait_log("finishing what is held");
-    go.store(1, Ordering::SeqCst);
-    assert_eq!(client.read().expect("all of it").body.len(), 400_000);
+    released.store(1, Ordering::SeqCst);
+    assert_eq!(client.read().expect("the complete answer").body.len(), 400_000);
     assert!(sidecar.wait_exit().success());
 }
