--- a/crates/cli/tests/crossing.rs
+++ b/crates/cli/tests/crossing.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::time::Duration;
 
-use loopback::{Deed, Upstream as Scripted};
+use loopback::{ScriptedResponse, Upstream as Scripted};
 use sagemast_daemon::frames::{Answer, Ask, CrossingReport, Outcome};
 use sagemast_pools::counts::Totals;
 use sagemast_sidecar::hosts::Health;
@@ -298,31 +298,31 @@
 fn single_sidecar_reads_limits_from_the_file_named_in_its_environment() {
     let file = temp_folder().with_extension("toml");
     std::fs::write(&file, NO_CROSS_ZONE).unwrap();
-    let upstream = Scripted::new(|_| Deed::ok("fine"));
-    let known = loopback::ready(&[&upstream]);
+    let upstream = Scripted::new(|_| ScriptedResponse::ok("fine"));
+    let known = loopback::ready_server_list(&[&upstream]);
     let discovery = loopback::Discovery::new(&known);
     // The sidecar is in the second zone, its upstream in the first.
     let settings = loopback::SETTINGS.replace("\"zone\":0", "\"zone\":1");
-    let config = loopback::config("127.0.0.1:0", discovery.address, &known, 1024, &settings);
-    let sidecar = loopback::Sidecar::start_in(&config, &[("SAGEMAST_POOLS", &file)]);
-    sidecar.wait_up();
-    let refused = loopback::Client::to(sidecar.address).ask("fetch");
+    let config = loopback::config_json("127.0.0.1:0", discovery.address, &known, 1024, &settings);
+    let sidecar = loopback::Sidecar::start_with_env(&config, &[("SAGEMAST_POOLS", &file)]);
+    sidecar.wait_until_up();
+    let refused = loopback::Client::connect(sidecar.address).exchange("fetch");
     assert_eq!(refused.status(), 503, "no upstream in the same zone, and no cross-zone attempt is allowed");
     std::fs::write(&file, EXEMPTIONS_ONLY).unwrap();
     sidecar.reload(&config);
-    sidecar.wait_log("SIGHUP: discovery is at");
-    loopback::until("the request is served cross-zone", || {
-        loopback::Client::to(sidecar.address).ask("fetch").status() == 200
+    sidecar.wait_for_log("SIGHUP: discovery is at");
+    loopback::wait_until("the request is served cross-zone", || {
+        loopback::Client::connect(sidecar.address).exchange("fetch").status() == 200
     });
     std::fs::write(&file, "nonsense").unwrap();
     sidecar.reload(&config);
-    sidecar.wait_log("the old configuration stays");
-    assert_eq!(loopback::Client::to(sidecar.address).ask("fetch").status(), 200);
+    sidecar.wait_for_log("the old configuration stays");
+    assert_eq!(loopback::Client::connect(sidecar.address).exchange("fetch").status(), 200);
     let mut sidecar = sidecar;
     sidecar.signal("-TERM");
-    assert!(sidecar.wait_exit().success());
-    sidecar.wait_log("crossing: fetch to ");
-    let mut ended = loopback::spawn_in(&config, &[("SAGEMAST_POOLS", &file)]);
+    assert!(sidecar.wait_for_exit().success());
+    sidecar.wait_for_log("crossing: fetch to ");
+    let mut ended = loopback::spawn_with_env(&config, &[("SAGEMAST_POOLS", &file)]);
     assert_eq!(ended.wait().unwrap().code(), Some(1), "a start with a faulty limits file fails");
     std::fs::remove_file(&file).unwrap();
 }
--- a/crates/cli/tests/crossings.rs
+++ b/crates/cli/tests/crossings.rs
@@ -21,25 +21,26 @@
 /// again and get that indented, too, without end.
 #[test]
 fn indented_lists_are_read_without_reopening_the_watch() {
-    let [a, b] = [0, 1].map(|_| Upstream::new(|_| Deed::ok("served")));
-    let first = list(9, true, &[entry("a", a.address, "ready"), entry("b", b.address, "ready")]);
+    let [a, b] = [0, 1].map(|_| Upstream::new(|_| ScriptedResponse::ok("served")));
+    let first =
+        server_list(9, true, &[server_entry("a", a.address, "ready"), server_entry("b", b.address, "ready")]);
     let discovery = Discovery::new(&indented(&first));
-    let sidecar = Sidecar::start(&config("127.0.0.1:0", discovery.address, "null", 1024, SETTINGS));
-    sidecar.wait_up();
-    let mut client = Client::to(sidecar.address);
-    until("both upstreams serve", || {
-        client.ask("fetch");
+    let sidecar = Sidecar::start(&config_json("127.0.0.1:0", discovery.address, "null", 1024, SETTINGS));
+    sidecar.wait_until_up();
+    let mut client = Client::connect(sidecar.address);
+    wait_until("both upstreams serve", || {
+        client.exchange("fetch");
         !a.requests().is_empty() && !b.requests().is_empty()
     });
     // The drain comes in two pieces, with nothing but white space after it.
-    let drain = indented(&list(10, false, &[entry("a", a.address, "draining")]));
+    let drain = indented(&server_list(10, false, &[server_entry("a", a.address, "draining")]));
     let (head, tail) = drain.split_at(drain.len() / 2);
-    discovery.say(head);
+    discovery.publish(head);
     std::thread::sleep(Duration::from_millis(50));
-    discovery.say(tail);
-    until("the drain is in force", || {
+    discovery.publish(tail);
+    wait_until("the drain is in force", || {
         let before = a.requests().len();
-        (0..20).for_each(|_| drop(client.ask("fetch")));
+        (0..20).for_each(|_| drop(client.exchange("fetch")));
         a.requests().len() == before
     });
     assert_eq!(
@@ -54,25 +55,25 @@
 /// its head.
 #[test]
 fn watch_without_a_complete_list_counts_as_unresponsive() {
-    let [a, b] = [0, 1].map(|_| Upstream::new(|_| Deed::ok("served")));
-    let first = list(5, true, &[entry("a", a.address, "ready")]);
-    let last = list(6, true, &[entry("b", b.address, "ready")]);
-    let (address, asked) = discovery(move |number, stream| match number {
+    let [a, b] = [0, 1].map(|_| Upstream::new(|_| ScriptedResponse::ok("served")));
+    let first = server_list(5, true, &[server_entry("a", a.address, "ready")]);
+    let last = server_list(6, true, &[server_entry("b", b.address, "ready")]);
+    let (address, asked) = scripted_discovery(move |number, stream| match number {
         0 => {
-            chunk(stream, format!("{first}\n{{\"seq\": 6,").as_bytes()).unwrap();
+            write_chunk(stream, format!("{first}\n{{\"seq\": 6,").as_bytes()).unwrap();
             // White space without end.
-            while chunk(stream, b" ").is_ok() {
+            while write_chunk(stream, b" ").is_ok() {
                 std::thread::sleep(Duration::from_millis(100));
             }
         }
         1 => {}
-        _ => drop(chunk(stream, format!("{last}\n").as_bytes())),
+        _ => drop(write_chunk(stream, format!("{last}\n").as_bytes())),
     });
-    let sidecar = Sidecar::start(&config("127.0.0.1:0", address, "null", 1024, SETTINGS));
-    sidecar.wait_up();
-    let mut client = Client::to(sidecar.address);
-    until("the list of the third watch is known", || {
-        client.ask("fetch").status() == 200 && !b.requests().is_empty()
+    let sidecar = Sidecar::start(&config_json("127.0.0.1:0", address, "null", 1024, SETTINGS));
+    sidecar.wait_until_up();
+    let mut client = Client::connect(sidecar.address);
+    wait_until("the list of the third watch is known", || {
+        client.exchange("fetch").status() == 200 && !b.requests().is_empty()
     });
     let asked = asked.lock().unwrap();
     assert!(
@@ -85,21 +86,21 @@
 /// watch may have missed a drain, which counts as notified soon.
 #[test]
 fn unresponsive_watch_is_reopened_at_once_in_subscribe_mode() {
-    let [a, b] = [0, 1].map(|_| Upstream::new(|_| Deed::ok("served")));
-    let first = list(5, true, &[entry("a", a.address, "ready")]);
-    let last = list(6, true, &[entry("b", b.address, "ready")]);
+    let [a, b] = [0, 1].map(|_| Upstream::new(|_| ScriptedResponse::ok("served")));
+    let first = server_list(5, true, &[server_entry("a", a.address, "ready")]);
+    let last = server_list(6, true, &[server_entry("b", b.address, "ready")]);
     let known = first.clone();
-    let (address, asked) = discovery(move |number, stream| {
-        let _ = chunk(stream, format!("{}\n", if number == 0 { &first } else { &last }).as_bytes());
+    let (address, asked) = scripted_discovery(move |number, stream| {
+        let _ = write_chunk(stream, format!("{}\n", if number == 0 { &first } else { &last }).as_bytes());
     });
     // `must_ask_in` is ten hours: a call at a random time within it would not come during this test. The first call is made
     // at once, because the process knows how soon an update that it has not received counts as notified.
     let settings =
         SETTINGS.replace("automatic", "subscribe").replace(r#""must_ask_in":400.0"#, r#""must_ask_in":36e6"#);
-    let sidecar = Sidecar::start(&config("127.0.0.1:0", address, &known, 1024, &settings));
-    let mut client = Client::to(sidecar.address);
-    until("the list of the second watch is known", || {
-        client.ask("fetch").status() == 200 && !b.requests().is_empty()
+    let sidecar = Sidecar::start(&config_json("127.0.0.1:0", address, &known, 1024, &settings));
+    let mut client = Client::connect(sidecar.address);
+    wait_until("the list of the second watch is known", || {
+        client.exchange("fetch").status() == 200 && !b.requests().is_empty()
     });
     assert_eq!(asked.lock().unwrap().len(), 2);
     assert!(
@@ -111,21 +112,21 @@
 /// Guards against a drain that is undone by an older update that arrives after it.
 #[test]
 fn update_of_an_older_version_is_ignored_and_the_complete_list_is_requested() {
-    let [a, b] = [0, 1].map(|_| Upstream::new(|_| Deed::ok("served")));
-    let (sidecar, discovery) = Sidecar::with(&[&a, &b]);
-    let mut client = Client::to(sidecar.address);
+    let [a, b] = [0, 1].map(|_| Upstream::new(|_| ScriptedResponse::ok("served")));
+    let (sidecar, discovery) = Sidecar::start_with_upstreams(&[&a, &b]);
+    let mut client = Client::connect(sidecar.address);
     // One write holds the drain, its repetition, and an older update.
-    let drain = list(9, false, &[entry("a", a.address, "draining")]);
-    let older = list(8, false, &[entry("a", a.address, "ready")]);
-    until("the sidecar watches", || discovery.watches().len() == 1);
-    discovery.say(&format!("{drain}\n{drain}\n{older}\n"));
-    until("the drain is in force", || {
+    let drain = server_list(9, false, &[server_entry("a", a.address, "draining")]);
+    let older = server_list(8, false, &[server_entry("a", a.address, "ready")]);
+    wait_until("the sidecar watches", || discovery.watches().len() == 1);
+    discovery.publish(&format!("{drain}\n{drain}\n{older}\n"));
+    wait_until("the drain is in force", || {
         let before = a.requests().len();
-        (0..20).for_each(|_| drop(client.ask("fetch")));
+        (0..20).for_each(|_| drop(client.exchange("fetch")));
         a.requests().len() == before
     });
-    discovery.break_off();
-    until("the sidecar opens a new watch", || discovery.watches().len() >= 2);
+    discovery.close_watch();
+    wait_until("the sidecar opens a new watch", || discovery.watches().len() >= 2);
     assert!(discovery.watches()[1].contains("from=0 "), "{:?}", discovery.watches());
 }
 
@@ -135,23 +136,24 @@
 fn new_process_sends_no_attempt_before_it_has_the_list_of_the_agent() {
     let mut valid_tries = 0;
     for _ in 0..20 {
-        let [draining, serving] = [0, 1].map(|_| Upstream::new(|_| Deed::ok("served")));
-        let entries = [entry("a", draining.address, "draining"), entry("b", serving.address, "ready")];
-        let update = list(6, true, &entries);
+        let [draining, serving] = [0, 1].map(|_| Upstream::new(|_| ScriptedResponse::ok("served")));
+        let entries =
+            [server_entry("a", draining.address, "draining"), server_entry("b", serving.address, "ready")];
+        let update = server_list(6, true, &entries);
         let written = Arc::new(AtomicUsize::new(0));
         let is_written = written.clone();
-        let (address, _asked) = discovery(move |_, stream| {
-            until("the request is written", || is_written.load(Ordering::SeqCst) == 1);
-            let _ = chunk(stream, format!("{update}\n").as_bytes());
+        let (address, _asked) = scripted_discovery(move |_, stream| {
+            wait_until("the request is written", || is_written.load(Ordering::SeqCst) == 1);
+            let _ = write_chunk(stream, format!("{update}\n").as_bytes());
         });
-        let known = list(5, true, &[entry("a", draining.address, "ready")]);
+        let known = server_list(5, true, &[server_entry("a", draining.address, "ready")]);
         let started_at = std::time::Instant::now();
-        let sidecar = Sidecar::start(&config("127.0.0.1:0", address, &known, 1024, SETTINGS));
-        let mut client = Client::to(sidecar.address);
+        let sidecar = Sidecar::start(&config_json("127.0.0.1:0", address, &known, 1024, SETTINGS));
+        let mut client = Client::connect(sidecar.address);
         client.send("fetch", 20_000);
         written.store(1, Ordering::SeqCst);
         let elapsed = started_at.elapsed();
-        assert_eq!(client.read().expect("an answer").status(), 200);
+        assert_eq!(client.read_answer().expect("an answer").status(), 200);
         // On a busy machine the process may have waited for the list as long as it may: such a try does not count.
         if elapsed < Duration::from_millis(60) {
             assert_eq!((draining.requests().len(), serving.requests().len()), (0, 1));
@@ -164,10 +166,16 @@
 /// If the discovery agent sends nothing, the process serves according to the list that it was started with.
 #[test]
 fn new_process_serves_when_the_agent_is_unresponsive() {
-    let upstream = Upstream::new(|_| Deed::ok("served"));
-    let (address, _asked) = discovery(|_, _| {});
-    let sidecar = Sidecar::start(&config("127.0.0.1:0", address, &ready(&[&upstream]), 1024, SETTINGS));
-    assert_eq!(Client::to(sidecar.address).ask("fetch").status(), 200);
+    let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
+    let (address, _asked) = scripted_discovery(|_, _| {});
+    let sidecar = Sidecar::start(&config_json(
+        "127.0.0.1:0",
+        address,
+        &ready_server_list(&[&upstream]),
+        1024,
+        SETTINGS,
+    ));
+    assert_eq!(Client::connect(sidecar.address).exchange("fetch").status(), 200);
 }
 
 // --- Clients that disconnect ------------------------------------------------------------------
@@ -204,14 +212,14 @@
 }
 
 fn in_progress(console: SocketAddr) -> u64 {
-    figures(console)["in_progress"].as_u64().unwrap()
+    telemetry(console)["in_progress"].as_u64().unwrap()
 }
 
 /// Guards against requests that are sent on although their clients disconnected while the requests waited: hyper does not
 /// read on while bytes wait behind an open request, and so did not see the end of the connection behind them.
 #[test]
 fn waiting_request_is_not_sent_on_after_its_client_disconnects() {
-    let (sidecar, _discovery, console, slow) = before_clogged(1);
+    let (sidecar, _discovery, console, slow) = start_with_full_backlog(1);
     // Nothing, one byte, one request, and more bytes than are read ahead.
     let trailing_bytes: [Vec<u8>; 4] = [
         Vec::new(),
@@ -224,21 +232,21 @@
     for class in ["fetch", "log", "bill"] {
         for disconnect in DISCONNECTS {
             for trailing in &trailing_bytes {
-                let mut client = Client::to(sidecar.address);
+                let mut client = Client::connect(sidecar.address);
                 client.send(class, 100_000);
-                until("the request waits", || in_progress(console) == 1);
+                wait_until("the request waits", || in_progress(console) == 1);
                 client.write(trailing);
                 held.extend(disconnect.apply_to(client));
-                until(
+                wait_until(
                     &format!("{class}, {disconnect:?}, {} bytes: the disconnect is noticed", trailing.len()),
                     || in_progress(console) == 0,
                 );
             }
         }
     }
-    let written = slow.let_through();
+    let written = slow.accept_connections();
     // By the time this request is served, any request of a disconnected client would have been sent on as well.
-    assert_eq!(Client::to(sidecar.address).ask("fetch").body, b"slow");
+    assert_eq!(Client::connect(sidecar.address).exchange("fetch").body, b"slow");
     let written = written.lock().unwrap();
     assert_eq!(written.len(), 1, "of 36 abandoned requests none is sent on: {written:?}");
 }
@@ -246,24 +254,24 @@
 /// Guards against the same fault when 200 clients disconnect at once while ten others keep waiting.
 #[test]
 fn mass_disconnect_sends_no_abandoned_request_on_and_serves_the_others() {
-    let (sidecar, _discovery, console, slow) = before_clogged(200);
+    let (sidecar, _discovery, console, slow) = start_with_full_backlog(200);
     let send_request = |_| {
-        let mut client = Client::to(sidecar.address);
+        let mut client = Client::connect(sidecar.address);
         client.send("log", 100_000);
         client
     };
     let staying: Vec<Client> = (0..10).map(send_request).collect();
     let leaving: Vec<Client> = (0..200).map(send_request).collect();
-    until("all requests wait", || in_progress(console) == 210);
+    wait_until("all requests wait", || in_progress(console) == 210);
     let _held: Vec<Client> = leaving
         .into_iter()
         .zip(DISCONNECTS.iter().cycle())
         .filter_map(|(client, disconnect)| disconnect.apply_to(client))
         .collect();
-    until("the disconnects are noticed", || in_progress(console) == 10);
-    let written = slow.let_through();
+    wait_until("the disconnects are noticed", || in_progress(console) == 10);
+    let written = slow.accept_connections();
     for mut client in staying {
-        assert_eq!(client.read().expect("an answer").body, b"slow");
+        assert_eq!(client.read_answer().expect("an answer").body, b"slow");
     }
     assert_eq!(written.lock().unwrap().len(), 10, "of 200 abandoned requests none is sent on");
 }
@@ -273,13 +281,13 @@
 /// Guards against a SIGTERM that, during a start without a server list, drops the connections in the accept queue.
 #[test]
 fn queued_request_is_answered_when_sigterm_precedes_readiness() {
-    let (address, _asked) = discovery(|_, _| {});
-    let mut sidecar = Sidecar::start(&config("127.0.0.1:0", address, "null", 1024, SETTINGS));
-    let mut client = Client::to(sidecar.address);
+    let (address, _asked) = scripted_discovery(|_, _| {});
+    let mut sidecar = Sidecar::start(&config_json("127.0.0.1:0", address, "null", 1024, SETTINGS));
+    let mut client = Client::connect(sidecar.address);
     client.send("fetch", 6_000);
     sidecar.signal("-TERM");
-    assert_eq!(client.read().expect("an answer").status(), 503);
-    assert!(sidecar.wait_exit().success());
+    assert_eq!(client.read_answer().expect("an answer").status(), 503);
+    assert!(sidecar.wait_for_exit().success());
 }
 
 /// Guards against further SIGTERMs or SIGHUPs that cut off requests in flight or delay the exit.
@@ -287,25 +295,25 @@
 fn repeated_signals_neither_hasten_nor_delay_the_exit() {
     let released = Arc::new(AtomicUsize::new(0));
     let is_released = released.clone();
-    let upstream = Upstream::new(move |_| Deed::Wait(is_released.clone()));
-    let (mut sidecar, discovery) = Sidecar::with(&[&upstream]);
-    let mut held = Client::to(sidecar.address);
+    let upstream = Upstream::new(move |_| ScriptedResponse::AnswerWhenReleased(is_released.clone()));
+    let (mut sidecar, discovery) = Sidecar::start_with_upstreams(&[&upstream]);
+    let mut held = Client::connect(sidecar.address);
     held.send("bill", 8_000);
-    until("the request is in flight", || upstream.requests().len() == 1);
-    sidecar.reload(&config("127.0.0.1:0", discovery.address, "null", 1024, SETTINGS));
+    wait_until("the request is in flight", || upstream.requests().len() == 1);
+    sidecar.reload(&config_json("127.0.0.1:0", discovery.address, "null", 1024, SETTINGS));
     sidecar.signal("-TERM");
-    sidecar.wait_log("SIGTERM");
+    sidecar.wait_for_log("SIGTERM");
     for signal in ["-TERM", "-HUP", "-TERM"] {
         sidecar.signal(signal);
     }
-    let mut late = Client::to(sidecar.address);
+    let mut late = Client::connect(sidecar.address);
     late.send("bill", 8_000);
-    until("the late request is in flight as well", || upstream.requests().len() == 2);
+    wait_until("the late request is in flight as well", || upstream.requests().len() == 2);
     released.store(1, Ordering::SeqCst);
     for client in [&mut held, &mut late] {
-        assert_eq!(client.read().expect("a complete answer").body, b"late");
+        assert_eq!(client.read_answer().expect("a complete answer").body, b"late");
     }
-    assert!(sidecar.wait_exit().success());
+    assert!(sidecar.wait_for_exit().success());
     assert_eq!(upstream.requests().len(), 2, "each request is sent on once");
 }
 
@@ -336,19 +344,19 @@
         [(SETTINGS_SHORT_REQUESTS, &["fetch", "log", "bill"][..]), (SETTINGS_LONG_REQUESTS, &["bill"][..])]
     {
         let upstream = Upstream::new(|_| {
-            Deed::Answer(200, "X-Server-Load: TEXT inflight=1, util=0.1\r\n", b"served".to_vec())
+            ScriptedResponse::Answer(200, "X-Server-Load: TEXT inflight=1, util=0.1\r\n", b"served".to_vec())
         });
-        let (mut sidecar, _discovery) = Sidecar::with_settings(&[&upstream], settings);
+        let (mut sidecar, _discovery) = Sidecar::start_with_settings(&[&upstream], settings);
         for class in classes {
             // On a busy machine a request may exceed the deadline of its class, which is no fault of the settings.
-            until(&format!("{class} is served"), || {
-                let mut client = Client::to(sidecar.address);
+            wait_until(&format!("{class} is served"), || {
+                let mut client = Client::connect(sidecar.address);
                 client.send(class, 2_000);
-                client.read().is_some_and(|answer| answer.status() == 200)
+                client.read_answer().is_some_and(|answer| answer.status() == 200)
             });
         }
         sidecar.signal("-TERM");
-        assert!(sidecar.wait_exit().success());
+        assert!(sidecar.wait_for_exit().success());
     }
     // A value out of range is reported in one line before the process listens.
     for (from, to, key) in [
@@ -357,14 +365,14 @@
         (r#""aim":40.0"#, r#""aim":"soon""#, "soon"),
     ] {
         assert!(SETTINGS_SHORT_REQUESTS.contains(from));
-        let text = config(
+        let text = config_json(
             "127.0.0.1:0",
             "127.0.0.1:1".parse().unwrap(),
             "null",
             1024,
             &SETTINGS_SHORT_REQUESTS.replace(from, to),
         );
-        let ended = spawn(&text).wait_with_output().unwrap();
+        let ended = spawn_program(&text).wait_with_output().unwrap();
         let stderr = String::from_utf8(ended.stderr).unwrap();
         assert_eq!((ended.status.code(), stderr.lines().count()), (Some(1), 1), "{stderr}");
         assert!(stderr.contains(key) && !stderr.contains("listening"), "{stderr}");
--- a/crates/cli/tests/transfers.rs
+++ b/crates/cli/tests/transfers.rs
@@ -28,17 +28,17 @@
     let sent = body.clone();
     let upstream = Upstream::new(move |_| {
         let (sent, is_released) = (sent.clone(), is_released.clone());
-        Deed::play(move |stream| {
+        ScriptedResponse::custom(move |stream| {
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\nX-Note: kept\r\n\r\n", sent.len());
             stream.write_all(head.as_bytes()).unwrap();
             stream.write_all(&sent[..100]).unwrap();
-            until("the client has read the first bytes", || is_released.load(Ordering::SeqCst) > 0);
+            wait_until("the client has read the first bytes", || is_released.load(Ordering::SeqCst) > 0);
             stream.write_all(&sent[100..]).unwrap();
             true
         })
     });
-    let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
-    let mut client = Client::to(sidecar.address);
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
+    let mut client = Client::connect(sidecar.address);
     client.send("bill", 6_000);
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
@@ -54,7 +54,7 @@
     client.reader.read_exact(&mut received[100..]).unwrap();
     assert!(received == body, "the body is unchanged");
     // The connections to the client and to the upstream are kept.
-    assert_eq!(client.ask("bill").body.len(), body.len());
+    assert_eq!(client.exchange("bill").body.len(), body.len());
     let connections: Vec<usize> = upstream.requests().iter().map(|message| message.connection).collect();
     assert_eq!(connections[0], connections[1]);
 }
@@ -65,7 +65,7 @@
     let sent = body.clone();
     let upstream = Upstream::new(move |_| {
         let sent = sent.clone();
-        Deed::play(move |stream| {
+        ScriptedResponse::custom(move |stream| {
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", sent.len());
             stream.write_all(head.as_bytes()).unwrap();
             let (first, second) = sent.split_at(150_000);
@@ -75,10 +75,10 @@
             true
         })
     });
-    let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
-    let mut client = Client::to(sidecar.address);
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
+    let mut client = Client::connect(sidecar.address);
     client.send("bill", 500);
-    assert!(client.read().expect("a complete answer").body == body);
+    assert!(client.read_answer().expect("a complete answer").body == body);
 }
 
 #[test]
@@ -86,7 +86,7 @@
     for head in ["Content-Length: 300000\r\n", "Transfer-Encoding: chunked\r\n"] {
         let upstreams = [0, 1].map(|_| {
             Upstream::new(move |_| {
-                Deed::play(move |stream| {
+                ScriptedResponse::custom(move |stream| {
                     let begin = format!("HTTP/1.1 200 OK\r\n{head}\r\n");
                     stream.write_all(begin.as_bytes()).unwrap();
                     let part = vec![b'x'; 200_000];
@@ -101,10 +101,10 @@
                 })
             })
         });
-        let (sidecar, _discovery) = Sidecar::with(&[&upstreams[0], &upstreams[1]]);
-        let mut client = Client::to(sidecar.address);
+        let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstreams[0], &upstreams[1]]);
+        let mut client = Client::connect(sidecar.address);
         client.send("fetch", 6_000);
-        assert!(client.read().is_none(), "the answer is truncated");
+        assert!(client.read_answer().is_none(), "the answer is truncated");
         assert_eq!(total_requests(&[&upstreams[0], &upstreams[1]]), 1);
     }
 }
@@ -142,7 +142,7 @@
             let bytes = bytes.clone();
             let upstream = Upstream::new(move |_| {
                 let bytes = bytes.clone();
-                Deed::play(move |stream| {
+                ScriptedResponse::custom(move |stream| {
                     for piece in bytes.chunks(bytes.len().div_ceil(pieces)) {
                         stream.write_all(piece).unwrap();
                         std::thread::sleep(Duration::from_millis(2));
@@ -150,10 +150,10 @@
                     keeps_connection
                 })
             });
-            let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
+            let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
             for _ in 0..2 {
-                let answer = Client::to(sidecar.address).ask("bill");
-                assert!((answer.status(), &answer.body[..]) == (200, body), "{:?}", answer.line);
+                let answer = Client::connect(sidecar.address).exchange("bill");
+                assert!((answer.status(), &answer.body[..]) == (200, body), "{:?}", answer.start_line);
             }
         }
     }
@@ -161,16 +161,16 @@
 
 #[test]
 fn answer_delimited_by_close_counts_as_truncated_when_the_connection_is_reset() {
-    let upstream = Upstream::new(|_| Deed::RawAndReset(b"HTTP/1.1 200 OK\r\n\r\n"));
-    let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
-    assert_eq!(Client::to(sidecar.address).ask("bill").status(), 502);
+    let upstream = Upstream::new(|_| ScriptedResponse::RawAndReset(b"HTTP/1.1 200 OK\r\n\r\n"));
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
+    assert_eq!(Client::connect(sidecar.address).exchange("bill").status(), 502);
     assert_eq!(upstream.requests().len(), 1);
 }
 
 #[test]
 fn requests_with_slow_heads_and_bodies_are_served() {
-    let upstream = Upstream::new(|message| Deed::Answer(200, "", message.body.clone()));
-    let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
+    let upstream = Upstream::new(|message| ScriptedResponse::Answer(200, "", message.body.clone()));
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
     let body = patterned_body(60_000);
     let head = request("bill", 6_000)
         .strip_suffix("bill")
@@ -184,7 +184,7 @@
                 let id = if head_ms > 1_500 { "aaaaaaaaaaaaaaaa" } else { "bbbbbbbbbbbbbbbb" };
                 let at = head.find("X-Request-ID: ").unwrap() + 14;
                 let head = format!("{}{id}{}", &head[..at], &head[at + 16..]);
-                let mut client = Client::to(address);
+                let mut client = Client::connect(address);
                 let pieces: Vec<&[u8]> = head.as_bytes().chunks(head.len().div_ceil(20)).collect();
                 for piece in &pieces {
                     client.write(piece);
@@ -195,7 +195,7 @@
                     client.write(piece);
                     std::thread::sleep(Duration::from_millis(50));
                 }
-                let answer = client.read().expect("an answer");
+                let answer = client.read_answer().expect("an answer");
                 assert!((answer.status(), answer.body) == (200, body));
             })
         })
@@ -205,8 +205,8 @@
 
 #[test]
 fn client_that_sends_too_slowly_is_disconnected() {
-    let upstream = Upstream::new(|_| Deed::ok("served"));
-    let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
+    let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
     let head =
         request("bill", 6_000).replace("Content-Length: 4\r\n\r\nbill", "Content-Length: 50000\r\n\r\n");
     for first_bytes in [head.as_bytes(), b"GET /fetch HTTP/1.1\r\nX-Long: "] {
@@ -222,7 +222,7 @@
                 Err(_) => {}
             }
             let _ = stream.write_all(b"x");
-            assert!(start.elapsed() < FOREVER, "the connection is never closed");
+            assert!(start.elapsed() < WAIT_TIMEOUT, "the connection is never closed");
         }
         assert!(start.elapsed() > Duration::from_secs(2), "a client has at least 2 s");
     }
@@ -231,21 +231,21 @@
 
 #[test]
 fn slow_readers_of_long_answers_do_not_delay_other_clients() {
-    let upstream = Upstream::new(|message| match message.line.starts_with("POST /bill") {
-        true => Deed::Answer(200, "", vec![b'x'; 8 << 20]),
-        false => Deed::ok("served"),
+    let upstream = Upstream::new(|message| match message.start_line.starts_with("POST /bill") {
+        true => ScriptedResponse::Answer(200, "", vec![b'x'; 8 << 20]),
+        false => ScriptedResponse::ok("served"),
     });
-    let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
-    let mut slow_readers: Vec<Client> = (0..6).map(|_| Client::to(sidecar.address)).collect();
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
+    let mut slow_readers: Vec<Client> = (0..6).map(|_| Client::connect(sidecar.address)).collect();
     for client in &mut slow_readers {
         client.send("bill", 6_000);
         assert!(!client.reader.fill_buf().unwrap().is_empty(), "the answer has begun");
     }
     for _ in 0..100 {
-        assert_eq!(Client::to(sidecar.address).ask("fetch").status(), 200);
+        assert_eq!(Client::connect(sidecar.address).exchange("fetch").status(), 200);
     }
     for client in &mut slow_readers {
-        assert_eq!(client.read().expect("the complete answer").body.len(), 8 << 20);
+        assert_eq!(client.read_answer().expect("the complete answer").body.len(), 8 << 20);
     }
 }
 
@@ -271,25 +271,25 @@
 
 #[test]
 fn long_uploads_of_every_framing_arrive_unchanged() {
-    let upstream = Upstream::new(|message| Deed::Answer(200, "", message.body.clone()));
-    let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
+    let upstream = Upstream::new(|message| ScriptedResponse::Answer(200, "", message.body.clone()));
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
     let body = patterned_body(3_000_001);
     for class in ["bill", "log"] {
-        let mut client = Client::to(sidecar.address);
+        let mut client = Client::connect(sidecar.address);
         client.write(upload_head(class, Some(body.len())).as_bytes());
         client.write(&body);
-        let answer = client.read().expect("an answer");
-        assert!((answer.status(), &answer.body) == (200, &body), "{}", answer.line);
+        let answer = client.read_answer().expect("an answer");
+        assert!((answer.status(), &answer.body) == (200, &body), "{}", answer.start_line);
         // A chunked body on the same connection.
         client.write(upload_head(class, None).as_bytes());
         client.write(&chunked(&body, 9_999));
-        let answer = client.read().expect("an answer");
-        assert!((answer.status(), &answer.body) == (200, &body), "{}", answer.line);
+        let answer = client.read_answer().expect("an answer");
+        assert!((answer.status(), &answer.body) == (200, &body), "{}", answer.start_line);
         // A short chunked body is buffered completely before it is sent on.
         client.write(upload_head(class, None).as_bytes());
         client.write(&chunked(b"short", 2));
-        assert_eq!(client.read().expect("an answer").body, b"short");
-        assert_eq!(client.ask("fetch").status(), 200);
+        assert_eq!(client.read_answer().expect("an answer").body, b"short");
+        assert_eq!(client.exchange("fetch").status(), 200);
     }
     assert_eq!(upstream.requests().len(), 8);
 }
@@ -316,29 +316,29 @@
             });
         }
     });
-    let known = list(5, true, &[entry("a", address, "ready")]);
+    let known = server_list(5, true, &[server_entry("a", address, "ready")]);
     let discovery = Discovery::new(&known);
-    let sidecar = Sidecar::start(&config("127.0.0.1:0", discovery.address, &known, 1024, SETTINGS));
-    sidecar.wait_up();
-    let mut client = Client::to(sidecar.address);
+    let sidecar = Sidecar::start(&config_json("127.0.0.1:0", discovery.address, &known, 1024, SETTINGS));
+    sidecar.wait_until_up();
+    let mut client = Client::connect(sidecar.address);
     client.write(upload_head("bill", Some(500_000)).as_bytes());
     client.write(&patterned_body(200_000));
-    until("the upstream has received the bytes sent so far", || {
+    wait_until("the upstream has received the bytes sent so far", || {
         received_bytes.load(Ordering::SeqCst) > 190_000
     });
     client.write(&patterned_body(300_000));
-    assert_eq!(client.read().expect("an answer").body, b"ok");
+    assert_eq!(client.read_answer().expect("an answer").body, b"ok");
 }
 
 #[test]
 fn uploads_over_the_size_limit_are_rejected_before_their_end() {
-    let upstream = Upstream::new(|_| Deed::ok("served"));
-    let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
-    let mut client = Client::to(sidecar.address);
+    let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
+    let mut client = Client::connect(sidecar.address);
     client.write(upload_head("bill", Some((32 << 20) + 1)).as_bytes());
-    assert_eq!(client.read().expect("an answer before the body is sent").status(), 413);
+    assert_eq!(client.read_answer().expect("an answer before the body is sent").status(), 413);
     // The length of a chunked body is known only as its chunks arrive.
-    let mut client = Client::to(sidecar.address);
+    let mut client = Client::connect(sidecar.address);
     client.write(upload_head("bill", None).as_bytes());
     let chunk = [b"100000\r\n", &vec![b'x'; 1 << 20][..], b"\r\n"].concat();
     for _ in 0..33 {
@@ -346,75 +346,82 @@
             break;
         }
     }
-    let answer = client.read();
+    let answer = client.read_answer();
     assert!(answer.is_none_or(|answer| answer.status() == 413));
     assert_eq!(upstream.requests().len(), 0, "no request is received completely");
-    assert_eq!(Client::to(sidecar.address).ask("bill").status(), 200);
+    assert_eq!(Client::connect(sidecar.address).exchange("bill").status(), 200);
 }
 
 #[test]
 fn upload_is_retried_only_while_its_body_is_still_buffered() {
     // Nothing listens at `b`: the sidecar still has all that it has read from the client.
     let unused_address = std::net::TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let upstream = Upstream::new(|message| Deed::Answer(200, "", message.body.clone()));
-    let known = list(5, true, &[entry("a", upstream.address, "ready"), entry("b", unused_address, "ready")]);
+    let upstream = Upstream::new(|message| ScriptedResponse::Answer(200, "", message.body.clone()));
+    let known = server_list(
+        5,
+        true,
+        &[server_entry("a", upstream.address, "ready"), server_entry("b", unused_address, "ready")],
+    );
     let discovery = Discovery::new(&known);
-    let sidecar = Sidecar::start(&config("127.0.0.1:0", discovery.address, &known, 1024, SETTINGS));
-    sidecar.wait_up();
+    let sidecar = Sidecar::start(&config_json("127.0.0.1:0", discovery.address, &known, 1024, SETTINGS));
+    sidecar.wait_until_up();
     let body = patterned_body(300_000);
     for _ in 0..8 {
-        let mut client = Client::to(sidecar.address);
+        let mut client = Client::connect(sidecar.address);
         client.write(upload_head("bill", Some(body.len())).as_bytes());
         client.write(&body);
-        let answer = client.read().expect("an answer");
-        assert!((answer.status(), &answer.body) == (200, &body), "{}", answer.line);
+        let answer = client.read_answer().expect("an answer");
+        assert!((answer.status(), &answer.body) == (200, &body), "{}", answer.start_line);
     }
     // An upstream refuses the request unprocessed after the whole body was sent: the request was not executed, and the
     // client is told so with a 503.
-    let refusing = [0, 1].map(|_| Upstream::new(|_| Deed::Answer(503, "X-Not-Processed: 1\r\n", vec![])));
-    let (sidecar, _discovery) = Sidecar::with(&[&refusing[0], &refusing[1]]);
-    let mut client = Client::to(sidecar.address);
+    let refusing =
+        [0, 1].map(|_| Upstream::new(|_| ScriptedResponse::Answer(503, "X-Not-Processed: 1\r\n", vec![])));
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&refusing[0], &refusing[1]]);
+    let mut client = Client::connect(sidecar.address);
     client.write(upload_head("bill", Some(body.len())).as_bytes());
     client.write(&body);
-    assert_eq!(client.read().expect("an answer").status(), 503);
+    assert_eq!(client.read_answer().expect("an answer").status(), 503);
     assert_eq!(total_requests(&[&refusing[0], &refusing[1]]), 1);
     // A request that may have been executed is answered with a 502, not with a refusal.
-    let closing = Upstream::new(|_| Deed::Close);
-    let (sidecar, _discovery) = Sidecar::with(&[&closing]);
-    let mut client = Client::to(sidecar.address);
+    let closing = Upstream::new(|_| ScriptedResponse::Close);
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&closing]);
+    let mut client = Client::connect(sidecar.address);
     client.write(upload_head("bill", None).as_bytes());
     client.write(&chunked(&body, 30_000));
-    assert_eq!(client.read().expect("an answer").status(), 502);
+    assert_eq!(client.read_answer().expect("an answer").status(), 502);
     assert_eq!(closing.requests().len(), 1);
 }
 
 #[test]
 fn incomplete_upload_is_never_executed() {
-    let upstream = Upstream::new(|_| Deed::ok("served"));
-    let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
+    let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
     let body = patterned_body(300_000);
-    let mut stalled = Client::to(sidecar.address);
+    let mut stalled = Client::connect(sidecar.address);
     stalled.write(upload_head("bill", Some(body.len())).as_bytes());
     stalled.write(&body[..299_999]);
-    let answer = stalled.read();
+    let answer = stalled.read_answer();
     assert!(answer.as_ref().is_none_or(|answer| answer.status() == 408), "{answer:?}");
     for cut in [70_000, 299_999] {
-        let mut leaving = Client::to(sidecar.address);
+        let mut leaving = Client::connect(sidecar.address);
         leaving.write(upload_head("bill", Some(body.len())).as_bytes());
         leaving.write(&body[..cut]);
         drop(leaving);
     }
     assert_eq!(upstream.requests().len(), 0);
-    until("a new request is served", || Client::to(sidecar.address).ask("bill").status() == 200);
+    wait_until("a new request is served", || {
+        Client::connect(sidecar.address).exchange("bill").status() == 200
+    });
     assert_eq!(upstream.requests().len(), 1);
 }
 
 #[test]
 fn slow_upload_continues_after_the_request_timeout() {
-    let upstream = Upstream::new(|message| Deed::Answer(200, "", message.body.clone()));
-    let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
+    let upstream = Upstream::new(|message| ScriptedResponse::Answer(200, "", message.body.clone()));
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
     let body = patterned_body(192_000);
-    let mut client = Client::to(sidecar.address);
+    let mut client = Client::connect(sidecar.address);
     client.write(
         upload_head("bill", Some(body.len())).replace("X-Timeout-Ms: 6000", "X-Timeout-Ms: 400").as_bytes(),
     );
@@ -423,31 +430,32 @@
         client.write(piece);
         std::thread::sleep(Duration::from_millis(100));
     }
-    let answer = client.read().expect("an answer");
-    assert!((answer.status(), &answer.body) == (200, &body), "{}", answer.line);
+    let answer = client.read_answer().expect("an answer");
+    assert!((answer.status(), &answer.body) == (200, &body), "{}", answer.start_line);
 }
 
 #[test]
 fn expect_100_continue_is_answered_by_the_sidecar() {
-    let upstream = Upstream::new(|message| Deed::Answer(200, "", message.body.clone()));
-    let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
+    let upstream = Upstream::new(|message| ScriptedResponse::Answer(200, "", message.body.clone()));
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
     for length in [10, 200_000] {
         let body = patterned_body(length);
         let head = upload_head("bill", Some(length)).replace("\r\n\r\n", "\r\nExpect: 100-continue\r\n\r\n");
-        let mut client = Client::to(sidecar.address);
+        let mut client = Client::connect(sidecar.address);
         client.write(head.as_bytes());
-        assert_eq!(client.read().expect("the interim answer").status(), 100);
+        assert_eq!(client.read_answer().expect("the interim answer").status(), 100);
         client.write(&body);
-        assert!(client.read().expect("an answer").body == body);
+        assert!(client.read_answer().expect("an answer").body == body);
     }
     assert!(upstream.requests().iter().all(|message| message.header("expect").is_none()));
 }
 
 #[test]
 fn pipelined_requests_and_http_1_0_requests_are_served() {
-    let upstream = Upstream::new(|message| Deed::Answer(200, "", message.line.clone().into_bytes()));
-    let (sidecar, _discovery) = Sidecar::with(&[&upstream]);
-    let mut client = Client::to(sidecar.address);
+    let upstream =
+        Upstream::new(|message| ScriptedResponse::Answer(200, "", message.start_line.clone().into_bytes()));
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
+    let mut client = Client::connect(sidecar.address);
     let body = patterned_body(100_000);
     let three_requests = [
         upload_head("bill", Some(body.len())).as_bytes(),
@@ -459,10 +467,10 @@
     .concat();
     client.write(&three_requests);
     for first_line in ["POST /bill", "GET /fetch", "POST /log"] {
-        let answer = client.read().expect("an answer");
+        let answer = client.read_answer().expect("an answer");
         assert!(answer.body.starts_with(first_line.as_bytes()), "{first_line}");
     }
-    let mut client = Client::to(sidecar.address);
+    let mut client = Client::connect(sidecar.address);
     client.write(request("fetch", 6_000).replace("HTTP/1.1", "HTTP/1.0").as_bytes());
     let mut answer = String::new();
     client.reader.read_to_string(&mut answer).unwrap();
--- a/crates/cli/tests/upgrade.rs
+++ b/crates/cli/tests/upgrade.rs
@@ -25,7 +25,7 @@
     fn new(upstreams: &[&Upstream]) -> Platform {
         let socket = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = socket.local_addr().unwrap();
-        let known = ready(upstreams);
+        let known = ready_server_list(upstreams);
         static NUMBER: AtomicUsize = AtomicUsize::new(0);
         let name = format!("tmp-{}-{}", std::process::id(), NUMBER.fetch_add(1, Ordering::SeqCst));
         let temp_dir = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
@@ -34,18 +34,18 @@
     }
 
     fn config(&self, known: &str) -> String {
-        config(&self.address.to_string(), self.discovery.address, known, 1024, SETTINGS)
+        config_json(&self.address.to_string(), self.discovery.address, known, 1024, SETTINGS)
     }
 
     /// Starts a process with this configuration.
     fn start_with(&self, config: &str) -> Sidecar {
-        Sidecar::start_on(&self.socket, config, &[("TMPDIR", &self.temp_dir)])
+        Sidecar::start_on_socket(&self.socket, config, &[("TMPDIR", &self.temp_dir)])
     }
 
     /// Starts a process and waits until it can serve.
     fn start(&self) -> Sidecar {
         let sidecar = self.start_with(&self.config(&self.known));
-        sidecar.wait_log("serving");
+        sidecar.wait_for_log("serving");
         sidecar
     }
 
@@ -69,7 +69,7 @@
 fn ten_upgrades_under_load_fail_no_request() {
     let upstream = Upstream::new(|_| {
         std::thread::sleep(Duration::from_millis(3));
-        Deed::ok("served")
+        ScriptedResponse::ok("served")
     });
     let platform = Platform::new(&[&upstream]);
     let mut serving = platform.start();
@@ -78,22 +78,22 @@
         for number in 0..3 {
             let (stop, asked, reconnected, address) = (&stop, &asked, &reconnected, platform.address);
             threads.spawn(move || {
-                let mut client = Client::to(address);
+                let mut client = Client::connect(address);
                 while !stop.load(Ordering::SeqCst) {
                     client.send(if number == 0 { "bill" } else { "fetch" }, 6_000);
                     asked.fetch_add(1, Ordering::SeqCst);
-                    let answer = match client.read() {
+                    let answer = match client.read_answer() {
                         Some(answer) => answer,
                         // The request crossed the close of an idle connection and is sent again on a new one.
                         None => {
                             reconnected.fetch_add(1, Ordering::SeqCst);
-                            client = Client::to(address);
-                            client.ask("fetch")
+                            client = Client::connect(address);
+                            client.exchange("fetch")
                         }
                     };
                     assert!(matches!(answer.status(), 200 | 503), "{answer:?}");
                     if answer.header("connection") == Some("close") {
-                        client = Client::to(address);
+                        client = Client::connect(address);
                     }
                     std::thread::sleep(Duration::from_millis(2));
                 }
@@ -103,11 +103,13 @@
             let successor = platform.start();
             let asked_before = asked.load(Ordering::SeqCst);
             assert!(has_logged(&successor, "goes on from 1 upstreams and what was learnt"));
-            until("the predecessor knows its successor", || has_logged(&serving, "a successor has begun"));
+            wait_until("the predecessor knows its successor", || {
+                has_logged(&serving, "a successor has begun")
+            });
             serving.signal("-TERM");
-            assert!(serving.wait_exit().success(), "{:?}", serving.log.lock().unwrap());
+            assert!(serving.wait_for_exit().success(), "{:?}", serving.log.lock().unwrap());
             serving = successor;
-            until("the successor has served alone", || asked.load(Ordering::SeqCst) > asked_before + 50);
+            wait_until("the successor has served alone", || asked.load(Ordering::SeqCst) > asked_before + 50);
         }
         stop.store(true, Ordering::SeqCst);
     });
@@ -116,67 +118,76 @@
 
 #[test]
 fn process_that_cannot_serve_yet_accepts_no_connection() {
-    let upstream = Upstream::new(|_| Deed::ok("served"));
+    let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
     let platform = Platform::new(&[&upstream]);
     let mut predecessor = platform.start();
     // The new process has no server list, and its discovery is down.
     let unused_address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let config_without_list = config(&platform.address.to_string(), unused_address, "null", 1024, SETTINGS);
-    let _successor = Sidecar::start_on(&platform.socket, &config_without_list, &[]);
+    let config_without_list =
+        config_json(&platform.address.to_string(), unused_address, "null", 1024, SETTINGS);
+    let _successor = Sidecar::start_on_socket(&platform.socket, &config_without_list, &[]);
     for _ in 0..50 {
-        assert_eq!(Client::to(platform.address).ask("fetch").status(), 200, "the predecessor serves alone");
+        assert_eq!(
+            Client::connect(platform.address).exchange("fetch").status(),
+            200,
+            "the predecessor serves alone"
+        );
     }
     predecessor.signal("-TERM");
-    assert!(predecessor.wait_exit().success());
+    assert!(predecessor.wait_for_exit().success());
 }
 
 #[test]
 fn predecessor_told_to_end_answers_one_more_request_on_each_connection() {
     let released = Arc::new(AtomicUsize::new(0));
     let is_released = released.clone();
-    let upstream = Upstream::new(move |message| match message.line.starts_with("POST /bill") {
-        true => Deed::Wait(is_released.clone()),
-        false => Deed::ok("served"),
+    let upstream = Upstream::new(move |message| match message.start_line.starts_with("POST /bill") {
+        true => ScriptedResponse::AnswerWhenReleased(is_released.clone()),
+        false => ScriptedResponse::ok("served"),
     });
     let platform = Platform::new(&[&upstream]);
     let mut predecessor = platform.start();
-    let mut idle: Vec<Client> = (0..20).map(|_| Client::to(platform.address)).collect();
-    idle.iter_mut().for_each(|client| assert_eq!(client.ask("fetch").status(), 200));
-    let mut waiting = Client::to(platform.address);
+    let mut idle: Vec<Client> = (0..20).map(|_| Client::connect(platform.address)).collect();
+    idle.iter_mut().for_each(|client| assert_eq!(client.exchange("fetch").status(), 200));
+    let mut waiting = Client::connect(platform.address);
     waiting.send("bill", 6_000);
-    until("the request is in flight", || {
-        upstream.requests().iter().any(|m| m.line.starts_with("POST /bill"))
+    wait_until("the request is in flight", || {
+        upstream.requests().iter().any(|m| m.start_line.starts_with("POST /bill"))
     });
     let successor = platform.start();
     predecessor.signal("-TERM");
-    predecessor.wait_log("finishing what is held");
+    predecessor.wait_for_log("finishing what is held");
     for client in &mut idle[..10] {
-        let answer = client.ask("fetch");
+        let answer = client.exchange("fetch");
         assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
     }
     for client in &mut idle[10..] {
-        assert_eq!(client.read_to_close().expect("an idle connection is closed"), b"");
+        assert_eq!(client.read_until_close().expect("an idle connection is closed"), b"");
     }
-    let mut new_client = Client::to(platform.address);
-    assert_eq!(new_client.ask("fetch").header("connection"), None, "the successor serves new connections");
+    let mut new_client = Client::connect(platform.address);
+    assert_eq!(
+        new_client.exchange("fetch").header("connection"),
+        None,
+        "the successor serves new connections"
+    );
     released.store(1, Ordering::SeqCst);
-    let answer = waiting.read().expect("an accepted request is answered");
+    let answer = waiting.read_answer().expect("an accepted request is answered");
     assert_eq!((answer.status(), answer.header("connection")), (200, Some("close")));
-    assert!(predecessor.wait_exit().success());
+    assert!(predecessor.wait_for_exit().success());
     drop(successor);
 }
 
 #[test]
 fn start_with_an_unusable_socket_descriptor_fails_with_one_line() {
-    let upstream = Upstream::new(|_| Deed::ok("served"));
+    let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
     let platform = Platform::new(&[&upstream]);
     let elsewhere = platform.config("null").replace(&platform.address.to_string(), "127.0.0.1:9");
-    let (child, _) = spawn_on(&platform.socket, &elsewhere, &[]);
+    let (child, _) = spawn_on_socket(&platform.socket, &elsewhere, &[]);
     for (mut child, expected) in [
         (child, "listens on"),
-        (spawn_in(&platform.config("null"), &[("ROUTER_SOCKET_FD", &PathBuf::from("77"))]), "77"),
-        (spawn_in(&platform.config("null"), &[("ROUTER_SOCKET_FD", &PathBuf::from("three"))]), "three"),
-        (spawn_in(&platform.config("null"), &[("ROUTER_SOCKET_FD", &PathBuf::from("1"))]), "1"),
+        (spawn_with_env(&platform.config("null"), &[("ROUTER_SOCKET_FD", &PathBuf::from("77"))]), "77"),
+        (spawn_with_env(&platform.config("null"), &[("ROUTER_SOCKET_FD", &PathBuf::from("three"))]), "three"),
+        (spawn_with_env(&platform.config("null"), &[("ROUTER_SOCKET_FD", &PathBuf::from("1"))]), "1"),
     ] {
         let mut stderr = String::new();
         child.stderr.take().unwrap().read_to_string(&mut stderr).unwrap();
@@ -191,7 +202,13 @@
 /// One upstream that fails each request, and two that serve.
 fn failing_and_two_serving_upstreams() -> [Upstream; 3] {
     [0, 1, 2].map(|number| {
-        Upstream::new(move |_| if number == 0 { Deed::Answer(500, "", vec![]) } else { Deed::ok("served") })
+        Upstream::new(move |_| {
+            if number == 0 {
+                ScriptedResponse::Answer(500, "", vec![])
+            } else {
+                ScriptedResponse::ok("served")
+            }
+        })
     })
 }
 
@@ -203,7 +220,7 @@
 
 /// One value of the console's telemetry.
 fn telemetry_value(console: SocketAddr, name: &str) -> u64 {
-    let answer = Client::to(console).get("/api/telemetry").expect("telemetry");
+    let answer = Client::connect(console).get("/api/telemetry").expect("telemetry");
     let values: serde_json::Value = serde_json::from_slice(&answer.body).unwrap();
     values[name].as_u64().unwrap()
 }
@@ -214,18 +231,19 @@
     let platform = Platform::new(&[&upstreams[0], &upstreams[1], &upstreams[2]]);
     let (text, console) = with_free_console(&platform.config(&platform.known));
     let mut predecessor = platform.start_with(&text);
-    predecessor.wait_log("serving");
-    let mut client = Client::to(platform.address);
-    until("the failing upstream is skipped", || {
-        client.ask("fetch");
+    predecessor.wait_for_log("serving");
+    let mut client = Client::connect(platform.address);
+    wait_until("the failing upstream is skipped", || {
+        client.exchange("fetch");
         telemetry_value(console, "skipped_upstreams") == 1
     });
     // The successor has neither a server list of its own nor discovery: it depends on the handover state.
     let unused_address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
-    let config_without_list = config(&platform.address.to_string(), unused_address, "null", 1024, SETTINGS);
+    let config_without_list =
+        config_json(&platform.address.to_string(), unused_address, "null", 1024, SETTINGS);
     let (text, console) = with_free_console(&config_without_list);
     let successor = platform.start_with(&text);
-    successor.wait_log("serving");
+    successor.wait_for_log("serving");
     assert!(has_logged(&successor, "goes on from 3 upstreams and what was learnt"));
     assert_eq!(telemetry_value(console, "known_upstreams"), 3);
     assert_eq!(
@@ -233,98 +251,98 @@
         1,
         "the successor skips the failing upstream before it has sent an attempt"
     );
-    until("the predecessor knows its successor", || has_logged(&predecessor, "a successor has begun"));
+    wait_until("the predecessor knows its successor", || has_logged(&predecessor, "a successor has begun"));
     predecessor.signal("-TERM");
-    assert!(predecessor.wait_exit().success());
-    successor.wait_log("the predecessor has ended");
-    assert_eq!(Client::to(platform.address).ask("fetch").status(), 200);
+    assert!(predecessor.wait_for_exit().success());
+    successor.wait_for_log("the predecessor has ended");
+    assert_eq!(Client::connect(platform.address).exchange("fetch").status(), 200);
 }
 
 #[test]
 fn drain_notified_to_the_predecessor_takes_effect_in_the_successor() {
-    let upstreams = [0, 1].map(|_| Upstream::new(|_| Deed::ok("served")));
+    let upstreams = [0, 1].map(|_| Upstream::new(|_| ScriptedResponse::ok("served")));
     let platform = Platform::new(&[&upstreams[0], &upstreams[1]]);
     let predecessor = platform.start();
     let silent_discovery = Discovery::new("");
     let config_with_silent_discovery =
-        config(&platform.address.to_string(), silent_discovery.address, &platform.known, 1024, SETTINGS);
+        config_json(&platform.address.to_string(), silent_discovery.address, &platform.known, 1024, SETTINGS);
     let (text, console) = with_free_console(&config_with_silent_discovery);
     let successor = platform.start_with(&text);
-    successor.wait_log("serving");
-    let drained = list(6, false, &[entry("a", upstreams[0].address, "draining")]);
-    platform.discovery.say(&format!("{drained}\n"));
-    until("the predecessor has told the successor of the drain", || {
+    successor.wait_for_log("serving");
+    let drained = server_list(6, false, &[server_entry("a", upstreams[0].address, "draining")]);
+    platform.discovery.publish(&format!("{drained}\n"));
+    wait_until("the predecessor has told the successor of the drain", || {
         telemetry_value(console, "skipped_upstreams") == 1
     });
     drop(predecessor);
     let before = upstreams[0].requests().len();
     for _ in 0..30 {
-        assert_eq!(Client::to(platform.address).ask("fetch").status(), 200);
+        assert_eq!(Client::connect(platform.address).exchange("fetch").status(), 200);
     }
     assert_eq!(upstreams[0].requests().len(), before);
 }
 
 #[test]
 fn killed_successor_changes_nothing_and_a_later_upgrade_succeeds() {
-    let upstream = Upstream::new(|_| Deed::ok("served"));
+    let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
     let platform = Platform::new(&[&upstream]);
     let mut predecessor = platform.start();
     // A successor without a server list never serves; it is killed while it starts.
     let unused_address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap();
     for _ in 0..3 {
-        let mut successor = Sidecar::start_on(
+        let mut successor = Sidecar::start_on_socket(
             &platform.socket,
-            &config(&platform.address.to_string(), unused_address, "null", 1024, SETTINGS),
+            &config_json(&platform.address.to_string(), unused_address, "null", 1024, SETTINGS),
             &[("TMPDIR", &platform.temp_dir)],
         );
-        until("the successor has received the handover state", || {
+        wait_until("the successor has received the handover state", || {
             has_logged(&successor, "handover: goes on from")
         });
         successor.child.kill().unwrap();
-        successor.wait_exit();
-        until("the predecessor has seen the successor end", || {
+        successor.wait_for_exit();
+        wait_until("the predecessor has seen the successor end", || {
             let log = predecessor.log.lock().unwrap();
             let count = |text: &str| log.iter().filter(|line| line.contains(text)).count();
             count("a successor has begun") > 0
                 && count("a successor has begun") == count("the successor has ended")
         });
-        assert_eq!(Client::to(platform.address).ask("fetch").status(), 200);
+        assert_eq!(Client::connect(platform.address).exchange("fetch").status(), 200);
     }
     let successor = platform.start();
     assert!(has_logged(&successor, "goes on from 1 upstreams and what was learnt"));
     predecessor.signal("-TERM");
-    assert!(predecessor.wait_exit().success());
-    assert_eq!(Client::to(platform.address).ask("fetch").status(), 200);
+    assert!(predecessor.wait_for_exit().success());
+    assert_eq!(Client::connect(platform.address).exchange("fetch").status(), 200);
 }
 
 #[test]
 fn killed_predecessor_does_not_disturb_its_successor() {
-    let upstream = Upstream::new(|_| Deed::ok("served"));
+    let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
     let platform = Platform::new(&[&upstream]);
     let mut predecessor = platform.start();
     let mut successor = platform.start();
     predecessor.child.kill().unwrap();
-    predecessor.wait_exit();
-    successor.wait_log("the predecessor has ended");
-    assert_eq!(Client::to(platform.address).ask("fetch").status(), 200);
+    predecessor.wait_for_exit();
+    successor.wait_for_log("the predecessor has ended");
+    assert_eq!(Client::connect(platform.address).exchange("fetch").status(), 200);
     // The killed process has left its handover socket behind: a third process still continues from the second.
     let third = platform.start();
     assert!(has_logged(&third, "goes on from 1 upstreams"));
     successor.signal("-HUP");
-    successor.wait_log("discovery is at");
+    successor.wait_for_log("discovery is at");
     successor.signal("-TERM");
-    assert!(successor.wait_exit().success(), "{:?}", successor.log.lock().unwrap());
+    assert!(successor.wait_for_exit().success(), "{:?}", successor.log.lock().unwrap());
 }
 
 #[test]
 fn stale_malformed_or_unresponsive_handover_socket_does_not_block_a_start() {
-    let upstream = Upstream::new(|_| Deed::ok("served"));
+    let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
     let platform = Platform::new(&[&upstream]);
     // A socket that a killed process left behind.
     drop(std::os::unix::net::UnixListener::bind(platform.handover_socket()).unwrap());
     let sidecar = platform.start();
     assert!(has_logged(&sidecar, "starting without a predecessor"));
-    assert_eq!(Client::to(platform.address).ask("fetch").status(), 200);
+    assert_eq!(Client::connect(platform.address).exchange("fetch").status(), 200);
     drop(sidecar);
     for malformed in [
         &b""[..],
@@ -342,7 +360,7 @@
         let sidecar = platform.start();
         peer.join().unwrap();
         assert!(has_logged(&sidecar, "starting without a predecessor"), "{malformed:?}");
-        assert_eq!(Client::to(platform.address).ask("fetch").status(), 200);
+        assert_eq!(Client::connect(platform.address).exchange("fetch").status(), 200);
     }
     // A peer that never answers.
     let _ = std::fs::remove_file(platform.handover_socket());
@@ -354,7 +372,7 @@
 
 #[test]
 fn handover_works_in_a_directory_with_a_long_path() {
-    let upstream = Upstream::new(|_| Deed::ok("served"));
+    let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
     let mut platform = Platform::new(&[&upstream]);
     let short_dir = platform.temp_dir.clone();
     platform.temp_dir = short_dir.join("d".repeat(100)).join("e".repeat(100));
@@ -372,42 +390,47 @@
     let upstreams: Vec<Upstream> = (0..20)
         .map(|_| {
             let is_released = is_released.clone();
-            Upstream::new(move |message| match message.line.starts_with("POST /bill") {
-                true => Deed::Wait(is_released.clone()),
-                false => Deed::ok("served"),
+            Upstream::new(move |message| match message.start_line.starts_with("POST /bill") {
+                true => ScriptedResponse::AnswerWhenReleased(is_released.clone()),
+                false => ScriptedResponse::ok("served"),
             })
         })
         .collect();
     let platform = Platform::new(&upstreams.iter().collect::<Vec<_>>());
     // 256 descriptors: 88 for the two processes, and 84 connections on each side for both together.
-    let config_256_sockets =
-        config(&platform.address.to_string(), platform.discovery.address, &platform.known, 256, SETTINGS);
+    let config_256_sockets = config_json(
+        &platform.address.to_string(),
+        platform.discovery.address,
+        &platform.known,
+        256,
+        SETTINGS,
+    );
     let (text, _) = with_free_console(&config_256_sockets);
     let mut predecessor = platform.start_with(&text);
-    predecessor.wait_log("serving");
-    let mut held: Vec<Client> = (0..60).map(|_| Client::to(platform.address)).collect();
+    predecessor.wait_for_log("serving");
+    let mut held: Vec<Client> = (0..60).map(|_| Client::connect(platform.address)).collect();
     held.iter_mut().for_each(|client| client.send("bill", 6_000));
     let received = || upstreams.iter().map(|upstream| upstream.requests().len()).sum::<usize>();
-    until("20 requests are in flight", || received() >= 20);
+    wait_until("20 requests are in flight", || received() >= 20);
     let (text, console) = with_free_console(&config_256_sockets);
     let successor = platform.start_with(&text);
-    successor.wait_log("serving");
-    until("the predecessor knows its successor", || has_logged(&predecessor, "a successor has begun"));
+    successor.wait_for_log("serving");
+    wait_until("the predecessor knows its successor", || has_logged(&predecessor, "a successor has begun"));
     predecessor.signal("-TERM");
     predecessor.signal("-HUP");
-    predecessor.wait_log("finishing what is held");
+    predecessor.wait_for_log("finishing what is held");
     successor.signal("-HUP");
-    successor.wait_log("discovery is at");
+    successor.wait_for_log("discovery is at");
     for _ in 0..30 {
-        assert_eq!(Client::to(platform.address).ask("fetch").status(), 200);
+        assert_eq!(Client::connect(platform.address).exchange("fetch").status(), 200);
     }
     assert!(telemetry_value(console, "known_upstreams") == 20);
     released.store(1, Ordering::SeqCst);
     for client in &mut held {
-        let answer = client.read().expect("an accepted request is answered");
+        let answer = client.read_answer().expect("an accepted request is answered");
         assert!(matches!(answer.status(), 200 | 503), "{answer:?}");
     }
-    assert!(predecessor.wait_exit().success());
+    assert!(predecessor.wait_for_exit().success());
 }
 
 #[test]
@@ -416,29 +439,29 @@
     let is_released = released.clone();
     let upstream = Upstream::new(move |message| {
         let is_released = is_released.clone();
-        match message.line.starts_with("POST /bill") {
-            true => Deed::play(move |stream| {
+        match message.start_line.starts_with("POST /bill") {
+            true => ScriptedResponse::custom(move |stream| {
                 std::io::Write::write_all(stream, b"HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n")
                     .unwrap();
                 std::io::Write::write_all(stream, &[b'x'; 100_000]).unwrap();
-                until("the test releases the answer", || is_released.load(Ordering::SeqCst) > 0);
+                wait_until("the test releases the answer", || is_released.load(Ordering::SeqCst) > 0);
                 std::io::Write::write_all(stream, &[b'x'; 100_000]).unwrap();
                 true
             }),
-            false => Deed::ok("served"),
+            false => ScriptedResponse::ok("served"),
         }
     });
     let platform = Platform::new(&[&upstream]);
     let mut predecessor = platform.start();
-    let mut client = Client::to(platform.address);
+    let mut client = Client::connect(platform.address);
     client.send("bill", 6_000);
     assert!(!std::io::BufRead::fill_buf(&mut client.reader).unwrap().is_empty(), "the answer has begun");
     let _successor = platform.start();
-    until("the predecessor knows its successor", || has_logged(&predecessor, "a successor has begun"));
+    wait_until("the predecessor knows its successor", || has_logged(&predecessor, "a successor has begun"));
     predecessor.signal("-TERM");
-    predecessor.wait_log("finishing what is held");
-    assert_eq!(Client::to(platform.address).ask("fetch").status(), 200);
+    predecessor.wait_for_log("finishing what is held");
+    assert_eq!(Client::connect(platform.address).exchange("fetch").status(), 200);
     released.store(1, Ordering::SeqCst);
-    assert_eq!(client.read().expect("the complete answer").body.len(), 200_000);
-    assert!(predecessor.wait_exit().success());
+    assert_eq!(client.read_answer().expect("the complete answer").body.len(), 200_000);
+    assert!(predecessor.wait_for_exit().success());
 }
