--- a/crates/sidecar/src/front.rs
+++ b/crates/sidecar/src/front.rs
@@ -339,10 +339,9 @@
             _ = connection.as_mut() => return,
             changed = lifecycle.changed() => {
                 drain_close_at = match changed {
-                    Ok(()) => {
-                        let used = requests_received.load(Ordering::Relaxed) > 0;
-                        lifecycle.borrow_and_update().idle_close_at(accepted_at, used)
-                    }
+                    Ok(()) => lifecycle
+                        .borrow_and_update()
+                        .idle_close_at(accepted_at, requests_received.load(Ordering::Relaxed) > 0),
                     Err(_) => Some(accepted_at),
                 };
                 if changed.is_err() {
