--- a/crates/cli/tests/loopback/final_answers.rs
+++ b/crates/cli/tests/loopback/final_answers.rs
@@ -1,115 +1,117 @@
-//! Whether an accepted request got exactly one whole final answer in time. Pure: times are arguments. The judge keeps one
-//! `Wait` for each request that a client of these tests sends whole. An answer's time is that of its last byte; of one that is
-//! longer than `SHORT_BYTES` the first bytes are timed, and the rest goes on for as long as its upstream gives it.
+//! Decides whether an accepted request got exactly one complete final answer in time. The functions are pure: times are
+//! arguments. The judge keeps one `ClientWait` for each request that a test client sent completely. An answer is timed by
+//! its last byte. An answer longer than `MAX_TIMED_TO_END_BYTES` is timed by its first byte, since its upstream sets the
+//! pace of the rest.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// An answer up to this much after its client's time only earns nothing; a later one is lost.
+/// An answer later than its client's timeout by at most this much earns nothing; a later one counts as lost.
 pub const MAX_LATENESS: Duration = Duration::from_millis(500);
 
-/// Of longer answers the first bytes are timed.
+/// The length up to which an answer is timed by its last byte; a longer one is timed by its first byte.
 pub const MAX_TIMED_TO_END_BYTES: u64 = 64 << 10;
 
 /// How a client's wait ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum WaitOutcome {
-    /// With a whole final answer.
+    /// A complete final answer was read.
     Answered,
-    /// With the end of the connection before that; whether anything of an answer had come.
+    /// The connection ended before a complete answer; `begun` if at least one byte of the answer had arrived.
     ConnectionClosed { begun: bool },
-    /// Nothing came for as long as the client reads.
+    /// The client's read timed out before any byte arrived.
     ReadTimedOut,
-    /// The client left first, or never looked.
+    /// The client left before the answer, or never read.
     ClientLeft,
 }
 
-/// The end of a wait.
+/// The end of a client's wait.
 #[derive(Debug, Clone, Copy)]
 pub struct WaitEnd {
     pub outcome: WaitOutcome,
-    /// Since when the client had been reading.
+    /// When the client began to read.
     pub reading_since: Instant,
-    /// When its first bytes were there.
     pub first_byte_at: Instant,
-    /// When it was over.
     pub ended_at: Instant,
-    /// How many bytes came.
+    /// The number of bytes received.
     pub bytes: u64,
 }
 
 impl WaitEnd {
-    /// The moment that counts.
-    fn timed(&self) -> Instant {
+    /// The time that is compared with the deadline: that of the first byte of a long answer, of the last byte otherwise.
+    fn timed_at(&self) -> Instant {
         if self.bytes > MAX_TIMED_TO_END_BYTES { self.first_byte_at } else { self.ended_at }
     }
 }
 
-/// What upstreams have done with the attempts of a request.
+/// The attempts of a request, as its upstreams saw them.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct UpstreamAttempts {
-    /// How many came whole.
+    /// The number of attempts that were received completely.
     pub received: usize,
-    /// Whether one of them may have broken off its answer: that is no fault of the sidecar's.
+    /// Whether an upstream may have truncated its answer, which is no fault of the sidecar.
     pub may_truncate: bool,
 }
 
 /// How a request was lost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Violation {
-    /// It got no answer at all.
+    /// The request got no answer.
     NoAnswer,
-    /// Its answer broke off although no upstream had broken off one.
+    /// The answer was truncated although no upstream had truncated one.
     Truncated,
-    /// Its answer, or the end of a torn one, came more than the slack after its time.
+    /// The answer, or the end of a truncated one, came more than `MAX_LATENESS` after the client's timeout.
     Late,
-    /// More came than one answer.
+    /// Further bytes followed the answer.
     Surplus,
 }
 
-/// The wait of a client for the answer to an accepted request.
+/// A client's wait for the answer to an accepted request.
 #[derive(Debug, Clone, Copy)]
 pub struct ClientWait {
-    /// When its last byte was written.
+    /// When the last byte of the request was written.
     pub accepted_at: Instant,
-    /// Where it was accepted, if that is known.
+    /// The address that accepted the request, if known.
     pub accepted_by: Option<SocketAddr>,
-    /// How long its client waits.
+    /// The client's timeout.
     pub timeout: Duration,
-    /// Whether its connection had carried nothing before.
+    /// Whether the connection had not carried any bytes before this request.
     pub on_new_connection: bool,
-    /// Its end.
+    /// The end of the wait, once it has ended.
     pub end: Option<WaitEnd>,
-    /// Whether more came behind its answer.
+    /// Whether further bytes followed the answer.
     pub has_surplus: bool,
 }
 
 impl ClientWait {
-    fn due(&self) -> Instant {
+    fn latest_answer_at(&self) -> Instant {
         self.accepted_at + self.timeout + MAX_LATENESS
     }
 
-    /// Whether the end came too late. Of a client that began to read only then nobody can tell.
-    fn is_late(&self, ended: &WaitEnd) -> bool {
-        ended.timed() > self.due() && ended.reading_since <= self.due()
+    /// Whether the wait ended too late. If the client began to read only after the latest acceptable time, lateness cannot
+    /// be determined and is not reported.
+    fn is_late(&self, end: &WaitEnd) -> bool {
+        end.timed_at() > self.latest_answer_at() && end.reading_since <= self.latest_answer_at()
     }
 
-    /// Whether it crossed the close of a resting connection: its client may send it once more.
+    /// Whether the request crossed the close of an idle connection, in which case its client may send it again.
     pub fn crossed_idle_close(&self, attempts: UpstreamAttempts) -> bool {
-        let cut_off =
-            self.end.is_some_and(|ended| ended.outcome == WaitOutcome::ConnectionClosed { begun: false });
-        cut_off && !self.on_new_connection && attempts.received == 0
+        let closed_without_answer =
+            self.end.is_some_and(|end| end.outcome == WaitOutcome::ConnectionClosed { begun: false });
+        closed_without_answer && !self.on_new_connection && attempts.received == 0
     }
 
-    /// How it was lost, if it was.
+    /// How the request was lost, or `None` if it was not lost.
     pub fn violation(&self, attempts: UpstreamAttempts) -> Option<Violation> {
         if self.has_surplus {
             return Some(Violation::Surplus);
         }
-        let ended = self.end?;
-        match ended.outcome {
+        let end = self.end?;
+        match end.outcome {
             WaitOutcome::ClientLeft => None,
-            WaitOutcome::ReadTimedOut => (ended.ended_at > self.due()).then_some(Violation::NoAnswer),
+            WaitOutcome::ReadTimedOut => {
+                (end.ended_at > self.latest_answer_at()).then_some(Violation::NoAnswer)
+            }
             WaitOutcome::ConnectionClosed { begun: false } => {
                 (!self.crossed_idle_close(attempts)).then_some(Violation::NoAnswer)
             }
@@ -117,33 +119,33 @@
                 Some(Violation::Truncated)
             }
             WaitOutcome::ConnectionClosed { begun: true } | WaitOutcome::Answered => {
-                self.is_late(&ended).then_some(Violation::Late)
+                self.is_late(&end).then_some(Violation::Late)
             }
         }
     }
 }
 
-/// The accepted requests of a test process by what became of them.
+/// The number of accepted requests of a test process, in total and by result.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct RequestCounts {
     pub accepted: usize,
-    /// One whole final answer, in time as far as anybody could tell.
+    /// One complete final answer that was not observed to be late.
     pub answered: usize,
-    /// The client left first.
+    /// The client left before the answer.
     pub client_left: usize,
-    /// Broken off after an upstream had broken off.
+    /// The answer was truncated, and an upstream may have truncated it.
     pub truncated_by_upstream: usize,
     pub crossed_idle_close: usize,
-    /// Not at their end yet.
+    /// The wait has not ended, or the client stopped reading before the latest acceptable time.
     pub waiting: usize,
     pub lost: usize,
 }
 
 impl RequestCounts {
-    /// Counts one more.
+    /// Counts one request.
     pub fn add(&mut self, wait: &ClientWait, attempts: UpstreamAttempts) {
         self.accepted += 1;
-        let place = match wait.end.map(|ended| ended.outcome) {
+        let count = match wait.end.map(|end| end.outcome) {
             _ if wait.violation(attempts).is_some() => &mut self.lost,
             None | Some(WaitOutcome::ReadTimedOut) => &mut self.waiting,
             Some(WaitOutcome::Answered) => &mut self.answered,
@@ -151,6 +153,6 @@
             Some(WaitOutcome::ConnectionClosed { begun: true }) => &mut self.truncated_by_upstream,
             Some(WaitOutcome::ConnectionClosed { begun: false }) => &mut self.crossed_idle_close,
         };
-        *place += 1;
+        *count += 1;
     }
 }
--- a/crates/cli/tests/loopback/mod.rs
+++ b/crates/cli/tests/loopback/mod.rs
@@ -1,4 +1,4 @@
-//! A small stage of real sockets: upstreams, discovery and clients that do as a test tells them.
+//! Test doubles on loopback sockets: scripted upstreams, discovery and clients, and the real program as a child process.
 #![allow(dead_code)]
 
 pub mod final_answers;
@@ -15,28 +15,28 @@
 
 use final_answers::{WaitEnd, WaitOutcome};
 
-/// Nothing here takes this long unless it never comes.
+/// The longest wait for any event of a test; reaching it means that the event does not happen.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Waits for a condition.
-pub fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until the condition holds; panics with its description after `WAIT_TIMEOUT`.
+pub fn wait_until(condition: &str, mut holds: impl FnMut() -> bool) {
     let start = Instant::now();
     while !holds() {
-        assert!(start.elapsed() < WAIT_TIMEOUT, "waited in vain: {what}");
+        assert!(start.elapsed() < WAIT_TIMEOUT, "condition not met within {WAIT_TIMEOUT:?}: {condition}");
         std::thread::sleep(Duration::from_millis(5));
     }
 }
 
-/// A message of HTTP/1.1 as it was read.
+/// A received HTTP/1.1 request or answer.
 #[derive(Debug, Clone, Default)]
 pub struct Message {
-    /// The first line.
+    /// The request line or status line.
     pub start_line: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// For an upstream: which of its connections it came on.
+    /// On an upstream: the index of the connection that carried the request.
     pub connection: usize,
-    /// For an upstream: its place among all that happened on this stage.
+    /// On an upstream: the position among the events of all upstreams of this test process.
     pub sequence: u64,
 }
 
@@ -50,7 +50,7 @@
     }
 }
 
-/// Reads one message; `None` at the end of the connection or when it breaks.
+/// Reads one message; `None` if the connection ends or fails before the message is complete.
 pub fn read_message(reader: &mut impl BufRead) -> Option<Message> {
     let mut message = Message::default();
     reader.read_line(&mut message.start_line).ok().filter(|read| *read > 0)?;
@@ -71,16 +71,16 @@
     Some(message)
 }
 
-/// A body in chunks, with what follows them; `None` if it is not whole.
+/// Reads a chunked body and its trailers; `None` if they are incomplete.
 fn read_chunks(reader: &mut impl BufRead) -> Option<Vec<u8>> {
     let mut body = Vec::new();
     loop {
         let mut line = String::new();
         reader.read_line(&mut line).ok().filter(|read| *read > 0)?;
         let size = usize::from_str_radix(line.split(';').next()?.trim(), 16).ok()?;
-        let at = body.len();
-        body.resize(at + size, 0);
-        reader.read_exact(&mut body[at..]).ok()?;
+        let chunk_start = body.len();
+        body.resize(chunk_start + size, 0);
+        reader.read_exact(&mut body[chunk_start..]).ok()?;
         loop {
             line.clear();
             reader.read_line(&mut line).ok().filter(|read| *read > 0)?;
@@ -94,42 +94,42 @@
     }
 }
 
-/// What an upstream does with a request.
+/// The response of an upstream to a request.
 #[derive(Clone)]
 pub enum ScriptedResponse {
-    /// Answers: status, further header lines, body.
+    /// Answers with a status, additional header lines and a body.
     Answer(u16, &'static str, Vec<u8>),
-    /// Writes this and says no more, with the connection left open.
+    /// Writes these bytes and nothing more; the connection stays open.
     Raw(&'static [u8]),
-    /// Writes this and closes.
+    /// Writes these bytes and closes the connection.
     RawAndClose(&'static [u8]),
-    /// Says nothing until the other side closes.
+    /// Writes nothing; the connection stays open until the other side closes it.
     Unresponsive,
-    /// The same, and tells the test of the close.
+    /// Writes nothing, and notifies the test when the other side closes the connection.
     UnresponsiveUntilClosed(mpsc::Sender<()>),
-    /// Closes without a word.
+    /// Closes the connection without an answer.
     Close,
-    /// Begins an answer and closes in the middle.
+    /// Writes part of an answer and closes the connection.
     TruncatedAnswer,
-    /// Answers, and closes the connection a moment later without having said so.
+    /// Answers without `Connection: close`, and closes the connection 20 ms later.
     AnswerAndClose,
-    /// Answers once the test says so.
+    /// Answers once the test sets the number above zero.
     AnswerWhenReleased(Arc<AtomicUsize>),
-    /// Writes this and resets the connection.
+    /// Writes these bytes and resets the connection.
     RawAndReset(&'static [u8]),
-    /// Does this with the connection, which goes on if it says so.
+    /// Runs a function on the connection, which stays open if the function returns true.
     Custom(Arc<dyn Fn(&mut TcpStream) -> bool + Send + Sync>),
-    /// Does this with the connection, and resets it.
+    /// Runs a function on the connection and resets it.
     CustomAndReset(Arc<dyn Fn(&mut TcpStream) + Send + Sync>),
 }
 
 impl ScriptedResponse {
-    pub fn custom(what: impl Fn(&mut TcpStream) -> bool + Send + Sync + 'static) -> ScriptedResponse {
-        ScriptedResponse::Custom(Arc::new(what))
+    pub fn custom(action: impl Fn(&mut TcpStream) -> bool + Send + Sync + 'static) -> ScriptedResponse {
+        ScriptedResponse::Custom(Arc::new(action))
     }
 
-    pub fn custom_and_reset(what: impl Fn(&mut TcpStream) + Send + Sync + 'static) -> ScriptedResponse {
-        ScriptedResponse::CustomAndReset(Arc::new(what))
+    pub fn custom_and_reset(action: impl Fn(&mut TcpStream) + Send + Sync + 'static) -> ScriptedResponse {
+        ScriptedResponse::CustomAndReset(Arc::new(action))
     }
 
     pub fn ok(body: &str) -> ScriptedResponse {
@@ -138,57 +138,58 @@
 }
 
 #[derive(Default)]
-struct Log {
+struct UpstreamLog {
     requests: Mutex<Vec<Message>>,
+    /// The index of each connection closed by the other side, and the event number of the close.
     closed: Mutex<Vec<(usize, u64)>>,
-    connections: AtomicUsize,
+    connection_count: AtomicUsize,
 }
 
-/// The order of happenings over all upstreams of a test process.
-static CLOCK: AtomicU64 = AtomicU64::new(1);
+/// The next event number, over all upstreams of a test process.
+static EVENT_SEQUENCE: AtomicU64 = AtomicU64::new(1);
 
-/// An upstream on a port of its own.
+/// A scripted upstream on its own port. Probes are answered without the script and are not recorded.
 pub struct Upstream {
     pub address: SocketAddr,
-    log: Arc<Log>,
+    log: Arc<UpstreamLog>,
 }
 
 impl Upstream {
-    pub fn new(deed: impl Fn(&Message) -> ScriptedResponse + Send + Sync + 'static) -> Upstream {
+    pub fn new(respond: impl Fn(&Message) -> ScriptedResponse + Send + Sync + 'static) -> Upstream {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let log = Arc::new(Log::default());
-        let (deed, kept) = (Arc::new(deed), log.clone());
+        let log = Arc::new(UpstreamLog::default());
+        let (respond, shared_log) = (Arc::new(respond), log.clone());
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let (deed, log) = (deed.clone(), kept.clone());
-                std::thread::spawn(move || serve(stream, &*deed, &log));
+                let (respond, log) = (respond.clone(), shared_log.clone());
+                std::thread::spawn(move || serve(stream, &*respond, &log));
             }
         });
         Upstream { address, log }
     }
 
-    /// The requests that came whole, probes apart.
+    /// The completely received requests, without probes.
     pub fn requests(&self) -> Vec<Message> {
         self.log.requests.lock().unwrap().clone()
     }
 
     pub fn connection_count(&self) -> usize {
-        self.log.connections.load(Ordering::SeqCst)
+        self.log.connection_count.load(Ordering::SeqCst)
     }
 
-    /// When a connection was closed from the other side.
+    /// The event number of the close of a connection by the other side.
     pub fn closed_at(&self, connection: usize) -> Option<u64> {
-        self.log.closed.lock().unwrap().iter().find(|(c, _)| *c == connection).map(|(_, at)| *at)
+        self.log.closed.lock().unwrap().iter().find(|(index, _)| *index == connection).map(|(_, at)| *at)
     }
 }
 
-fn serve(stream: TcpStream, deed: &dyn Fn(&Message) -> ScriptedResponse, log: &Log) {
-    let connection = log.connections.fetch_add(1, Ordering::SeqCst);
+fn serve(stream: TcpStream, respond: &dyn Fn(&Message) -> ScriptedResponse, log: &UpstreamLog) {
+    let connection = log.connection_count.fetch_add(1, Ordering::SeqCst);
     let mut writer = stream.try_clone().unwrap();
     let mut reader = BufReader::new(stream);
-    let answer = |status: u16, more: &str, body: &[u8]| {
-        let head = format!("HTTP/1.1 {status} x\r\nContent-Length: {}\r\n{more}\r\n", body.len());
+    let answer = |status: u16, headers: &str, body: &[u8]| {
+        let head = format!("HTTP/1.1 {status} x\r\nContent-Length: {}\r\n{headers}\r\n", body.len());
         [head.as_bytes(), body].concat()
     };
     while let Some(mut message) = read_message(&mut reader) {
@@ -197,13 +198,13 @@
             continue;
         }
         message.connection = connection;
-        message.sequence = CLOCK.fetch_add(1, Ordering::SeqCst);
-        let what = deed(&message);
-        judge::record_received(&message, &what);
+        message.sequence = EVENT_SEQUENCE.fetch_add(1, Ordering::SeqCst);
+        let response = respond(&message);
+        judge::record_received(&message, &response);
         log.requests.lock().unwrap().push(message);
-        match what {
-            ScriptedResponse::Answer(status, more, body) => {
-                drop(writer.write_all(&answer(status, more, &body)))
+        match response {
+            ScriptedResponse::Answer(status, headers, body) => {
+                drop(writer.write_all(&answer(status, headers, &body)))
             }
             ScriptedResponse::Raw(bytes) => drop(writer.write_all(bytes)),
             ScriptedResponse::RawAndClose(bytes) => {
@@ -229,56 +230,56 @@
             }
             ScriptedResponse::RawAndReset(bytes) => {
                 let _ = writer.write_all(bytes);
-                // It is read before the reset takes it away.
+                // A reset discards bytes that the other side has not read yet.
                 std::thread::sleep(Duration::from_millis(50));
                 let _ = rustix::net::sockopt::set_socket_linger(&writer, Some(Duration::ZERO));
                 return;
             }
-            ScriptedResponse::Custom(what) => {
-                if !what(&mut writer) {
+            ScriptedResponse::Custom(action) => {
+                if !action(&mut writer) {
                     return drop(reader.get_ref().shutdown(Shutdown::Both));
                 }
             }
-            ScriptedResponse::CustomAndReset(what) => {
-                what(&mut writer);
+            ScriptedResponse::CustomAndReset(action) => {
+                action(&mut writer);
                 let _ = rustix::net::sockopt::set_socket_linger(&writer, Some(Duration::ZERO));
                 return;
             }
-            ScriptedResponse::AnswerWhenReleased(go) => {
-                wait_until("the test lets go", || go.load(Ordering::SeqCst) > 0);
+            ScriptedResponse::AnswerWhenReleased(released) => {
+                wait_until("the test releases the answer", || released.load(Ordering::SeqCst) > 0);
                 let _ = writer.write_all(&answer(200, "", b"late"));
             }
         }
     }
-    log.closed.lock().unwrap().push((connection, CLOCK.fetch_add(1, Ordering::SeqCst)));
+    log.closed.lock().unwrap().push((connection, EVENT_SEQUENCE.fetch_add(1, Ordering::SeqCst)));
 }
 
-/// Discovery: what it is given to say, it says on every watch.
+/// A stand-in for discovery that serves one watch at a time.
 pub struct Discovery {
     pub address: SocketAddr,
-    lines: mpsc::Sender<Option<Vec<u8>>>,
+    /// Bytes to send as a chunk on the open watch, or `None` to close the watch.
+    commands: mpsc::Sender<Option<Vec<u8>>>,
     watches: Arc<Mutex<Vec<String>>>,
 }
 
 impl Discovery {
-    /// Says this first on every watch.
+    /// Starts discovery; every watch begins with the line `first`.
     pub fn new(first: &str) -> Discovery {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
-        let (lines, said) = mpsc::channel::<Option<Vec<u8>>>();
+        let (commands, received_commands) = mpsc::channel::<Option<Vec<u8>>>();
         let watches = Arc::new(Mutex::new(Vec::new()));
-        let (seen, first) = (watches.clone(), first.to_owned());
+        let (recorded, first) = (watches.clone(), first.to_owned());
         std::thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
                 let mut reader = BufReader::new(stream.try_clone().unwrap());
                 let Some(request) = read_message(&mut reader) else { continue };
-                seen.lock().unwrap().push(request.start_line);
+                recorded.lock().unwrap().push(request.start_line);
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 let _ = write_chunk(&mut stream, format!("{first}\n").as_bytes());
                 loop {
-                    match said.recv_timeout(Duration::from_millis(300)) {
+                    match received_commands.recv_timeout(Duration::from_millis(300)) {
                         Ok(Some(bytes)) => drop(write_chunk(&mut stream, &bytes)),
-                        // The test breaks the watch.
                         Ok(None) => break,
                         Err(mpsc::RecvTimeoutError::Timeout) if write_chunk(&mut stream, b"\n").is_err() => {
                             break;
@@ -289,47 +290,48 @@
                 }
             }
         });
-        Discovery { address, lines, watches }
+        Discovery { address, commands, watches }
     }
 
+    /// Sends text as one chunk on the open watch.
     pub fn publish(&self, text: &str) {
-        self.lines.send(Some(text.as_bytes().to_vec())).unwrap();
+        self.commands.send(Some(text.as_bytes().to_vec())).unwrap();
     }
 
     pub fn close_watch(&self) {
-        self.lines.send(None).unwrap();
+        self.commands.send(None).unwrap();
     }
 
-    /// The first lines of the watches so far.
+    /// The request lines of the watches so far.
     pub fn watches(&self) -> Vec<String> {
         self.watches.lock().unwrap().clone()
     }
 }
 
-/// Discovery that does with each watch, counted from 0, as the test says, once the watch has been asked for and its head
-/// answered. Where it listens, and the first lines of the watches so far.
+/// Starts a discovery that runs `serve_watch` on each watch, numbered from 0, after the head of the answer is written.
+/// Returns its address and the request lines of the watches so far.
 pub fn scripted_discovery(
-    what: impl Fn(usize, &mut TcpStream) + Send + Sync + 'static,
+    serve_watch: impl Fn(usize, &mut TcpStream) + Send + Sync + 'static,
 ) -> (SocketAddr, Arc<Mutex<Vec<String>>>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let (asked, what) = (Arc::new(Mutex::new(Vec::new())), Arc::new(what));
-    let seen = asked.clone();
+    let (watches, serve_watch) = (Arc::new(Mutex::new(Vec::new())), Arc::new(serve_watch));
+    let recorded = watches.clone();
     std::thread::spawn(move || {
         for (number, mut stream) in listener.incoming().flatten().enumerate() {
-            let (seen, what) = (seen.clone(), what.clone());
+            let (recorded, serve_watch) = (recorded.clone(), serve_watch.clone());
             std::thread::spawn(move || {
                 let mut reader = BufReader::new(stream.try_clone().unwrap());
                 let Some(request) = read_message(&mut reader) else { return };
-                seen.lock().unwrap().push(request.start_line);
+                recorded.lock().unwrap().push(request.start_line);
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                what(number, &mut stream);
-                // The watch stays open until the sidecar lets it go.
+                serve_watch(number, &mut stream);
+                // Keeps the watch open until the sidecar closes it.
                 let _ = read_message(&mut reader);
             });
         }
     });
-    (address, asked)
+    (address, watches)
 }
 
 pub fn write_chunk(stream: &mut TcpStream, bytes: &[u8]) -> std::io::Result<()> {
@@ -344,12 +346,12 @@
     )
 }
 
-/// A list in discovery's form.
+/// A server list as discovery sends it; a list that is not `whole` is an update.
 pub fn server_list(seq: u64, whole: bool, entries: &[String]) -> String {
     format!(r#"{{"seq":{seq},"whole":{whole},"hosts":[{}]}}"#, entries.join(","))
 }
 
-/// A list of ready upstreams named a, b, c...
+/// A complete list with these upstreams as ready servers named a, b, c...
 pub fn ready_server_list(upstreams: &[&Upstream]) -> String {
     let name = |number: usize| char::from(b'a' + number as u8).to_string();
     let entries: Vec<String> =
@@ -357,7 +359,7 @@
     server_list(5, true, &entries)
 }
 
-/// The settings, in the names of the wire. All servers share a cell.
+/// The settings in their serialized form. All servers are in the same cell.
 pub const SETTINGS: &str = r#"{"allowed":{"cancel":true,"connect_timeout":2000.0,"keepalive":60000.0,
 "max_attempts":4,"max_retry_after":600.0,"may_duplicate":false,"multiplex":1,"probes":true,"retry_after":true},
 "azs":["east","west"],"classes":[
@@ -369,7 +371,7 @@
 "membership_mode":"automatic","peers_total":3,"period":5.0,"rank":0,
 "telemetry":{"columns":["inflight","eps","util"],"how":"pull"},"tenants":[],"weights":"rough","zone":0}"#;
 
-/// A configuration file; `known` is a list in discovery's form, or `null`.
+/// The text of a configuration file; `known` is a server list as discovery sends it, or `null`.
 pub fn config_json(
     listen: &str,
     discovery: SocketAddr,
@@ -383,35 +385,36 @@
     )
 }
 
-/// The real program.
+/// The real program as a child process. Dropping it kills the process and runs the checks of the judge.
 pub struct Sidecar {
     pub child: Child,
-    /// Its configuration file.
     pub config_file: PathBuf,
     pub address: SocketAddr,
+    /// The lines of standard error so far.
     pub log: Arc<Mutex<Vec<String>>>,
 }
 
-static FILES: AtomicUsize = AtomicUsize::new(0);
+static NEXT_FILE_NUMBER: AtomicUsize = AtomicUsize::new(0);
 
-/// Starts the program on a configuration, with its standard error piped.
+/// Starts the program with a configuration; its standard error is piped.
 pub fn spawn_program(config: &str) -> Child {
     spawn_with_limit_and_env(config, None, &[]).0
 }
 
-/// The same with these variables in its environment.
+/// Starts the program with additional environment variables.
 pub fn spawn_with_env(config: &str, variables: &[(&str, &PathBuf)]) -> Child {
     spawn_with_limit_and_env(config, None, variables).0
 }
 
-/// The same with a limit on its descriptors.
+/// Starts the program with an optional limit on open descriptors and additional environment variables. Returns it with its
+/// configuration file.
 fn spawn_with_limit_and_env(
     config: &str,
-    descriptors: Option<u32>,
+    max_descriptors: Option<u32>,
     variables: &[(&str, &PathBuf)],
 ) -> (Child, PathBuf) {
-    let path = written(config);
-    let limit = descriptors.map_or(String::new(), |count| format!("ulimit -n {count} && "));
+    let path = write_config_file(config);
+    let limit = max_descriptors.map_or(String::new(), |count| format!("ulimit -n {count} && "));
     let child = Command::new("sh")
         .args(["-c", &format!("{limit}exec \"$0\""), env!("CARGO_BIN_EXE_sagemast")])
         .env("ROUTER_CONFIG", &path)
@@ -424,13 +427,13 @@
     (child, path)
 }
 
-/// The program on a listening socket that the test holds, as descriptor 3.
+/// Starts the program with the test's listening socket as descriptor 3. Returns it with its configuration file.
 pub fn spawn_on_socket(
     socket: &TcpListener,
     config: &str,
     variables: &[(&str, &PathBuf)],
 ) -> (Child, PathBuf) {
-    let path = written(config);
+    let path = write_config_file(config);
     let child = Command::new("sh")
         .args(["-c", "exec 3<&0 0</dev/null; exec \"$0\"", env!("CARGO_BIN_EXE_sagemast")])
         .env("ROUTER_CONFIG", &path)
@@ -444,9 +447,9 @@
     (child, path)
 }
 
-/// A configuration in a file of its own.
-fn written(config: &str) -> PathBuf {
-    let number = FILES.fetch_add(1, Ordering::SeqCst);
+/// Writes a configuration to a new file.
+fn write_config_file(config: &str) -> PathBuf {
+    let number = NEXT_FILE_NUMBER.fetch_add(1, Ordering::SeqCst);
     let name = format!("sagemast-{}-{number}.json", std::process::id());
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     std::fs::write(&path, config).unwrap();
@@ -454,52 +457,54 @@
 }
 
 impl Sidecar {
-    /// Starts it and waits until it listens.
+    /// Starts the program and waits until it listens.
     pub fn start(config: &str) -> Sidecar {
         Sidecar::start_with_descriptor_limit(config, None)
     }
 
-    /// The same with a limit on its descriptors.
-    pub fn start_with_descriptor_limit(config: &str, descriptors: Option<u32>) -> Sidecar {
-        Sidecar::from_child(spawn_with_limit_and_env(config, descriptors, &[]))
+    /// Starts the program with an optional limit on open descriptors.
+    pub fn start_with_descriptor_limit(config: &str, max_descriptors: Option<u32>) -> Sidecar {
+        Sidecar::from_child(spawn_with_limit_and_env(config, max_descriptors, &[]))
     }
 
-    /// The same with these variables in its environment.
+    /// Starts the program with additional environment variables.
     pub fn start_with_env(config: &str, variables: &[(&str, &PathBuf)]) -> Sidecar {
         Sidecar::from_child(spawn_with_limit_and_env(config, None, variables))
     }
 
-    /// Starts it on a listening socket that the test holds, as descriptor 3, with these variables in its environment.
+    /// Starts the program with the test's listening socket as descriptor 3 and additional environment variables.
     pub fn start_on_socket(socket: &TcpListener, config: &str, variables: &[(&str, &PathBuf)]) -> Sidecar {
-        let (child, file) = spawn_on_socket(socket, config, variables);
-        Sidecar::from_child((child, file))
+        let (child, config_file) = spawn_on_socket(socket, config, variables);
+        Sidecar::from_child((child, config_file))
     }
 
-    fn from_child((mut child, file): (Child, PathBuf)) -> Sidecar {
-        let mut errors = BufReader::new(child.stderr.take().unwrap());
+    /// Collects the log of the process and waits until the process listens.
+    fn from_child((mut child, config_file): (Child, PathBuf)) -> Sidecar {
+        let mut standard_error = BufReader::new(child.stderr.take().unwrap());
         let log = Arc::new(Mutex::new(Vec::new()));
-        let kept = log.clone();
+        let shared_log = log.clone();
         std::thread::spawn(move || {
             let mut line = String::new();
-            while errors.read_line(&mut line).is_ok_and(|read| read > 0) {
-                kept.lock().unwrap().push(std::mem::take(&mut line));
+            while standard_error.read_line(&mut line).is_ok_and(|read| read > 0) {
+                shared_log.lock().unwrap().push(std::mem::take(&mut line));
             }
         });
         let mut address = None;
-        wait_until("it listens", || {
+        wait_until("the program listens", || {
             let log = log.lock().unwrap();
-            let said = log.iter().find_map(|line| line.split_once("listening on ").map(|(_, at)| at));
-            address = said.and_then(|at| at.trim().parse().ok());
+            let logged = log.iter().find_map(|line| line.split_once("listening on ").map(|(_, rest)| rest));
+            address = logged.and_then(|text| text.trim().parse().ok());
             address.is_some()
         });
-        Sidecar { child, config_file: file, address: address.unwrap(), log }
+        Sidecar { child, config_file, address: address.unwrap(), log }
     }
 
-    /// Starts it with these upstreams and waits until it is up.
+    /// Starts the program with these upstreams and the default settings, and waits until it is up.
     pub fn start_with_upstreams(upstreams: &[&Upstream]) -> (Sidecar, Discovery) {
         Sidecar::start_with_settings(upstreams, SETTINGS)
     }
 
+    /// Starts the program with these upstreams and settings, and waits until it is up.
     pub fn start_with_settings(upstreams: &[&Upstream], settings: &str) -> (Sidecar, Discovery) {
         let known = ready_server_list(upstreams);
         let discovery = Discovery::new(&known);
@@ -508,22 +513,24 @@
         (sidecar, discovery)
     }
 
-    /// Waits until its log holds this.
+    /// Waits until a log line contains this text.
     pub fn wait_for_log(&self, text: &str) {
-        wait_until(text, || self.log.lock().unwrap().iter().any(|line| line.contains(text)));
+        wait_until(&format!("the log contains {text:?}"), || {
+            self.log.lock().unwrap().iter().any(|line| line.contains(text))
+        });
     }
 
-    /// Puts another configuration in the place of its file and tells it so.
+    /// Replaces the configuration file atomically and signals the program to reload it.
     pub fn reload(&self, config: &str) {
-        let beside = self.config_file.with_extension("new");
-        std::fs::write(&beside, config).unwrap();
-        std::fs::rename(&beside, &self.config_file).unwrap();
+        let new_file = self.config_file.with_extension("new");
+        std::fs::write(&new_file, config).unwrap();
+        std::fs::rename(&new_file, &self.config_file).unwrap();
         self.signal("-HUP");
     }
 
     pub fn wait_until_up(&self) {
-        wait_until("it is up", || {
-            Client::connect(self.address).get("/up").is_some_and(|got| got.status() == 200)
+        wait_until("the sidecar is up", || {
+            Client::connect(self.address).get("/up").is_some_and(|answer| answer.status() == 200)
         });
     }
 
@@ -532,11 +539,11 @@
         assert!(Command::new("kill").args([name, &id]).status().unwrap().success());
     }
 
-    /// Stops it where it is, until it is told to go on by SIGCONT.
+    /// Suspends the process until it gets SIGCONT; returns once it is stopped.
     pub fn suspend(&self) {
         self.signal("-STOP");
         let file = format!("/proc/{}/stat", self.child.id());
-        wait_until("it stands still", || {
+        wait_until("the process is stopped", || {
             std::fs::read_to_string(&file)
                 .unwrap()
                 .rsplit(") ")
@@ -547,7 +554,7 @@
 
     pub fn wait_for_exit(&mut self) -> ExitStatus {
         let mut status = None;
-        wait_until("it ends", || {
+        wait_until("the process ends", || {
             status = self.child.try_wait().unwrap();
             status.is_some()
         });
@@ -566,52 +573,59 @@
     }
 }
 
-/// A client with one connection.
+/// A client with one connection, which reports its requests and answers to the judge.
 pub struct Client {
     pub reader: BufReader<TcpStream>,
-    /// The ids of its requests that have no answer yet.
-    asked: VecDeque<String>,
-    /// The last one that has its answer.
-    answered: Option<String>,
-    /// Whether it has written anything but requests that the judge knows of.
-    is_raw: bool,
+    /// The ids of the requests without an answer, in the order of sending.
+    unanswered_ids: VecDeque<String>,
+    /// The id of the request that was answered last.
+    last_answered_id: Option<String>,
+    /// Whether the client has written bytes that are not reported to the judge.
+    wrote_unreported_bytes: bool,
 }
 
 impl Client {
     pub fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).unwrap();
         stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
-        Client { reader: BufReader::new(stream), asked: VecDeque::new(), answered: None, is_raw: false }
+        Client {
+            reader: BufReader::new(stream),
+            unanswered_ids: VecDeque::new(),
+            last_answered_id: None,
+            wrote_unreported_bytes: false,
+        }
     }
 
+    /// Writes bytes that the judge does not learn of.
     pub fn write(&mut self, text: &[u8]) {
-        self.is_raw = true;
+        self.wrote_unreported_bytes = true;
         self.try_write(text);
     }
 
-    /// Whether all of it was written: not if the other side has said no and closed.
+    /// Writes bytes; returns false if the other side has closed the connection, for example after a refusal.
     fn try_write(&mut self, text: &[u8]) -> bool {
         match self.reader.get_mut().write_all(text) {
             Ok(()) => true,
-            // What it said is still to be read.
+            // An answer may still be readable.
             Err(error) if matches!(error.kind(), ErrorKind::BrokenPipe | ErrorKind::ConnectionReset) => false,
             Err(error) => panic!("{error}"),
         }
     }
 
+    /// Reads the next answer; `None` if no complete answer comes.
     pub fn read_answer(&mut self) -> Option<Message> {
         let (answer, ended) = self.read_answer_and_end();
-        if let Some(id) = self.asked.pop_front() {
+        if let Some(id) = self.unanswered_ids.pop_front() {
             judge::record_end(&id, ended);
             if let Some(answer) = &answer {
                 judge::record_answer(&id, answer.status());
-                self.answered = Some(id);
+                self.last_answered_id = Some(id);
             }
         }
         answer
     }
 
-    /// The next answer, if it comes whole, and how the wait for it ended.
+    /// Reads the next answer, if it is complete, and how the wait for it ended.
     fn read_answer_and_end(&mut self) -> (Option<Message>, WaitEnd) {
         let read_from = Instant::now();
         let first = self.reader.fill_buf().map(|bytes| !bytes.is_empty());
@@ -638,7 +652,7 @@
         (answer, ended(end, bytes))
     }
 
-    /// Whether anything has come that answers none of its requests. Only asked where the judge knows of all of them.
+    /// Whether unread bytes have arrived. Only meaningful if all requests were reported to the judge and have their answers.
     fn has_surplus(&self) -> bool {
         let stream = self.reader.get_ref();
         let in_socket =
@@ -646,7 +660,7 @@
         !self.reader.buffer().is_empty() || in_socket()
     }
 
-    /// Reads on until the other side closes; what came before that. `None` if it does not close.
+    /// Reads until the other side closes the connection and returns the bytes; `None` if it does not close.
     pub fn read_until_close(&mut self) -> Option<Vec<u8>> {
         let mut rest = Vec::new();
         match self.reader.read_to_end(&mut rest) {
@@ -661,32 +675,34 @@
         self.read_answer()
     }
 
-    /// Sends a whole request of a class.
+    /// Sends a complete request of a class.
     pub fn send(&mut self, class: &str, timeout_ms: u64) {
         self.send_and_return_id(class, timeout_ms);
     }
 
-    /// The same; its id.
+    /// Sends a complete request of a class and returns the request's id.
     pub fn send_and_return_id(&mut self, class: &str, timeout_ms: u64) -> String {
         let (id, text) = request_with_id(class, timeout_ms);
-        let is_new = self.answered.is_none() && self.asked.is_empty() && !self.is_raw;
-        self.asked.push_back(id.clone());
+        let on_new_connection =
+            self.last_answered_id.is_none() && self.unanswered_ids.is_empty() && !self.wrote_unreported_bytes;
+        self.unanswered_ids.push_back(id.clone());
         if self.try_write(text.as_bytes()) {
-            let by = self.reader.get_ref().peer_addr().ok();
-            judge::record_accepted(&id, by, Duration::from_millis(timeout_ms), is_new);
+            let accepted_by = self.reader.get_ref().peer_addr().ok();
+            judge::record_accepted(&id, accepted_by, Duration::from_millis(timeout_ms), on_new_connection);
         }
         id
     }
 
+    /// Sends a request with a timeout of 6 s and reads the answer.
     pub fn exchange(&mut self, class: &str) -> Message {
         self.send(class, 6_000);
-        self.read_answer().expect("a whole answer")
+        self.read_answer().expect("a complete answer")
     }
 }
 
 impl Drop for Client {
     fn drop(&mut self) {
-        for id in &self.asked {
+        for id in &self.unanswered_ids {
             let now = Instant::now();
             judge::record_end(
                 id,
@@ -699,23 +715,23 @@
                 },
             );
         }
-        let known = self.asked.is_empty() && !self.is_raw;
-        if let Some(id) = self.answered.take().filter(|_| known && self.has_surplus()) {
+        let all_answered = self.unanswered_ids.is_empty() && !self.wrote_unreported_bytes;
+        if let Some(id) = self.last_answered_id.take().filter(|_| all_answered && self.has_surplus()) {
             judge::record_surplus(&id);
         }
     }
 }
 
-static IDS: AtomicU64 = AtomicU64::new(1);
+static NEXT_REQUEST_ID: AtomicU64 = AtomicU64::new(1);
 
-/// A request as the application sends it.
+/// The text of a request as an application sends it.
 pub fn request(class: &str, timeout_ms: u64) -> String {
     request_with_id(class, timeout_ms).1
 }
 
-/// The same, and its id.
+/// The id and the text of a request as an application sends it.
 pub fn request_with_id(class: &str, timeout_ms: u64) -> (String, String) {
-    let id = format!("{:016x}", IDS.fetch_add(1, Ordering::SeqCst));
+    let id = format!("{:016x}", NEXT_REQUEST_ID.fetch_add(1, Ordering::SeqCst));
     let (method, key, body) = match class {
         "fetch" => ("GET", "", ""),
         "log" => ("POST", "Idempotency-Key: 5c0f6e1a2b3d4c59\r\n", "entry"),
@@ -731,31 +747,31 @@
 
 // --- The console ------------------------------------------------------------------------------
 
-/// Below the ports that the system gives to connections by itself: nobody else takes one in the meantime.
-const OWN_PORTS: std::ops::Range<u16> = 12_000..32_000;
-static PORTS: AtomicUsize = AtomicUsize::new(0);
+/// Ports below the system's range for outgoing connections, so that no connection takes one before the test binds it.
+const TEST_PORTS: std::ops::Range<u16> = 12_000..32_000;
+static NEXT_PORT_OFFSET: AtomicUsize = AtomicUsize::new(0);
 
-/// A port that was free just now.
+/// A loopback address whose port was free at the time of the call.
 pub fn free_address() -> SocketAddr {
-    let count = usize::from(OWN_PORTS.end - OWN_PORTS.start);
-    // Test processes that run side by side begin far from each other.
+    let count = usize::from(TEST_PORTS.end - TEST_PORTS.start);
+    // Concurrent test processes start at ports far from each other.
     let first = std::process::id() as usize * 101;
     loop {
-        let turn = PORTS.fetch_add(1, Ordering::SeqCst);
-        assert!(turn < count, "no port is free");
-        let port = OWN_PORTS.start + ((first + turn) % count) as u16;
+        let offset = NEXT_PORT_OFFSET.fetch_add(1, Ordering::SeqCst);
+        assert!(offset < count, "no port is free");
+        let port = TEST_PORTS.start + ((first + offset) % count) as u16;
         if let Ok(listener) = TcpListener::bind(("127.0.0.1", port)) {
             return listener.local_addr().unwrap();
         }
     }
 }
 
-/// A configuration with a console.
+/// Adds a console address to the text of a configuration.
 pub fn config_with_console(config: &str, console: &str) -> String {
     config.replacen('{', &format!(r#"{{"console":"{console}","#), 1)
 }
 
-/// A sidecar with a console, its discovery, and where the console is.
+/// Starts a sidecar with a console and waits until it is up. Returns it with its discovery and the console's address.
 pub fn start_with_console(upstreams: &[&Upstream]) -> (Sidecar, Discovery, SocketAddr) {
     let known = ready_server_list(upstreams);
     let discovery = Discovery::new(&known);
@@ -766,28 +782,30 @@
     (sidecar, discovery, console)
 }
 
-/// One call: status and body.
+/// Calls the console on a new connection and returns the answer's status and body.
 pub fn call_console(console: SocketAddr, method: &str, path: &str) -> (u16, String) {
     let mut client = Client::connect(console);
     client.write(format!("{method} {path} HTTP/1.1\r\nHost: console\r\n\r\n").as_bytes());
     let answer = client.read_answer().expect("an answer");
-    assert_eq!(answer.header("connection"), Some("close"), "one call to a connection");
+    assert_eq!(answer.header("connection"), Some("close"), "the console serves one call per connection");
     assert_eq!(client.read_until_close().expect("a close"), b"");
     (answer.status(), String::from_utf8(answer.body).unwrap())
 }
 
+/// The console's telemetry.
 pub fn telemetry(console: SocketAddr) -> serde_json::Value {
     let (status, text) = call_console(console, "GET", "/api/telemetry");
     assert_eq!(status, 200);
     serde_json::from_str(&text).unwrap()
 }
 
-// --- An upstream that nobody gets through to ---------------------------------------------------
+// --- An upstream with a full accept queue -------------------------------------------------------
 
-/// An upstream whose accept queue is full: connections to it come up only once the test lets them.
+/// An upstream whose accept queue is full: connections to it are established only after `accept_connections`.
 pub struct FullBacklogUpstream {
     pub address: SocketAddr,
     listener: TcpListener,
+    /// The connections that fill the accept queue.
     queue: Vec<TcpStream>,
 }
 
@@ -805,20 +823,20 @@
         FullBacklogUpstream { address, listener, queue }
     }
 
-    /// Connections come up from now on, and requests are answered. The first lines of those, probes apart.
+    /// Accepts connections and answers requests from now on. Returns the request lines so far, without probes.
     pub fn accept_connections(self) -> Arc<Mutex<Vec<String>>> {
-        let written = Arc::new(Mutex::new(Vec::new()));
-        let seen = written.clone();
+        let request_lines = Arc::new(Mutex::new(Vec::new()));
+        let recorded = request_lines.clone();
         let listener = self.listener;
         std::thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let seen = seen.clone();
+                let recorded = recorded.clone();
                 std::thread::spawn(move || {
                     let mut writer = stream.try_clone().unwrap();
                     let mut reader = BufReader::new(stream);
                     while let Some(message) = read_message(&mut reader) {
                         if !message.start_line.starts_with("GET /metrics/load ") {
-                            seen.lock().unwrap().push(message.start_line);
+                            recorded.lock().unwrap().push(message.start_line);
                         }
                         let _ = writer.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nslow");
                     }
@@ -826,15 +844,16 @@
             }
         });
         drop(self.queue);
-        written
+        request_lines
     }
 }
 
-/// A sidecar before an upstream that nobody gets through to, under so many names: requests wait for a connection.
+/// Starts a sidecar whose only upstream, listed under `names` names, has a full accept queue: requests wait for a
+/// connection. Returns it with its discovery, its console's address and the upstream.
 pub fn start_with_full_backlog(names: usize) -> (Sidecar, Discovery, SocketAddr, FullBacklogUpstream) {
-    let slow = FullBacklogUpstream::new();
+    let upstream = FullBacklogUpstream::new();
     let entries: Vec<String> =
-        (0..names).map(|name| server_entry(&format!("slow-{name}"), slow.address, "ready")).collect();
+        (0..names).map(|name| server_entry(&format!("slow-{name}"), upstream.address, "ready")).collect();
     let known = server_list(5, true, &entries);
     let discovery = Discovery::new(&known);
     let settings = SETTINGS
@@ -845,16 +864,16 @@
     let text = config_json("127.0.0.1:0", discovery.address, &known, 1024, &settings);
     let sidecar = Sidecar::start(&config_with_console(&text, &console.to_string()));
     sidecar.wait_until_up();
-    (sidecar, discovery, console, slow)
+    (sidecar, discovery, console, upstream)
 }
 
 // --- Clients that read slowly -------------------------------------------------------------------
 
-/// A connection whose kernel holds about so many bytes that nobody has read yet: the rest waits at the sender.
+/// Connects with a receive buffer of about this size: the kernel holds that many unread bytes, the rest waits at the sender.
 pub fn connect_with_receive_buffer(address: SocketAddr, bytes: usize) -> TcpStream {
     use rustix::net::{AddressFamily, SocketType, connect, socket, sockopt};
     let socket = socket(AddressFamily::INET, SocketType::STREAM, None).unwrap();
-    // Only before the handshake does it bound the window that is offered.
+    // The buffer size bounds the advertised window only if it is set before the handshake.
     sockopt::set_socket_recv_buffer_size(&socket, bytes).unwrap();
     connect(&socket, &address).unwrap();
     let stream = TcpStream::from(socket);
@@ -863,35 +882,40 @@
 }
 
 impl Client {
-    /// A client whose kernel holds about so many bytes that it has not read yet.
+    /// A client whose kernel holds about this many unread bytes.
     pub fn with_receive_buffer(address: SocketAddr, bytes: usize) -> Client {
         let stream = connect_with_receive_buffer(address, bytes);
-        // Reads no further ahead than that, either.
+        // The reader's own buffer must not exceed that size either.
         let reader = BufReader::with_capacity(bytes, stream);
-        Client { reader, asked: VecDeque::new(), answered: None, is_raw: false }
+        Client {
+            reader,
+            unanswered_ids: VecDeque::new(),
+            last_answered_id: None,
+            wrote_unreported_bytes: false,
+        }
     }
 }
 
-// --- A crowd of newcomers ---------------------------------------------------------------------
+// --- Many new connections ---------------------------------------------------------------------
 
-/// Connections that a crowd keeps at once, beyond what a sidecar with few descriptors has room for.
-const CROWD_KEEPS: usize = 60;
+/// The open connections of `connect_repeatedly`: more than a sidecar with few descriptors can hold.
+const MAX_KEPT_CONNECTIONS: usize = 60;
 
-/// Connects again and again until told to stop, with this pause between, asks once each time and keeps the connection: places
-/// are short all the time, and some of those who have one are idle. How often it asked.
+/// Connects repeatedly until told to stop, with a pause in between, sends one request each time and keeps the connection. So
+/// connections are scarce throughout, and some of the open ones are idle. Returns the number of requests.
 pub fn connect_repeatedly(address: SocketAddr, pause: Duration, stop: &AtomicBool) -> usize {
     let mut kept = VecDeque::new();
-    let mut asked = 0;
+    let mut request_count = 0;
     while !stop.load(Ordering::SeqCst) {
         let mut client = Client::connect(address);
         client.send("fetch", 6_000);
         let _ = client.read_answer();
-        asked += 1;
+        request_count += 1;
         kept.push_back(client);
-        if kept.len() > CROWD_KEEPS {
+        if kept.len() > MAX_KEPT_CONNECTIONS {
             kept.pop_front();
         }
         std::thread::sleep(pause);
     }
-    asked
+    request_count
 }
