--- a/crates/cli/tests/answers.rs
+++ b/crates/cli/tests/answers.rs
@@ -1,5 +1,5 @@
-//! Answers that state no length: held while another attempt could still replace them, passed on in time where they are long,
-//! and ended by a clock where they stop.
+//! Answers without a stated length: they are held while another attempt could still replace them, forwarded in time if they
+//! are long, and ended by a timeout if they stall.
 
 mod loopback;
 
@@ -12,24 +12,24 @@
 use loopback::*;
 
 const HEAD: &[u8] = b"HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n";
-/// Up to this long after its deadline an answer is late; after that it is lost.
-const LATE_LIMIT: Duration = Duration::from_millis(500);
+/// An answer up to this much after its deadline is late; a later one counts as lost.
+const MAX_LATENESS: Duration = Duration::from_millis(500);
 
-/// Writes a close-delimited answer in so many pieces, with a pause before each.
-fn dribble(stream: &mut TcpStream, piece: &[u8], count: usize, pause: Duration) {
+/// Writes a close-delimited answer in `count` pieces, with a pause before each.
+fn write_in_pieces(stream: &mut TcpStream, piece: &[u8], count: usize, pause: Duration) {
     stream.write_all(HEAD).unwrap();
     for _ in 0..count {
         std::thread::sleep(pause);
-        // The sidecar may have given it up.
+        // The sidecar may have abandoned the attempt.
         if stream.write_all(piece).is_err() {
             return;
         }
     }
 }
 
-/// Begins a close-delimited answer at the pace of a long one, so that it is passed on, and goes on in small pieces.
-fn begin_as_long(stream: &mut TcpStream, pieces: usize) {
-    dribble(stream, &[b'x'; 30_000], 2, Duration::from_millis(10));
+/// Begins a close-delimited answer at the pace of a long one, so that it is forwarded, and continues in small pieces.
+fn write_long_then_small_pieces(stream: &mut TcpStream, pieces: usize) {
+    write_in_pieces(stream, &[b'x'; 30_000], 2, Duration::from_millis(10));
     for _ in 0..pieces {
         std::thread::sleep(Duration::from_millis(50));
         if stream.write_all(b"0123456789").is_err() {
@@ -38,23 +38,25 @@
     }
 }
 
-/// Reads one chunked answer to the end of its connection; its bytes, and whether its last chunk came.
-fn read_all(client: &mut Client) -> (String, bool) {
-    let bytes = client.read_until_close().expect("the connection ends");
-    let whole = bytes.ends_with(b"0\r\n\r\n");
-    (String::from_utf8_lossy(&bytes).into_owned(), whole)
+/// Reads one chunked answer to the end of its connection. Returns its bytes and whether they end with the last chunk.
+fn read_chunked_to_close(client: &mut Client) -> (String, bool) {
+    let bytes = client.read_until_close().expect("the connection is closed");
+    let is_complete = bytes.ends_with(b"0\r\n\r\n");
+    (String::from_utf8_lossy(&bytes).into_owned(), is_complete)
 }
 
-/// Lead 1: nothing of a short answer was passed on when its upstream resets it, so that another attempt replaces it.
+/// Guards against a failure in place of a retry: a short answer is still held when its upstream resets the connection, so
+/// that another attempt can replace it.
 #[test]
-fn a_short_slow_answer_that_is_reset_is_replaced_by_another_attempt() {
+fn short_slow_answer_reset_by_upstream_is_replaced_by_another_attempt() {
     let attempts = Arc::new(AtomicUsize::new(0));
-    let counted = attempts.clone();
-    let deed = move |_: &Message| {
-        let first = counted.fetch_add(1, Ordering::SeqCst) == 0;
+    let attempt_count = attempts.clone();
+    let respond = move |_: &Message| {
+        let is_first = attempt_count.fetch_add(1, Ordering::SeqCst) == 0;
         // 300 ms: well beyond the time for which any answer is held.
-        let answer = |stream: &mut TcpStream| dribble(stream, b"0123456789", 6, Duration::from_millis(50));
-        match first {
+        let answer =
+            |stream: &mut TcpStream| write_in_pieces(stream, b"0123456789", 6, Duration::from_millis(50));
+        match is_first {
             true => ScriptedResponse::custom_and_reset(answer),
             false => ScriptedResponse::custom(move |stream| {
                 answer(stream);
@@ -62,19 +64,19 @@
             }),
         }
     };
-    let (one, other) = (Upstream::new(deed.clone()), Upstream::new(deed));
+    let (one, other) = (Upstream::new(respond.clone()), Upstream::new(respond));
     let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&one, &other]);
     let answer = Client::connect(sidecar.address).exchange("fetch");
     assert_eq!((answer.status(), answer.body), (200, b"0123456789".repeat(6)));
     assert_eq!(attempts.load(Ordering::SeqCst), 2);
 }
 
-/// The same of work that may run only once: a whole failure in place of half an answer.
+/// A request that may run only once is not retried: its client gets a complete failure in place of a truncated answer.
 #[test]
-fn a_short_slow_answer_that_is_reset_and_may_not_be_repeated_fails_whole() {
+fn short_slow_answer_reset_by_upstream_fails_with_502_for_non_idempotent_request() {
     let upstream = Upstream::new(|_| {
         ScriptedResponse::custom_and_reset(|stream| {
-            dribble(stream, b"0123456789", 6, Duration::from_millis(50))
+            write_in_pieces(stream, b"0123456789", 6, Duration::from_millis(50))
         })
     });
     let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
@@ -83,14 +85,14 @@
     assert_eq!(upstream.requests().len(), 1);
 }
 
-/// Lead 2: an answer that has begun to be passed on and stops, as when a zone is lost, ends soon after its deadline and does
-/// not look whole.
+/// Guards against an answer that never ends: its upstream stops responding, as when a zone is lost, after the sidecar has
+/// begun to forward the answer. It must end soon after its deadline and must not look complete.
 #[test]
-fn an_answer_under_way_that_stops_ends_within_the_limit_of_late_answers() {
+fn stalled_answer_ends_truncated_within_the_limit_of_late_answers() {
     let upstream = Upstream::new(|_| {
         ScriptedResponse::custom(|stream| {
-            // On its way for longer than any is held; then the upstream is silent with its connection open.
-            begin_as_long(stream, 35);
+            // The answer lasts longer than any answer is held; then the upstream stalls with its connection open.
+            write_long_then_small_pieces(stream, 35);
             std::thread::sleep(Duration::from_secs(20));
             false
         })
@@ -100,21 +102,21 @@
         let mut client = Client::connect(sidecar.address);
         let (start, timeout) = (Instant::now(), Duration::from_millis(2_500));
         client.write(request(class, 2_500).as_bytes());
-        let (answer, whole) = read_all(&mut client);
-        let took = start.elapsed();
-        assert!(answer.contains(" 200 ") && answer.contains("0123456789"), "it had begun: {answer}");
-        assert!(!whole, "it does not look whole");
-        assert!(took >= timeout, "its upstream has its time: {took:?}");
-        assert!(took < timeout + LATE_LIMIT, "{took:?}");
+        let (answer, is_complete) = read_chunked_to_close(&mut client);
+        let duration = start.elapsed();
+        assert!(answer.contains(" 200 ") && answer.contains("0123456789"), "the answer has begun: {answer}");
+        assert!(!is_complete, "the truncated answer looks complete");
+        assert!(duration >= timeout, "ended before the client's timeout: {duration:?}");
+        assert!(duration < timeout + MAX_LATENESS, "{duration:?}");
     }
 }
 
-/// An answer that never ends and hardly comes is no long one: its client is told in time that there is none.
+/// Guards against a slow answer without end that is taken for a long one: its client must get a failure in time.
 #[test]
-fn an_answer_that_dribbles_without_end_fails_whole_and_in_time() {
+fn slow_answer_without_end_fails_with_a_complete_answer_in_time() {
     let upstream = Upstream::new(|_| {
         ScriptedResponse::custom(|stream| {
-            dribble(stream, b"x", 200, Duration::from_millis(50));
+            write_in_pieces(stream, b"x", 200, Duration::from_millis(50));
             false
         })
     });
@@ -122,42 +124,45 @@
     let mut client = Client::connect(sidecar.address);
     let start = Instant::now();
     client.send("fetch", 2_000);
-    let answer = client.read_answer().expect("a whole answer");
+    let answer = client.read_answer().expect("a complete answer");
     assert!([502, 503].contains(&answer.status()), "{}", answer.start_line);
-    assert!(start.elapsed() < Duration::from_millis(2_000) + LATE_LIMIT, "{:?}", start.elapsed());
+    assert!(start.elapsed() < Duration::from_millis(2_000) + MAX_LATENESS, "{:?}", start.elapsed());
 }
 
-/// A long answer is timed by its first bytes: they are not held for 2 s, and once one was long they come by the aim. All of
-/// it comes, however long after the deadline.
+/// A long answer is timed by its first bytes: they are held for less than 2 s and, once a long answer was seen, only up to
+/// the aim. The rest is forwarded completely, however long after the deadline.
 #[test]
-fn a_long_answer_of_unknown_length_goes_on_in_time_and_comes_whole() {
+fn long_answer_of_unknown_length_is_forwarded_in_time_and_completely() {
     const PIECE: &[u8] = &[b'x'; 4 << 10];
-    const PIECES: usize = 45;
+    const PIECE_COUNT: usize = 45;
     let upstream = Upstream::new(|_| {
         ScriptedResponse::custom(|stream| {
-            dribble(stream, PIECE, PIECES, Duration::from_millis(100));
+            write_in_pieces(stream, PIECE, PIECE_COUNT, Duration::from_millis(100));
             false
         })
     });
     let settings = SETTINGS.replace(r#""aim":3000.0"#, r#""aim":500.0"#);
     let (sidecar, _discovery) = Sidecar::start_with_settings(&[&upstream], &settings);
-    for first_by in [1_900, 600] {
+    for first_byte_limit_ms in [1_900, 600] {
         let mut client = Client::connect(sidecar.address);
         let start = Instant::now();
         client.send("bill", 3_000);
         assert!(!client.reader.fill_buf().unwrap().is_empty());
-        let first = start.elapsed();
-        assert!(first < Duration::from_millis(first_by), "{first:?}");
-        let answer = client.read_answer().expect("all of it");
-        assert_eq!((answer.status(), answer.body.len()), (200, PIECE.len() * PIECES));
-        assert!(start.elapsed() > Duration::from_millis(3_500), "it came after its deadline");
+        let first_byte_after = start.elapsed();
+        assert!(first_byte_after < Duration::from_millis(first_byte_limit_ms), "{first_byte_after:?}");
+        let answer = client.read_answer().expect("a complete answer");
+        assert_eq!((answer.status(), answer.body.len()), (200, PIECE.len() * PIECE_COUNT));
+        assert!(start.elapsed() > Duration::from_millis(3_500), "the answer ended before its deadline");
     }
 }
 
-/// Who can tell the end of an answer only by the end of its connection must not take a torn one for whole.
+/// An HTTP/1.0 client sees the end of an answer only by the close of its connection: a truncated answer must end with an
+/// error, or the client would take it for complete.
 #[test]
-fn a_torn_answer_does_not_look_whole_to_a_client_of_http_1_0() {
-    let upstream = Upstream::new(|_| ScriptedResponse::custom_and_reset(|stream| begin_as_long(stream, 40)));
+fn truncated_answer_ends_with_an_error_for_http_1_0_client() {
+    let upstream = Upstream::new(|_| {
+        ScriptedResponse::custom_and_reset(|stream| write_long_then_small_pieces(stream, 40))
+    });
     let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
     let mut stream = TcpStream::connect(sidecar.address).unwrap();
     stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
@@ -165,18 +170,22 @@
     let mut answer = Vec::new();
     let read = stream.read_to_end(&mut answer);
     let text = String::from_utf8_lossy(&answer);
-    assert!(text.starts_with("HTTP/1.0 200 "), "it was passed on: {read:?}, {} bytes", answer.len());
-    assert!(read.is_err(), "{} bytes that look whole", answer.len());
+    assert!(
+        text.starts_with("HTTP/1.0 200 "),
+        "the answer was not forwarded: {read:?}, {} bytes",
+        answer.len()
+    );
+    assert!(read.is_err(), "{} bytes of a truncated answer look complete", answer.len());
 }
 
-/// Guards against a close without a byte: on a connection that was used before, a client takes it for an idle one that was
-/// closed, and sends what may run only once again.
+/// Guards against a close without a byte: on a connection that was used before, a client takes that for the close of an idle
+/// connection and sends a request that may run only once again.
 #[test]
-fn an_answer_that_breaks_off_as_it_begins_leaves_its_head_with_the_client() {
+fn answer_truncated_at_its_start_still_delivers_its_head() {
     const LONG: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n0123456789";
     let upstream = Upstream::new(|message| match message.start_line.starts_with("GET /fetch") {
         true => ScriptedResponse::ok("served"),
-        // Its first bytes and its end arrive together.
+        // The first bytes and the end of the answer arrive together.
         false => ScriptedResponse::custom(|stream| {
             stream.write_all(LONG).unwrap();
             false
@@ -187,7 +196,7 @@
     for _ in 0..20 {
         assert_eq!(client.exchange("fetch").status(), 200);
         client.write(request("bill", 3_000).as_bytes());
-        let (answer, _) = read_all(&mut client);
+        let (answer, _) = read_chunked_to_close(&mut client);
         assert!(answer.starts_with("HTTP/1.1 200 "), "{answer:?}");
         client = Client::connect(sidecar.address);
     }
--- a/crates/cli/tests/client_disconnect.rs
+++ b/crates/cli/tests/client_disconnect.rs
@@ -1,5 +1,5 @@
-//! Clients that disconnect just before a further attempt of their request begins: it is not sent, however they left and
-//! whatever the attempt waited for.
+//! Clients that disconnect just before a further attempt of their request begins: the attempt is not sent, for each way of
+//! disconnecting and each event that the attempt waited for.
 
 mod loopback;
 
@@ -14,24 +14,24 @@
 /// How a client disconnects, if it does.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Disconnect {
-    /// It stays: the further attempt is sent.
+    /// The client stays connected, so that the further attempt is sent.
     Never,
     Close,
-    EndOfSending,
+    ShutdownWrite,
     Reset,
 }
 
-const ALL: [Disconnect; 4] =
-    [Disconnect::Never, Disconnect::Close, Disconnect::EndOfSending, Disconnect::Reset];
+const ALL_DISCONNECTS: [Disconnect; 4] =
+    [Disconnect::Never, Disconnect::Close, Disconnect::ShutdownWrite, Disconnect::Reset];
 
 impl Disconnect {
-    /// Disconnects; what is still to be held on to, if anything is.
+    /// Disconnects; returns the client if its socket must stay open.
     fn apply(self, client: Client) -> Option<Client> {
         let stream = client.reader.get_ref();
         match self {
             Disconnect::Never => Some(client),
             Disconnect::Close => None,
-            Disconnect::EndOfSending => {
+            Disconnect::ShutdownWrite => {
                 stream.shutdown(Shutdown::Write).unwrap();
                 Some(client)
             }
@@ -43,8 +43,8 @@
     }
 }
 
-/// An upstream that turns away each request that may run only once, when the test says so, and serves the others.
-fn turns_away_on(signal: &Arc<AtomicUsize>) -> Upstream {
+/// An upstream that answers `bill` requests as not processed once the test sets the signal, and serves all others.
+fn refuse_bills_after(signal: &Arc<AtomicUsize>) -> Upstream {
     let signal = signal.clone();
     Upstream::new(move |message| {
         if !message.start_line.starts_with("POST /bill") {
@@ -52,30 +52,30 @@
         }
         let signal = signal.clone();
         ScriptedResponse::custom(move |stream| {
-            wait_until("the test says so", || signal.load(Ordering::SeqCst) == 1);
+            wait_until("the test sets the signal", || signal.load(Ordering::SeqCst) == 1);
             let answer = b"HTTP/1.1 503 x\r\nX-Not-Processed: 1\r\nContent-Length: 0\r\n\r\n";
             stream.write_all(answer).is_ok()
         })
     })
 }
 
-fn bills(upstream: &Upstream) -> usize {
+fn bill_count(upstream: &Upstream) -> usize {
     upstream.requests().iter().filter(|message| message.start_line.starts_with("POST /bill")).count()
 }
 
-/// Guards against a further attempt that takes the first one's word for the client's presence: while the process is held up
-/// the first attempt is turned away and the client disconnects, so that it hears of both in one turn.
+/// Guards against a further attempt that relies on the client's presence during the first one: while the process is
+/// suspended, the first attempt is refused and the client disconnects, so that the process receives both events at once.
 #[test]
-fn who_disconnects_as_the_first_attempt_ends_gets_no_second_one() {
+fn second_attempt_is_not_sent_when_client_disconnects_as_the_first_is_refused() {
     for round in 0..3 {
-        for disconnect in ALL {
+        for disconnect in ALL_DISCONNECTS {
             let signal = Arc::new(AtomicUsize::new(0));
-            let upstreams = [0, 1].map(|_| turns_away_on(&signal));
+            let upstreams = [0, 1].map(|_| refuse_bills_after(&signal));
             let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstreams[0], &upstreams[1]]);
-            let came = || upstreams.iter().map(bills).sum::<usize>();
+            let attempt_count = || upstreams.iter().map(bill_count).sum::<usize>();
             let mut client = Client::connect(sidecar.address);
             client.send("bill", 6_000);
-            wait_until("its first attempt is out", || came() == 1);
+            wait_until("the first attempt is in flight", || attempt_count() == 1);
             sidecar.suspend();
             signal.store(1, Ordering::SeqCst);
             std::thread::sleep(Duration::from_millis(30));
@@ -84,24 +84,29 @@
             sidecar.signal("-CONT");
             if disconnect == Disconnect::Never {
                 assert_eq!(client.unwrap().read_answer().expect("an answer").status(), 503);
-                assert!(came() > 1, "round {round}: who stays gets a further attempt");
+                assert!(attempt_count() > 1, "round {round}: a connected client gets a further attempt");
                 continue;
             }
             assert_eq!(Client::connect(sidecar.address).exchange("fetch").status(), 200);
             std::thread::sleep(Duration::from_millis(100));
-            assert_eq!(came(), 1, "round {round}, {disconnect:?}: sent on after its client had gone");
+            assert_eq!(
+                attempt_count(),
+                1,
+                "round {round}, {disconnect:?}: sent after its client had disconnected"
+            );
         }
     }
 }
 
-/// The same where the further attempt waits for a connection that comes up a second or two late.
+/// Guards against a further attempt for a disconnected client when the attempt waits for a connection that is established a
+/// second or two late.
 #[test]
-fn who_disconnects_before_a_late_connection_comes_up_gets_no_second_attempt_over_it() {
-    for disconnect in ALL {
+fn second_attempt_is_not_sent_on_late_connection_when_client_has_disconnected() {
+    for disconnect in ALL_DISCONNECTS {
         let signal = Arc::new(AtomicUsize::new(0));
-        let (turns_away, slow, console) =
-            (turns_away_on(&signal), FullBacklogUpstream::new(), free_address());
-        let known = server_list(5, true, &[server_entry("a", turns_away.address, "ready")]);
+        let (refusing, slow, console) =
+            (refuse_bills_after(&signal), FullBacklogUpstream::new(), free_address());
+        let known = server_list(5, true, &[server_entry("a", refusing.address, "ready")]);
         let discovery = Discovery::new(&known);
         let settings = SETTINGS
             .replace(r#""connect_timeout":2000.0"#, r#""connect_timeout":120000.0"#)
@@ -112,16 +117,16 @@
         sidecar.wait_until_up();
         let mut client = Client::connect(sidecar.address);
         client.send("bill", 100_000);
-        wait_until("its first attempt is out", || bills(&turns_away) == 1);
-        // The other upstream is known only now: the second attempt can go nowhere else.
+        wait_until("the first attempt is in flight", || bill_count(&refusing) == 1);
+        // The other upstream is listed only now, so that it is the only choice for the second attempt.
         discovery.publish(&(server_list(6, false, &[server_entry("b", slow.address, "ready")]) + "\n"));
         std::thread::sleep(Duration::from_millis(200));
         signal.store(1, Ordering::SeqCst);
         std::thread::sleep(Duration::from_millis(200));
-        assert_eq!(telemetry(console)["in_progress"], 1, "it waits for its connection");
+        assert_eq!(telemetry(console)["in_progress"], 1, "the second attempt waits for its connection");
         sidecar.suspend();
-        let written = slow.accept_connections();
-        // The system connects for the process that is held up: the handshake is tried anew within a second or two.
+        let request_lines = slow.accept_connections();
+        // The kernel completes the connection of the suspended process: it retries the handshake within a second or two.
         std::thread::sleep(Duration::from_millis(2_200));
         let client = disconnect.apply(client);
         std::thread::sleep(Duration::from_millis(20));
@@ -130,14 +135,17 @@
             assert_eq!(
                 client.unwrap().read_answer().expect("an answer").body,
                 b"slow",
-                "who stays is served"
+                "a connected client is served"
             );
             continue;
         }
         assert_eq!(Client::connect(sidecar.address).exchange("fetch").status(), 200);
         std::thread::sleep(Duration::from_millis(200));
-        let written = written.lock().unwrap();
-        assert!(written.iter().all(|line| !line.starts_with("POST /bill")), "{disconnect:?}: {written:?}");
-        assert_eq!(bills(&turns_away), 1, "{disconnect:?}");
+        let request_lines = request_lines.lock().unwrap();
+        assert!(
+            request_lines.iter().all(|line| !line.starts_with("POST /bill")),
+            "{disconnect:?}: {request_lines:?}"
+        );
+        assert_eq!(bill_count(&refusing), 1, "{disconnect:?}");
     }
 }
--- a/crates/cli/tests/once.rs
+++ b/crates/cli/tests/once.rs
@@ -1,4 +1,4 @@
-//! Work that may run only once: every way in which an attempt can end, and in which a client can be led to send again.
+//! Requests that may run only once: every way in which an attempt can end, and in which a client can be led to send again.
 
 mod loopback;
 
@@ -9,64 +9,64 @@
 
 use loopback::*;
 
-/// What upstreams do that proves nothing: each comes after the last byte of the request.
-fn proves_nothing() -> Vec<(&'static str, ScriptedResponse)> {
+/// Responses after the last byte of the request which do not prove that the request did not run.
+fn responses_without_proof() -> Vec<(&'static str, ScriptedResponse)> {
     vec![
         ("a 503 without the mark", ScriptedResponse::Answer(503, "", b"busy".to_vec())),
-        ("a mark that says no", ScriptedResponse::Answer(503, "X-Not-Processed: 0\r\n", Vec::new())),
-        ("a mark in other words", ScriptedResponse::Answer(503, "X-Not-Processed: yes\r\n", Vec::new())),
+        ("a mark with the value 0", ScriptedResponse::Answer(503, "X-Not-Processed: 0\r\n", Vec::new())),
+        ("a mark with an unknown value", ScriptedResponse::Answer(503, "X-Not-Processed: yes\r\n", Vec::new())),
         ("a mark that comes twice", ScriptedResponse::Answer(503, "X-Not-Processed: 1\r\nX-Not-Processed: 1\r\n", Vec::new())),
         ("marks that differ", ScriptedResponse::Answer(504, "X-Not-Processed: 1\r\nX-Not-Processed: 0\r\n", Vec::new())),
         ("a mark on a 500", ScriptedResponse::Answer(500, "X-Not-Processed: 1\r\n", Vec::new())),
         ("a mark on a 429", ScriptedResponse::Answer(429, "X-Not-Processed: 1\r\n", Vec::new())),
         ("a marked head whose body never comes", ScriptedResponse::Raw(b"HTTP/1.1 503 x\r\nX-Not-Processed: 1\r\nContent-Length: 9\r\n\r\n")),
-        ("a marked answer that is cut", ScriptedResponse::RawAndClose(b"HTTP/1.1 503 x\r\nX-Not-Processed: 1\r\nContent-Length: 9\r\n\r\nhal")),
+        ("a marked answer that is truncated", ScriptedResponse::RawAndClose(b"HTTP/1.1 503 x\r\nX-Not-Processed: 1\r\nContent-Length: 9\r\n\r\nhal")),
         ("a marked answer that is reset", ScriptedResponse::RawAndReset(b"HTTP/1.1 503 x\r\nX-Not-Processed: 1\r\nContent-Length: 9\r\n\r\nhal")),
         ("a marked answer without end", ScriptedResponse::Raw(b"HTTP/1.1 503 x\r\nX-Not-Processed: 1\r\nContent-Length: 3000000000\r\n\r\nmore")),
         ("a marked answer with two framings", ScriptedResponse::RawAndClose(b"HTTP/1.1 503 x\r\nX-Not-Processed: 1\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n")),
         ("half a marked head", ScriptedResponse::RawAndClose(b"HTTP/1.1 503 x\r\nX-Not-Processed: 1\r\nX-Mo")),
         ("noise", ScriptedResponse::RawAndClose(b"\x00\xff not HTTP at all \r\n\r\n")),
-        ("a notice ahead of the end", ScriptedResponse::RawAndClose(b"HTTP/1.1 102 x\r\nX-Not-Processed: 1\r\n\r\n")),
+        ("an interim answer before the close", ScriptedResponse::RawAndClose(b"HTTP/1.1 102 x\r\nX-Not-Processed: 1\r\n\r\n")),
         ("a close", ScriptedResponse::Close),
-        ("a torn answer", ScriptedResponse::TruncatedAnswer),
+        ("a truncated answer", ScriptedResponse::TruncatedAnswer),
         ("a reset", ScriptedResponse::RawAndReset(b"")),
     ]
 }
 
-/// Guards against proof where there is none: a failed attempt that may have run is the last one, and its client is told 502 at
-/// once, which promises nothing.
+/// Guards against a failure that is taken as proof that the request did not run: after an attempt that may have run there is
+/// no retry, and the client gets 502 immediately, which does not promise anything.
 #[test]
-fn what_may_have_run_is_neither_sent_again_nor_refused() {
-    for (what, deed) in proves_nothing() {
-        let deeds = [deed.clone(), deed];
-        let upstreams = deeds.map(|deed| Upstream::new(move |_| deed.clone()));
+fn attempt_that_may_have_run_is_neither_retried_nor_refused() {
+    for (description, response) in responses_without_proof() {
+        let responses = [response.clone(), response];
+        let upstreams = responses.map(|response| Upstream::new(move |_| response.clone()));
         let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstreams[0], &upstreams[1]]);
         for _ in 0..3 {
-            let begun = Instant::now();
+            let start = Instant::now();
             let answer = Client::connect(sidecar.address).exchange("bill");
-            assert_eq!(answer.status(), 502, "{what}");
-            assert!(begun.elapsed() < Duration::from_secs(5), "{what}: it is told at once");
+            assert_eq!(answer.status(), 502, "{description}");
+            assert!(start.elapsed() < Duration::from_secs(5), "{description}: the failure came late");
         }
-        let came: usize = upstreams.iter().map(|upstream| upstream.requests().len()).sum();
-        assert_eq!(came, 3, "{what}: three requests, three attempts");
+        let received: usize = upstreams.iter().map(|upstream| upstream.requests().len()).sum();
+        assert_eq!(received, 3, "{description}: three requests, three attempts");
     }
 }
 
-/// What is proven not to have run goes on, on every path that proves it: turned away, refused, closed before it was asked.
+/// A request is retried on each path that proves that it did not run: a not-processed answer, and a refused connection.
 #[test]
-fn what_is_proven_not_to_have_run_goes_on_elsewhere() {
-    let full = Upstream::new(|_| ScriptedResponse::Answer(503, "X-Not-Processed: 1\r\n", Vec::new()));
-    let serves = Upstream::new(|_| ScriptedResponse::ok("served"));
-    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&full, &serves]);
-    wait_until("one was turned away first", || {
+fn attempt_proven_not_to_have_run_is_retried_on_another_server() {
+    let refusing = Upstream::new(|_| ScriptedResponse::Answer(503, "X-Not-Processed: 1\r\n", Vec::new()));
+    let serving = Upstream::new(|_| ScriptedResponse::ok("served"));
+    let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&refusing, &serving]);
+    wait_until("the refusing upstream has received a request", || {
         assert_eq!(Client::connect(sidecar.address).exchange("bill").status(), 200);
-        !full.requests().is_empty()
+        !refusing.requests().is_empty()
     });
-    // Nobody listens at the other address.
+    // There is no listener at the other address.
     let known = server_list(
         5,
         true,
-        &[server_entry("a", free_address(), "ready"), server_entry("b", serves.address, "ready")],
+        &[server_entry("a", free_address(), "ready"), server_entry("b", serving.address, "ready")],
     );
     let discovery = Discovery::new(&known);
     let sidecar = Sidecar::start(&config_json("127.0.0.1:0", discovery.address, &known, 1024, SETTINGS));
@@ -76,31 +76,32 @@
     }
 }
 
-/// Guards against attempts for those who have gone: while the process is held up its client leaves and the connection that the
-/// request waits for comes up, so that it hears of both in one turn.
+/// Guards against attempts for disconnected clients: while the process is suspended, the client disconnects and the
+/// connection that its request waits for is established, so that the process receives both events at once.
 #[test]
-fn who_leaves_while_the_process_is_held_up_is_not_sent_on() {
+fn request_is_not_sent_when_client_disconnects_while_process_is_suspended() {
     for _ in 0..4 {
-        let (sidecar, _discovery, console, slow) = start_with_full_backlog(1);
+        let (sidecar, _discovery, console, upstream) = start_with_full_backlog(1);
         let mut client = Client::connect(sidecar.address);
         client.send("bill", 100_000);
-        wait_until("it waits", || telemetry(console)["in_progress"] == 1);
+        wait_until("the request waits for a connection", || telemetry(console)["in_progress"] == 1);
         sidecar.suspend();
-        let written = slow.accept_connections();
-        // The system connects for the process that is held up: the handshake is tried anew within a second or two.
+        let request_lines = upstream.accept_connections();
+        // The kernel completes the connection of the suspended process: it retries the handshake within a second or two.
         std::thread::sleep(Duration::from_millis(2_200));
         drop(client);
         std::thread::sleep(Duration::from_millis(20));
         sidecar.signal("-CONT");
         assert_eq!(Client::connect(sidecar.address).exchange("fetch").body, b"slow");
-        let written = written.lock().unwrap();
-        assert_eq!(written.len(), 1, "only who has stayed is sent on: {written:?}");
+        let request_lines = request_lines.lock().unwrap();
+        assert_eq!(request_lines.len(), 1, "only the connected client's request is sent: {request_lines:?}");
     }
 }
 
-/// Guards against a request that is read after the end of our writing: its client sends it once more, and it would run twice.
+/// Guards against a request that is read after the sidecar has shut down its writing side: the client gets no answer and
+/// sends the request again, so that it would run twice.
 #[test]
-fn what_comes_after_our_end_is_not_sent_on() {
+fn request_received_after_the_sidecar_ended_writing_is_not_forwarded() {
     let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
     let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
     let mut clients: Vec<Client> = (0..20).map(|_| Client::connect(sidecar.address)).collect();
@@ -108,41 +109,46 @@
         assert_eq!(client.exchange("bill").status(), 200);
     }
     for client in &mut clients {
-        // It rests until the sidecar has ended its writing, and sends in that very moment.
+        // The client is idle until the sidecar shuts down its writing side, and sends immediately after that.
         assert_eq!(client.reader.read(&mut [0; 1]).unwrap_or(0), 0);
         client.write(request("bill", 6_000).as_bytes());
     }
     std::thread::sleep(Duration::from_millis(300));
     assert_eq!(Client::connect(sidecar.address).exchange("bill").status(), 200);
-    assert_eq!(upstream.requests().len(), 21, "20 before, none of the 20 after, and one to end with");
+    assert_eq!(
+        upstream.requests().len(),
+        21,
+        "20 requests before the shutdown, none of the 20 after it, and the last one"
+    );
 }
 
-/// A request that crosses the close of its idle connection is answered, or nobody has read it: one of the two, never both.
+/// A request that crosses the close of its idle connection is either answered or not read: if it were read and not answered,
+/// its client would send it again and it would run twice.
 #[test]
-fn a_request_that_crosses_the_close_of_its_connection_runs_once() {
+fn request_crossing_the_close_of_its_idle_connection_runs_at_most_once() {
     let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
     let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
-    let (answered, sent_again) = (AtomicUsize::new(0), AtomicUsize::new(0));
+    let (answered_count, retry_count) = (AtomicUsize::new(0), AtomicUsize::new(0));
     std::thread::scope(|scope| {
         for number in 0..60u64 {
-            let (sidecar, answered, sent_again) = (&sidecar, &answered, &sent_again);
+            let (sidecar, answered_count, retry_count) = (&sidecar, &answered_count, &retry_count);
             scope.spawn(move || {
                 let mut client = Client::connect(sidecar.address);
                 client.exchange("fetch");
-                // Around the moment in which it is closed for having been idle.
+                // Around the time at which the sidecar closes the idle connection.
                 std::thread::sleep(Duration::from_millis(2_170 + number));
                 let (id, text) = request_with_id("bill", 6_000);
                 client.write(text.as_bytes());
-                // As clients do: without an answer once more, on a new connection.
+                // Like usual clients: without an answer, send again on a new connection.
                 let answer = client.read_answer().or_else(|| {
-                    sent_again.fetch_add(1, Ordering::SeqCst);
-                    let mut again = Client::connect(sidecar.address);
-                    again.write(text.as_bytes());
-                    again.read_answer()
+                    retry_count.fetch_add(1, Ordering::SeqCst);
+                    let mut retry_client = Client::connect(sidecar.address);
+                    retry_client.write(text.as_bytes());
+                    retry_client.read_answer()
                 });
                 let status = answer.expect("an answer").status();
-                answered.fetch_add(1, Ordering::SeqCst);
-                // So many at once may be refused, and then it never ran.
+                answered_count.fetch_add(1, Ordering::SeqCst);
+                // With 60 requests at once some may be refused, and a refused request never ran.
                 assert_eq!(
                     judge::received_count(&id),
                     usize::from(status == 200),
@@ -151,17 +157,17 @@
             });
         }
     });
-    assert_eq!(answered.load(Ordering::SeqCst), 60, "{sent_again:?} were sent again");
+    assert_eq!(answered_count.load(Ordering::SeqCst), 60, "{retry_count:?} requests were sent again");
 }
 
-/// Clients that leave and come again with a new id, in a crowd, while attempts are out, connecting or about to be tried again:
-/// each id comes once, and none after its client has been told otherwise.
+/// Many clients disconnect and reconnect with a new id while attempts are in flight, connecting or about to be retried: a
+/// request that may run only once is forwarded once, and not after its client has got a different answer.
 #[test]
-fn who_leaves_and_comes_again_is_sent_on_once_for_each_time() {
-    let turn = Arc::new(AtomicUsize::new(0));
+fn requests_of_reconnecting_clients_are_forwarded_once_per_id() {
+    let request_count = Arc::new(AtomicUsize::new(0));
     let upstreams = [0, 1].map(|_| {
-        let turn = turn.clone();
-        Upstream::new(move |_| match turn.fetch_add(1, Ordering::SeqCst) % 4 {
+        let request_count = request_count.clone();
+        Upstream::new(move |_| match request_count.fetch_add(1, Ordering::SeqCst) % 4 {
             0 => ScriptedResponse::Answer(503, "X-Not-Processed: 1\r\n", Vec::new()),
             1 => ScriptedResponse::Close,
             2 => ScriptedResponse::Unresponsive,
@@ -173,10 +179,10 @@
         for number in 0..40u64 {
             let sidecar = &sidecar;
             scope.spawn(move || {
-                for time in 0..15 {
+                for round in 0..15 {
                     let mut client = Client::connect(sidecar.address);
                     client.send(if number % 2 == 0 { "bill" } else { "log" }, 400);
-                    if (number + time) % 3 > 0 {
+                    if (number + round) % 3 > 0 {
                         std::thread::sleep(Duration::from_micros(number * 100));
                         continue;
                     }
@@ -189,19 +195,19 @@
     assert!(upstreams.iter().map(|upstream| upstream.requests().len()).sum::<usize>() > 50);
 }
 
-/// Guards against requests of those who had gone before anybody read them: they wait in the accept queue, or in the socket of a
-/// connection that rests, while the process is held up, and are read together with the end of their clients.
+/// Guards against requests of clients that disconnected before the request was read: the requests wait in the accept queue,
+/// or in the socket of an idle connection, while the process is suspended, and are read together with the disconnect.
 #[test]
-fn who_had_left_before_the_request_was_read_is_not_sent_on() {
+fn request_of_disconnected_client_is_not_forwarded_when_read_late() {
     let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
     let (sidecar, _discovery) = Sidecar::start_with_upstreams(&[&upstream]);
-    let long = "x".repeat(40_000);
-    let long = request("bill", 6_000)
+    let long_body = "x".repeat(40_000);
+    let long_request = request("bill", 6_000)
         .replace("Content-Length: 4", "Content-Length: 40000")
-        .replace("\r\n\r\nbill", &format!("\r\n\r\n{long}"));
-    let mut gone = 0;
+        .replace("\r\n\r\nbill", &format!("\r\n\r\n{long_body}"));
+    let mut disconnected_count = 0;
     for _ in 0..3 {
-        let resting: Vec<Client> = (0..9)
+        let idle: Vec<Client> = (0..9)
             .map(|_| {
                 let mut client = Client::connect(sidecar.address);
                 assert_eq!(client.exchange("fetch").status(), 200);
@@ -211,30 +217,33 @@
         let before = upstream.requests().len();
         sidecar.suspend();
         let new = (0..9).map(|_| Client::connect(sidecar.address));
-        let mut held = Vec::new();
-        for (number, mut client) in new.chain(resting).enumerate() {
-            let id = format!("X-Request-ID: left-{gone}-{}", std::process::id());
-            let text = [request("fetch", 6_000), request("bill", 6_000), long.clone()][number % 3].clone();
-            let old = text.lines().find(|line| line.starts_with("X-Request-ID")).unwrap().to_owned();
-            client.write(text.replace(&old, &id).as_bytes());
+        let mut half_closed = Vec::new();
+        for (number, mut client) in new.chain(idle).enumerate() {
+            let id_header = format!("X-Request-ID: left-{disconnected_count}-{}", std::process::id());
+            let text =
+                [request("fetch", 6_000), request("bill", 6_000), long_request.clone()][number % 3].clone();
+            let old_id_header =
+                text.lines().find(|line| line.starts_with("X-Request-ID")).unwrap().to_owned();
+            client.write(text.replace(&old_id_header, &id_header).as_bytes());
             let stream = client.reader.get_ref();
             match number / 3 % 3 {
                 0 => drop(client),
                 1 => {
                     stream.shutdown(std::net::Shutdown::Write).unwrap();
-                    held.push(client);
+                    half_closed.push(client);
                 }
                 _ => rustix::net::sockopt::set_socket_linger(stream, Some(Duration::ZERO)).unwrap(),
             }
-            gone += 1;
+            disconnected_count += 1;
         }
         std::thread::sleep(Duration::from_millis(120));
         sidecar.signal("-CONT");
         assert_eq!(Client::connect(sidecar.address).exchange("fetch").status(), 200);
         std::thread::sleep(Duration::from_millis(100));
-        let came = upstream.requests();
-        let came: Vec<_> = came[before..].iter().map(|m| (&m.start_line, m.header("x-request-id"))).collect();
-        assert_eq!(came.len(), 1, "only who has stayed is sent on: {came:?}");
+        let received = upstream.requests();
+        let received: Vec<_> =
+            received[before..].iter().map(|m| (&m.start_line, m.header("x-request-id"))).collect();
+        assert_eq!(received.len(), 1, "only the connected client's request is forwarded: {received:?}");
     }
-    assert_eq!(gone, 54);
+    assert_eq!(disconnected_count, 54);
 }
--- a/crates/cli/tests/readiness.rs
+++ b/crates/cli/tests/readiness.rs
@@ -1,4 +1,4 @@
-//! A process that starts while discovery is no help is ready soon by the list that it was started with.
+//! A process that starts while discovery is faulty becomes ready in time with the server list of its configuration.
 
 mod loopback;
 
@@ -8,48 +8,48 @@
 
 use loopback::*;
 
-/// A restarted process is to be ready within this time.
-const READY_WITHIN: Duration = Duration::from_secs(6);
+/// The time within which a restarted process must be ready.
+const MAX_TIME_TO_READY: Duration = Duration::from_secs(6);
 
-/// What discovery does.
+/// How discovery fails.
 #[derive(Debug, Clone, Copy)]
-enum Does {
-    /// Nobody listens.
+enum DiscoveryFault {
+    /// There is no listener at the address.
     RefusesConnections,
-    /// Connections come up, and nothing is said.
-    Hangs,
-    /// Connections do not come up.
-    IsOutOfReach,
-    /// Connections are reset.
-    Resets,
-    /// Calls are turned away at once.
-    TurnsAway,
-    /// Calls are turned away after they have waited.
-    TurnsAwayLate,
-    /// Watches are opened and say nothing.
-    OpensInSilence,
-    /// Watches are opened and begin a list that does not end.
-    Dribbles,
+    /// Connections are accepted, and nothing is sent on them.
+    Unresponsive,
+    /// Connections are not established.
+    Unreachable,
+    /// Connections are reset after they are accepted.
+    ResetsConnections,
+    /// Calls are rejected immediately.
+    RejectsCalls,
+    /// Calls are rejected after 2 s.
+    RejectsCallsLate,
+    /// Watches are opened and send nothing.
+    SendsNothingOnWatch,
+    /// Watches are opened and begin a list that they do not finish.
+    SendsUnfinishedList,
 }
 
-const ALL: [Does; 8] = [
-    Does::RefusesConnections,
-    Does::Hangs,
-    Does::IsOutOfReach,
-    Does::Resets,
-    Does::TurnsAway,
-    Does::TurnsAwayLate,
-    Does::OpensInSilence,
-    Does::Dribbles,
+const ALL_FAULTS: [DiscoveryFault; 8] = [
+    DiscoveryFault::RefusesConnections,
+    DiscoveryFault::Unresponsive,
+    DiscoveryFault::Unreachable,
+    DiscoveryFault::ResetsConnections,
+    DiscoveryFault::RejectsCalls,
+    DiscoveryFault::RejectsCallsLate,
+    DiscoveryFault::SendsNothingOnWatch,
+    DiscoveryFault::SendsUnfinishedList,
 ];
 
-/// Starts such a discovery; where it is, and what keeps it up.
-fn start(does: Does) -> (SocketAddr, Option<FullBacklogUpstream>) {
-    match does {
-        Does::RefusesConnections => return (free_address(), None),
-        Does::IsOutOfReach => {
-            let clogged = FullBacklogUpstream::new();
-            return (clogged.address, Some(clogged));
+/// Starts a discovery with this fault. Returns its address and, if it is unreachable, the upstream that must be kept alive.
+fn start_discovery(fault: DiscoveryFault) -> (SocketAddr, Option<FullBacklogUpstream>) {
+    match fault {
+        DiscoveryFault::RefusesConnections => return (free_address(), None),
+        DiscoveryFault::Unreachable => {
+            let unreachable = FullBacklogUpstream::new();
+            return (unreachable.address, Some(unreachable));
         }
         _ => {}
     }
@@ -58,27 +58,29 @@
     std::thread::spawn(move || {
         let mut open = Vec::new();
         for mut stream in listener.incoming().flatten() {
-            let turned_away = b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n";
-            let opens = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-            match does {
-                Does::Resets => {
+            let rejection = b"HTTP/1.1 503 x\r\nContent-Length: 0\r\n\r\n";
+            let watch_head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
+            match fault {
+                DiscoveryFault::ResetsConnections => {
                     rustix::net::sockopt::set_socket_linger(&stream, Some(Duration::ZERO)).unwrap();
                     continue;
                 }
-                Does::TurnsAway => drop(stream.write_all(turned_away)),
-                Does::TurnsAwayLate => {
+                DiscoveryFault::RejectsCalls => drop(stream.write_all(rejection)),
+                DiscoveryFault::RejectsCallsLate => {
                     std::thread::spawn(move || {
                         std::thread::sleep(Duration::from_secs(2));
-                        let _ = stream.write_all(turned_away);
+                        let _ = stream.write_all(rejection);
                     });
                     continue;
                 }
-                Does::OpensInSilence => drop(stream.write_all(opens)),
-                Does::Dribbles => {
-                    let _ = stream.write_all(opens);
+                DiscoveryFault::SendsNothingOnWatch => drop(stream.write_all(watch_head)),
+                DiscoveryFault::SendsUnfinishedList => {
+                    let _ = stream.write_all(watch_head);
                     let _ = write_chunk(&mut stream, br#"{"seq":9,"whole":true,"hosts":["#);
                 }
-                Does::Hangs | Does::RefusesConnections | Does::IsOutOfReach => {}
+                DiscoveryFault::Unresponsive
+                | DiscoveryFault::RefusesConnections
+                | DiscoveryFault::Unreachable => {}
             }
             open.push(stream);
         }
@@ -86,34 +88,38 @@
     (address, None)
 }
 
-/// Guards against a start that waits for discovery: it has a list, and serves by it.
+/// Guards against a start that waits for discovery although the configuration has a list to serve with.
 #[test]
-fn a_process_is_ready_by_its_known_list_whatever_discovery_does() {
+fn process_is_ready_with_its_known_list_under_any_discovery_fault() {
     let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
     let known = ready_server_list(&[&upstream]);
     for mode in ["automatic", "subscribe"] {
         let settings = SETTINGS.replace("automatic", mode);
         std::thread::scope(|scope| {
-            for does in ALL {
+            for fault in ALL_FAULTS {
                 let (settings, known) = (&settings, &known);
                 scope.spawn(move || {
-                    let (address, _kept) = start(does);
-                    let begun = Instant::now();
+                    let (address, _kept) = start_discovery(fault);
+                    let start = Instant::now();
                     let sidecar = Sidecar::start(&config_json("127.0.0.1:0", address, known, 1024, settings));
                     sidecar.wait_until_up();
-                    let took = begun.elapsed();
-                    assert!(took < READY_WITHIN, "{mode}, {does:?}: {took:?}");
+                    let duration = start.elapsed();
+                    assert!(duration < MAX_TIME_TO_READY, "{mode}, {fault:?}: {duration:?}");
                     let answer = Client::connect(sidecar.address).exchange("fetch");
-                    assert_eq!(answer.status(), 200, "{mode}, {does:?}: it serves by the list");
+                    assert_eq!(
+                        answer.status(),
+                        200,
+                        "{mode}, {fault:?}: requests are served with the known list"
+                    );
                 });
             }
         });
     }
 }
 
-/// Without a list it is not ready before discovery has told one, and is soon after.
+/// Without a list the process is not ready before discovery has sent one, and is ready soon after.
 #[test]
-fn a_process_without_a_list_is_ready_soon_after_discovery_comes_back() {
+fn process_without_a_list_is_ready_soon_after_discovery_recovers() {
     for mode in ["automatic", "subscribe"] {
         let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
         let settings =
@@ -121,11 +127,11 @@
         let address = free_address();
         let sidecar = Sidecar::start(&config_json("127.0.0.1:0", address, "null", 1024, &settings));
         std::thread::sleep(Duration::from_millis(2_500));
-        let said = Client::connect(sidecar.address).get("/up").expect("an answer").status();
-        assert_ne!(said, 200, "{mode}: it has no list");
+        let status = Client::connect(sidecar.address).get("/up").expect("an answer").status();
+        assert_ne!(status, 200, "{mode}: up without a list");
         let line = ready_server_list(&[&upstream]);
         let listener = TcpListener::bind(address).unwrap();
-        let begun = Instant::now();
+        let start = Instant::now();
         std::thread::spawn(move || {
             for mut stream in listener.incoming().flatten() {
                 let _ = stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -134,6 +140,6 @@
             }
         });
         sidecar.wait_until_up();
-        assert!(begun.elapsed() < READY_WITHIN, "{mode}: {:?}", begun.elapsed());
+        assert!(start.elapsed() < MAX_TIME_TO_READY, "{mode}: {:?}", start.elapsed());
     }
 }
