--- a/crates/cli/tests/answers.rs
+++ b/crates/cli/tests/answers.rs
@@ -179,7 +179,7 @@
 }
 
 /// Guards against a close without a byte: on a connection that was used before, a client takes that for the close of an idle
-/// connection and sends a request that may run only once again.
+/// connection and sends its request again, although that may run only once.
 #[test]
 fn answer_truncated_at_its_start_still_delivers_its_head() {
     const LONG: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n0123456789";
