--- a/crates/cli/tests/requests_in_pieces.rs
+++ b/crates/cli/tests/requests_in_pieces.rs
@@ -1,5 +1,5 @@
-//! Requests that come in pieces, or wait in the kernel, while the process is told to end, to reload or to drain: each that was
-//! taken gets one whole answer.
+//! Tests of requests that arrive in pieces, or wait in the kernel, while the process is told to terminate, reload or
+//! evacuate: each accepted request gets one complete answer.
 
 mod loopback;
 
@@ -10,7 +10,7 @@
 
 use loopback::*;
 
-/// What happens to the process in the middle of a request.
+/// An event that the process handles in the middle of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Interruption {
     Nothing,
@@ -22,7 +22,7 @@
 const INTERRUPTIONS: [Interruption; 4] =
     [Interruption::Nothing, Interruption::Reload, Interruption::Evacuation, Interruption::Sigterm];
 
-/// A sidecar with a console, and what it was configured with.
+/// A sidecar with a console, and its configuration.
 struct Fixture {
     sidecar: Sidecar,
     console: SocketAddr,
@@ -42,7 +42,7 @@
         Fixture { sidecar, console, config, _discovery: discovery }
     }
 
-    /// Has the interruption happen; it is in force when this returns.
+    /// Causes the interruption and waits until the process has handled it.
     fn interrupt(&self, interruption: Interruption) {
         match interruption {
             Interruption::Nothing => {}
@@ -58,27 +58,27 @@
         }
     }
 
-    /// The end in order, whatever it was.
-    fn end(mut self, interruption: Interruption) {
+    /// Checks that the process exits with success if it was told to terminate.
+    fn finish(mut self, interruption: Interruption) {
         if interruption == Interruption::Sigterm {
             assert!(self.sidecar.wait_for_exit().success());
         }
     }
 }
 
-/// A request whose second part is still to be written.
-struct Half {
+/// A request of which only the first part has been written.
+struct PartialRequest {
     client: Client,
     id: String,
     rest: Vec<u8>,
 }
 
-impl Half {
-    /// Writes a request up to that byte.
-    fn write(mut client: Client, class: &str, cut: usize) -> Half {
+impl PartialRequest {
+    /// Writes the first `cut` bytes of a request.
+    fn write(mut client: Client, class: &str, cut: usize) -> PartialRequest {
         let (id, text) = request_with_id(class, 6_000);
         client.write(&text.as_bytes()[..cut]);
-        Half { client, id, rest: text.as_bytes()[cut..].to_vec() }
+        PartialRequest { client, id, rest: text.as_bytes()[cut..].to_vec() }
     }
 
     /// Writes the rest and reads the answer.
@@ -97,94 +97,105 @@
     client
 }
 
-/// Served, or refused for want of room: a whole answer that harms nobody.
-fn assert_answered(answer: Option<Message>, what: &str) -> bool {
-    let answer = answer.unwrap_or_else(|| panic!("{what}: no answer"));
-    assert!(matches!(answer.status(), 200 | 503), "{what}: {}", answer.start_line);
+/// Checks that a request was served, or refused for lack of capacity. Returns whether it was served.
+fn assert_answered(answer: Option<Message>, context: &str) -> bool {
+    let answer = answer.unwrap_or_else(|| panic!("{context}: no answer"));
+    assert!(matches!(answer.status(), 200 | 503), "{context}: {}", answer.start_line);
     answer.status() == 200
 }
 
-/// One connection for every cut of a request, new ones and used ones, all in the middle of it when the process is interrupted.
+/// Guards against requests that are lost because the process is interrupted while it has read only a part of them: one
+/// connection for every length of that part, on new and on used connections.
 #[test]
-fn a_request_cut_anywhere_is_answered_whatever_happens_in_between() {
+fn request_split_at_any_byte_is_answered_after_every_interruption() {
     let length = request("log", 6_000).len();
     for interruption in INTERRUPTIONS {
         let fixture = Fixture::new();
         let address = fixture.sidecar.address;
         let used = (1..length).step_by(4).map(|cut| (cut, used_client(address))).collect::<Vec<_>>();
         let new = (1..length).map(|cut| (cut, Client::connect(address)));
-        let halves: Vec<(usize, Half)> =
-            used.into_iter().chain(new).map(|(cut, client)| (cut, Half::write(client, "log", cut))).collect();
-        // In the same moment, read by the process or not.
+        let partial_requests: Vec<(usize, PartialRequest)> = used
+            .into_iter()
+            .chain(new)
+            .map(|(cut, client)| (cut, PartialRequest::write(client, "log", cut)))
+            .collect();
+        // The process may not have read all these parts yet.
         fixture.interrupt(interruption);
         std::thread::sleep(Duration::from_millis(100));
-        let served = halves
+        let served = partial_requests
             .into_iter()
-            .map(|(cut, half)| assert_answered(half.finish(), &format!("{interruption:?}, cut at {cut}")))
+            .map(|(cut, partial)| {
+                assert_answered(partial.finish(), &format!("{interruption:?}, cut at {cut}"))
+            })
             .filter(|served| *served)
             .count();
         assert!(served > length / 2, "{interruption:?}: {served} served");
-        fixture.end(interruption);
+        fixture.finish(interruption);
     }
 }
 
-/// Byte by byte, with the interruption in the head and in the body.
+/// Guards against requests that are lost because they arrive byte by byte, with the interruption in the head or in the body.
 #[test]
-fn a_request_that_comes_byte_by_byte_is_answered_whatever_happens_in_between() {
+fn request_sent_byte_by_byte_is_answered_after_every_interruption() {
     for interruption in INTERRUPTIONS {
         let fixture = Fixture::new();
         let address = fixture.sidecar.address;
         let (head_cut, body_cut) = (40, request("bill", 6_000).len() - 2);
-        let mut halves: Vec<Half> =
+        let mut partial_requests: Vec<PartialRequest> =
             [("fetch", head_cut), ("log", head_cut), ("bill", head_cut), ("bill", body_cut)]
                 .into_iter()
                 .flat_map(|(class, cut)| {
                     [(class, cut, Client::connect(address)), (class, cut, used_client(address))]
                 })
                 .map(|(class, cut, client)| {
-                    let mut half = Half::write(client, class, 0);
-                    for byte in half.rest.drain(..cut).collect::<Vec<u8>>() {
-                        half.client.write(&[byte]);
+                    let mut partial = PartialRequest::write(client, class, 0);
+                    for byte in partial.rest.drain(..cut).collect::<Vec<u8>>() {
+                        partial.client.write(&[byte]);
                     }
-                    half
+                    partial
                 })
                 .collect();
         fixture.interrupt(interruption);
-        let longest = halves.iter().map(|half| half.rest.len()).max().unwrap_or(0);
+        let longest = partial_requests.iter().map(|partial| partial.rest.len()).max().unwrap_or(0);
         for _ in 1..longest {
-            for half in halves.iter_mut().filter(|half| half.rest.len() > 1) {
-                let byte = half.rest.remove(0);
-                half.client.write(&[byte]);
+            for partial in partial_requests.iter_mut().filter(|partial| partial.rest.len() > 1) {
+                let byte = partial.rest.remove(0);
+                partial.client.write(&[byte]);
             }
             std::thread::sleep(Duration::from_millis(2));
         }
-        for half in halves {
-            assert_answered(half.finish(), &format!("{interruption:?}"));
+        for partial in partial_requests {
+            assert_answered(partial.finish(), &format!("{interruption:?}"));
         }
-        fixture.end(interruption);
+        fixture.finish(interruption);
     }
 }
 
-/// While the process stands still: requests in the accept queue, whole, cut and pipelined, and on connections that rest. Then it
-/// hears of the interruption and of all of them at once.
+/// Guards against requests that are lost because they and the interruption come while the process is suspended: it resumes
+/// with requests in the accept queue (complete, partial and pipelined) and on idle connections.
 #[test]
-fn what_waits_in_the_kernel_when_the_process_is_interrupted_is_answered() {
+fn requests_waiting_in_the_kernel_during_an_interruption_are_answered() {
     for interruption in [Interruption::Reload, Interruption::Evacuation, Interruption::Sigterm] {
         let fixture = Fixture::new();
         let address = fixture.sidecar.address;
-        let resting: Vec<Client> = (0..20).map(|_| used_client(address)).collect();
+        let idle: Vec<Client> = (0..20).map(|_| used_client(address)).collect();
         fixture.sidecar.suspend();
-        let whole = request("log", 6_000).len();
-        let rested: Vec<Half> = resting.into_iter().map(|client| Half::write(client, "log", whole)).collect();
-        let queued: Vec<Half> = (0..40)
+        let length = request("log", 6_000).len();
+        let on_idle: Vec<PartialRequest> =
+            idle.into_iter().map(|client| PartialRequest::write(client, "log", length)).collect();
+        let queued: Vec<PartialRequest> = (0..40)
             .map(|number| {
-                Half::write(Client::connect(address), "log", if number % 2 == 0 { whole } else { 70 })
+                PartialRequest::write(
+                    Client::connect(address),
+                    "log",
+                    if number % 2 == 0 { length } else { 70 },
+                )
             })
             .collect();
         let mut pipelined: Vec<Client> = (0..10).map(|_| Client::connect(address)).collect();
         for client in &mut pipelined {
-            let two = [request("log", 6_000), request("fetch", 6_000)].concat();
-            client.write(two.as_bytes());
+            let two_requests = [request("log", 6_000), request("fetch", 6_000)].concat();
+            client.write(two_requests.as_bytes());
         }
         let mut operator = None;
         match interruption {
@@ -198,10 +209,12 @@
         }
         std::thread::sleep(Duration::from_millis(300));
         fixture.sidecar.signal("-CONT");
-        for (place, half) in
-            rested.into_iter().map(|h| ("resting", h)).chain(queued.into_iter().map(|h| ("queued", h)))
+        for (place, partial) in on_idle
+            .into_iter()
+            .map(|partial| ("idle connection", partial))
+            .chain(queued.into_iter().map(|partial| ("accept queue", partial)))
         {
-            assert_answered(half.finish(), &format!("{interruption:?}, {place}"));
+            assert_answered(partial.finish(), &format!("{interruption:?}, {place}"));
         }
         for client in &mut pipelined {
             for number in 0..2 {
@@ -209,29 +222,31 @@
             }
         }
         assert!(
-            operator
-                .is_none_or(|mut operator| operator.read_answer().is_some_and(|said| said.status() == 200))
+            operator.is_none_or(|mut operator| operator
+                .read_answer()
+                .is_some_and(|answer| answer.status() == 200))
         );
-        fixture.end(interruption);
+        fixture.finish(interruption);
     }
 }
 
-/// How a request that came near the end of the process fared.
+/// The outcome of a request that came close to the exit of the process.
 #[derive(Debug, PartialEq)]
-enum Fate {
-    /// One whole answer.
+enum RequestOutcome {
+    /// One complete answer.
     Answered,
-    /// The connection had been closed before the last byte was written: nothing was taken.
+    /// The connection was closed before the last byte was written, so the request was not accepted.
     ClosedBefore,
-    /// The last byte was written, and no answer came.
+    /// The last byte was written, but no answer came.
     Lost,
 }
 
-/// The last byte comes when the time of the process is almost up, or is up: it is answered, or its connection had been closed
-/// before, 40 ms ahead of the end. A process that is held up right there must not end on requests that wait in its sockets.
+/// Guards against a process that exits while requests wait in its sockets, for example because it is held up just before the
+/// exit. The last byte of each request comes close to the exit: the request is answered, or its connection was closed before,
+/// 40 ms ahead of the exit.
 #[test]
-fn a_request_that_ends_with_the_process_is_answered_or_not_taken() {
-    /// What comes within this before the end cannot be served any more, and is told so.
+fn request_completed_near_the_exit_is_answered_or_not_accepted() {
+    /// A request that comes later than this before the exit cannot be served, and is answered so.
     const SERVICE_TIME: Duration = Duration::from_millis(80);
     let settings = SETTINGS.replace(r#""aim":3000.0"#, r#""aim":60.0"#).replace("8000.0", "90.0");
     let upstream = Upstream::new(|_| {
@@ -242,66 +257,71 @@
     });
     let (mut sidecar, _discovery) = Sidecar::start_with_settings(&[&upstream], &settings);
     let cut = request("log", 6_000).len() - 1;
-    let halves: Vec<Half> =
-        (0..150).map(|_| Half::write(Client::connect(sidecar.address), "log", cut)).collect();
+    let partial_requests: Vec<PartialRequest> =
+        (0..150).map(|_| PartialRequest::write(Client::connect(sidecar.address), "log", cut)).collect();
     std::thread::sleep(Duration::from_millis(50));
     sidecar.signal("-TERM");
     sidecar.wait_for_log("SIGTERM");
-    let begun = Instant::now();
-    // The longest deadline, and 640 ms more.
+    let signalled_at = Instant::now();
+    // The process exits after the longest deadline and 640 ms more.
     let exit = std::thread::spawn(move || {
         while sidecar.child.try_wait().unwrap().is_none() {
             std::thread::sleep(Duration::from_micros(500));
-            assert!(begun.elapsed() < WAIT_TIMEOUT);
+            assert!(signalled_at.elapsed() < WAIT_TIMEOUT);
         }
         (Instant::now(), sidecar)
     });
-    let writers: Vec<_> = halves
+    let writers: Vec<_> = partial_requests
         .into_iter()
         .enumerate()
-        .map(|(number, half)| {
+        .map(|(number, partial)| {
             std::thread::spawn(move || {
-                let at = begun + Duration::from_millis(450 + 3 * number as u64);
-                std::thread::sleep(at.saturating_duration_since(Instant::now()));
-                half.client.reader.get_ref().set_nonblocking(true).unwrap();
-                let closed = !matches!(
-                    half.client.reader.get_ref().peek(&mut [0; 1]),
+                let write_at = signalled_at + Duration::from_millis(450 + 3 * number as u64);
+                std::thread::sleep(write_at.saturating_duration_since(Instant::now()));
+                partial.client.reader.get_ref().set_nonblocking(true).unwrap();
+                let is_closed = !matches!(
+                    partial.client.reader.get_ref().peek(&mut [0; 1]),
                     Err(error) if error.kind() == std::io::ErrorKind::WouldBlock
                 );
-                half.client.reader.get_ref().set_nonblocking(false).unwrap();
-                let written = Instant::now();
-                let fate = match (closed, half.finish()) {
-                    (true, _) => Fate::ClosedBefore,
-                    (false, Some(_)) => Fate::Answered,
-                    (false, None) => Fate::Lost,
+                partial.client.reader.get_ref().set_nonblocking(false).unwrap();
+                let written_at = Instant::now();
+                let outcome = match (is_closed, partial.finish()) {
+                    (true, _) => RequestOutcome::ClosedBefore,
+                    (false, Some(_)) => RequestOutcome::Answered,
+                    (false, None) => RequestOutcome::Lost,
                 };
-                (written, fate)
+                (written_at, outcome)
             })
         })
         .collect();
-    let fates: Vec<(Instant, Fate)> = writers.into_iter().map(|writer| writer.join().unwrap()).collect();
-    let (exit, _sidecar) = exit.join().unwrap();
-    let of = |fate: Fate| fates.iter().filter(|(_, found)| *found == fate).count();
-    let lost: Vec<Duration> = fates
+    let outcomes: Vec<(Instant, RequestOutcome)> =
+        writers.into_iter().map(|writer| writer.join().unwrap()).collect();
+    let (exited_at, _sidecar) = exit.join().unwrap();
+    let count =
+        |expected: RequestOutcome| outcomes.iter().filter(|(_, outcome)| *outcome == expected).count();
+    let lost: Vec<Duration> = outcomes
         .iter()
-        .filter(|(_, fate)| *fate == Fate::Lost)
-        .map(|(written, _)| exit.saturating_duration_since(*written))
+        .filter(|(_, outcome)| *outcome == RequestOutcome::Lost)
+        .map(|(written_at, _)| exited_at.saturating_duration_since(*written_at))
         .collect();
     println!(
-        "{:?} after SIGTERM it ended: {} answered, {} closed before, lost so long before the end: {lost:?}",
-        exit - begun,
-        of(Fate::Answered),
-        of(Fate::ClosedBefore),
+        "exit {:?} after SIGTERM: {} answered, {} closed before, times from the last byte of lost requests to the exit: {lost:?}",
+        exited_at - signalled_at,
+        count(RequestOutcome::Answered),
+        count(RequestOutcome::ClosedBefore),
     );
-    assert!(of(Fate::Answered) > 20 && of(Fate::ClosedBefore) > 0, "both were tried");
-    assert!(lost.is_empty(), "lost so long before the end: {lost:?}");
+    assert!(
+        count(RequestOutcome::Answered) > 20 && count(RequestOutcome::ClosedBefore) > 0,
+        "requests came both before and after the connections were closed"
+    );
+    assert!(lost.is_empty(), "times from the last byte of lost requests to the exit: {lost:?}");
 }
 
 // --- Eviction -------------------------------------------------------------------------------------
 
-/// Guards against closing a connection in the middle of a request for a newcomer while others rest and hold nothing.
+/// Guards against evicting a connection in the middle of a request for a new connection while others are idle.
 #[test]
-fn who_writes_slowly_is_not_evicted_while_others_are_idle() {
+fn connection_with_a_partial_request_is_not_evicted_while_others_are_idle() {
     let upstream = Upstream::new(|_| ScriptedResponse::ok("served"));
     let known = ready_server_list(&[&upstream]);
     let discovery = Discovery::new(&known);
@@ -310,24 +330,27 @@
     let stop = AtomicBool::new(false);
     let length = request("log", 6_000).len();
     std::thread::scope(|scope| {
-        let asked = scope.spawn(|| connect_repeatedly(sidecar.address, Duration::from_millis(15), &stop));
-        let slow: Vec<_> = [40, length - 2]
+        let crowd = scope.spawn(|| connect_repeatedly(sidecar.address, Duration::from_millis(15), &stop));
+        let statuses: Vec<_> = [40, length - 2]
             .map(|cut| {
                 let address = sidecar.address;
                 scope.spawn(move || {
-                    let half = Half::write(Client::connect(address), "log", cut);
+                    let partial = PartialRequest::write(Client::connect(address), "log", cut);
                     std::thread::sleep(Duration::from_millis(1_500));
-                    half.finish().map(|answer| answer.status())
+                    partial.finish().map(|answer| answer.status())
                 })
             })
             .into_iter()
             .map(|writer| writer.join().unwrap())
             .collect();
         stop.store(true, Ordering::SeqCst);
-        let asked = asked.join().unwrap();
-        let answered = |status: &Option<u16>| matches!(status, Some(200 | 503));
-        assert!(slow.iter().all(answered), "{slow:?}, beside {asked} newcomers");
+        let crowd_requests = crowd.join().unwrap();
+        let is_answered = |status: &Option<u16>| matches!(status, Some(200 | 503));
+        assert!(
+            statuses.iter().all(is_answered),
+            "{statuses:?}, beside {crowd_requests} requests on new connections"
+        );
     });
-    let last = Client::connect(sidecar.address).exchange("fetch");
-    assert!(matches!(last.status(), 200 | 503));
+    let last_answer = Client::connect(sidecar.address).exchange("fetch");
+    assert!(matches!(last_answer.status(), 200 | 503));
 }
