--- a/crates/cli/tests/wire.rs
+++ b/crates/cli/tests/wire.rs
@@ -1,4 +1,4 @@
-//! The adapter as a process: lines in, lines out.
+//! Tests of the simulator adapter as a process that reads and writes lines of JSON.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -14,6 +14,7 @@
 "membership_mode":"automatic","peers_total":3,"period":4.0,"rank":0,"zone":1,
 "telemetry":{"columns":["inflight","later_figure","util"],"how":"pull"},"new_table":{"a":[1,2]}}"#;
 
+/// Runs the adapter on this input to its end.
 fn run(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_sagemast-simhost"))
         .stdin(Stdio::piped())
@@ -26,7 +27,8 @@
     child.wait_with_output().expect("the adapter ends")
 }
 
-fn start(mode: &str) -> String {
+/// The first input line, which defines a sidecar with one server in this membership mode.
+fn first_line(mode: &str) -> String {
     let config = CONFIG.replace('\n', "").replace("automatic", mode);
     let hello = format!(r#"{{"kind":"hello","salt":9,"config":{config}}}"#);
     let list = r#"{"kind":"define_list","list":3,"rows_in":[{"upstream":77,"hall":1,"shape":0,"stripe":4,
@@ -38,21 +40,22 @@
     )
 }
 
-fn with(line: &str) -> Output {
-    run(&format!("{}\n{line}\n", start("automatic")))
+/// Runs the adapter on the first line and these lines.
+fn run_after_first_line(lines: &str) -> Output {
+    run(&format!("{}\n{lines}\n", first_line("automatic")))
 }
 
 const ARRIVAL: &str = r#"{"wall":104.5,"turn":2,"parts":[{"sidecar":"sidecar-0","inbox":[{"kind":"arrival",
 "xid":"0ce511c65d3a91c4","time_left":240.0,"category":0,"unheard_of":[1]}]}]}"#;
 
 #[test]
-fn an_arrival_is_relayed() {
-    // Nothing is known of the server yet: it is asked first, and the request goes out when it does not answer.
+fn arrival_is_relayed_after_an_unanswered_probe() {
+    // The server has not reported yet: the module probes it first, and sends the request when there is no answer.
     let token = 0x0ce5_11c6_5d3a_91c4_u64 >> 1;
     let ring = format!(
         r#"{{"wall":300,"turn":3,"parts":[{{"sidecar":"sidecar-0","inbox":[{{"kind":"ring","ref":{token}}}]}}]}}"#
     );
-    let output = with(&format!("{}\n{}", ARRIVAL.replace('\n', ""), ring));
+    let output = run_after_first_line(&format!("{}\n{}", ARRIVAL.replace('\n', ""), ring));
     assert!(output.status.success());
     let text = String::from_utf8(output.stdout).unwrap();
     let lines: Vec<serde_json::Value> =
@@ -61,9 +64,11 @@
     assert_eq!(lines[0], serde_json::json!({"turn": 1, "parts": []}));
     assert_eq!(lines[1]["turn"], 2);
     assert_eq!(lines[1]["parts"][0]["sidecar"], "sidecar-0");
-    let asked = lines[1]["parts"][0]["actions"].as_array().unwrap();
-    assert!(asked.iter().any(|action| *action == serde_json::json!({"kind": "ask_load", "upstream": 77})));
-    assert!(asked.iter().any(|action| action["kind"] == "set_alarm"));
+    let probe_actions = lines[1]["parts"][0]["actions"].as_array().unwrap();
+    assert!(
+        probe_actions.iter().any(|action| *action == serde_json::json!({"kind": "ask_load", "upstream": 77}))
+    );
+    assert!(probe_actions.iter().any(|action| action["kind"] == "set_alarm"));
     let actions = lines[2]["parts"][0]["actions"].as_array().unwrap();
     let relay = actions.iter().find(|action| action["kind"] == "relay").unwrap();
     assert_eq!(relay["xid"], "0ce511c65d3a91c4");
@@ -72,17 +77,17 @@
 }
 
 #[test]
-fn a_subscription_goes_through_a_timer() {
+fn subscription_is_requested_by_a_timer() {
     let ring =
         r#"{"wall":900.0,"turn":2,"parts":[{"sidecar":"sidecar-0","inbox":[{"kind":"ring","ref":0}]}]}"#;
-    let output = run(&format!("{}\n{ring}\n", start("subscribe")));
+    let output = run(&format!("{}\n{ring}\n", first_line("subscribe")));
     let text = String::from_utf8(output.stdout).unwrap();
     assert!(text.lines().next().unwrap().contains(r#""kind":"set_alarm""#), "{text}");
     assert!(text.lines().nth(1).unwrap().contains(r#"{"kind":"follow","want":true}"#), "{text}");
 }
 
 #[test]
-fn every_event_and_outcome_is_read() {
+fn every_kind_of_event_and_disposition_is_accepted() {
     let mut events = vec![
         r#"{"kind":"heard","src_peer":2,"bytes":"68"}"#.to_owned(),
         r#"{"kind":"under_way","xid":"0000000000000001","shot":0,"upstream":77,"latency":9.25}"#.to_owned(),
@@ -104,16 +109,16 @@
         r#"{{"wall":105,"turn":2,"parts":[{{"sidecar":"sidecar-0","inbox":[{}]}}]}}"#,
         events.join(",")
     );
-    let output = with(&line);
+    let output = run_after_first_line(&line);
     assert!(output.status.success(), "{}", String::from_utf8_lossy(&output.stderr));
 }
 
 #[test]
-fn bad_input_ends_it_with_one_plain_line() {
+fn invalid_input_ends_the_adapter_with_one_error_line() {
     let inbox = |event: &str| {
         format!(r#"{{"wall":105,"turn":2,"parts":[{{"sidecar":"sidecar-0","inbox":[{event}]}}]}}"#)
     };
-    let stranger = ARRIVAL.replace('\n', "").replace("sidecar-0", "sidecar-8");
+    let unknown_sidecar = ARRIVAL.replace('\n', "").replace("sidecar-0", "sidecar-8");
     for line in [
         "not json".to_owned(),
         r#"{"wall":1,"parts":[]}"#.to_owned(),
@@ -126,19 +131,23 @@
         inbox(
             r#"{"kind":"returned","xid":"0000000000000001","upstream":7,"shot":0,"latency":2,"disposition":"odd"}"#,
         ),
-        stranger,
+        unknown_sidecar,
     ] {
-        let output = with(&line);
+        let output = run_after_first_line(&line);
         assert!(!output.status.success(), "{line}");
         let error = String::from_utf8(output.stderr).unwrap();
         assert_eq!(error.lines().count(), 1, "{error}");
         assert!(error.contains("line 2"), "{error}");
-        assert_eq!(String::from_utf8(output.stdout).unwrap().lines().count(), 1, "replies only");
+        assert_eq!(
+            String::from_utf8(output.stdout).unwrap().lines().count(),
+            1,
+            "standard output holds replies only"
+        );
     }
 }
 
 #[test]
-fn the_end_of_input_is_a_clean_end() {
+fn end_of_input_ends_the_adapter_with_success() {
     let output = run("");
     assert!(output.status.success() && output.stdout.is_empty() && output.stderr.is_empty());
 }
