--- a/crates/cli/tests/requests_in_pieces.rs
+++ b/crates/cli/tests/requests_in_pieces.rs
@@ -119,7 +119,7 @@
             .chain(new)
             .map(|(cut, client)| (cut, PartialRequest::write(client, "log", cut)))
             .collect();
-        // The process may not have read all these parts yet.
+        // The process may or may not have read these parts.
         fixture.interrupt(interruption);
         std::thread::sleep(Duration::from_millis(100));
         let served = partial_requests
--- a/crates/cli/tests/upgrade.rs
+++ b/crates/cli/tests/upgrade.rs
@@ -271,7 +271,7 @@
     successor.wait_for_log("serving");
     let drained = server_list(6, false, &[server_entry("a", upstreams[0].address, "draining")]);
     platform.discovery.publish(&format!("{drained}\n"));
-    wait_until("the predecessor has told the successor of the drain", || {
+    wait_until("the predecessor has notified the successor of the drain", || {
         telemetry_value(console, "skipped_upstreams") == 1
     });
     drop(predecessor);
