--- a/crates/decide/src/api.rs
+++ b/crates/decide/src/api.rs
@@ -49,20 +49,20 @@
     Cell,
 }
 
-/// The effect of running a request twice.
+/// Whether it is harmful to run a request twice.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Effect {
-    /// Harmless.
+    /// Running the request twice is harmless.
     Idempotent,
-    /// Harmless on the servers in `scope` within `window`, which starts with the first send that may have
-    /// run.
+    /// Running the request twice is harmless on the servers in `scope` within `window`, which starts with the
+    /// first send that may have run.
     IdempotentByKey {
         /// The servers that discard repeats.
         scope: KeyScope,
         /// How long they discard repeats.
         window: Millis,
     },
-    /// Harmful: the request must never run twice.
+    /// The request must never run twice.
     NonIdempotent,
 }
 
@@ -75,11 +75,11 @@
     pub worth: f64,
     /// The share of the worth that a later answer has.
     pub late_worth: f64,
-    /// The effect of running a request twice.
+    /// Whether it is harmful to run a request twice.
     pub effect: Effect,
 }
 
-/// A customer with a share of the service.
+/// A customer with a quota of requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tenant {
     /// Requests per second, summed over all sidecars.
@@ -112,35 +112,37 @@
     pub warm_up: Millis,
     /// A server that is warming up fails under more than this multiple of its present capacity.
     pub overload_multiple: f64,
-    /// The time for which it has to be overloaded to fail.
+    /// A server that is warming up fails once it has been overloaded for this time.
     pub overload_window: Millis,
 }
 
 /// How updates of the server list arrive.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Discovery {
-    /// Without being asked for.
+    /// Discovery sends updates without a call.
     Pushed,
-    /// Only after [`Action::Subscribe`].
+    /// Discovery sends updates only after [`Action::Subscribe`].
     Subscribed {
-        /// The longest time without a subscription between two calls.
+        /// The time within which a change must be received, even if calls fail: the bound of
+        /// [`crate::staleness`].
         must_ask_in: Millis,
     },
 }
 
-/// How one sidecar differs from the others.
+/// The identity of one sidecar among all sidecars.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Identity {
-    /// Not at all: every such sidecar uses all servers.
+    /// Sidecars have no identity; each uses all servers.
     Anonymous,
-    /// By a number; all sidecars are numbered.
+    /// The sidecar has a number, as all sidecars have.
     Ranked {
-        /// Its number, from 0.
+        /// The number of this sidecar, from 0.
         rank: u32,
         /// The number of sidecars.
         count: u32,
     },
-    /// By a hash of its name ([`crate::subset::name_key`]), which stays the same after a restart.
+    /// The sidecar has a name, which it keeps after a restart. The value is a hash of the name
+    /// ([`crate::subset::name_key`]).
     Named(u64),
 }
 
@@ -176,9 +178,9 @@
 /// Whether a server takes new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Lifecycle {
-    /// It takes new requests.
+    /// The server takes new requests.
     Serving,
-    /// It only finishes the requests that it has, or is gone.
+    /// The server only finishes the requests that it has, or is gone.
     Draining,
 }
 
@@ -197,7 +199,7 @@
     pub lifecycle: Lifecycle,
     /// Its capacity relative to other servers; 1 if unknown.
     pub weight: f64,
-    /// When its incarnation started; `None` if long ago.
+    /// When its present incarnation started; `None` if long ago.
     pub started: Option<Millis>,
     /// A hash of its name, the same at every sidecar ([`crate::subset::name_key`]).
     pub key: u64,
@@ -216,7 +218,7 @@
     Unavailable,
 }
 
-/// A server's own report of its load. Any figure may be missing or absurd.
+/// A server's own report of its load. Any figure may be missing or out of range.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Report {
     /// Requests in flight.
@@ -232,21 +234,21 @@
 /// The outcome of an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Served.
+    /// The attempt was served.
     Ok,
-    /// An error answer; it may have run.
+    /// The answer is an error; the attempt may have run.
     Error,
-    /// The server had no capacity and rejected it; it never ran.
+    /// The server had no capacity and rejected the attempt, which never ran.
     Full,
-    /// No answer in time; it may have run or may run later.
+    /// No answer came in time; the attempt may have run or may run later.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection could be established; the attempt never ran.
     Unreachable,
-    /// The connection broke; it may have run.
+    /// The connection broke; the attempt may have run.
     Reset,
-    /// Cancelled; it may have run.
+    /// The attempt was cancelled; it may have run.
     Cancelled,
-    /// It never left this sidecar.
+    /// The attempt never left this sidecar.
     NotSent,
 }
 
@@ -268,7 +270,7 @@
     pub upstream: UpstreamId,
     /// The outcome.
     pub outcome: Outcome,
-    /// Time since it was sent.
+    /// Time since the attempt was sent.
     pub latency: Millis,
     /// Whether the client has its final answer.
     pub client_answered: bool,
@@ -281,7 +283,7 @@
 pub enum Event {
     /// A request came in; its client is owed one final answer.
     RequestArrived {
-        /// Its id, never used again.
+        /// The id of the request, never used again.
         request: RequestId,
         /// Its class.
         class: ClassId,
@@ -293,7 +295,7 @@
     /// An attempt ended. Follows each [`Action::Send`] exactly once.
     AttemptFinished(FinishedAttempt),
     /// The client is still uploading the body of an attempt in flight, or the last byte has been sent on.
-    /// Servers begin with the last byte, so the times of the request count from there.
+    /// A server begins its work once it has the last byte, so the times of the request count from there.
     UploadProgress {
         /// The request.
         request: RequestId,
@@ -341,14 +343,14 @@
         /// The number of the attempt.
         attempt: AttemptNo,
     },
-    /// Final answer: refused; a retry is harmless.
+    /// Give the final answer that the request is refused; a retry is harmless.
     Refuse {
         /// The request.
         request: RequestId,
         /// How long the client should wait before it retries.
         retry_after: Millis,
     },
-    /// Final answer: failed, and possibly executed.
+    /// Give the final answer that the request has failed and may have been executed.
     Fail(RequestId),
     /// Ask a server for its load.
     Probe(UpstreamId),
--- a/crates/decide/src/attempt_timeout.rs
+++ b/crates/decide/src/attempt_timeout.rs
@@ -37,12 +37,12 @@
 /// longer.
 const SUSPECT_TAIL_PROBABILITY: f64 = 0.1;
 /// A server is suspect if it has answered nothing since the attempt was sent, for this multiple of the
-/// current usual latency.
+/// latency to be expected at the present slowdown.
 const SUSPECT_LATENCY_MULTIPLE: f64 = 12.0;
-/// Factor on the prior if the server has answered another attempt since: it is then unresponsive to this
-/// attempt only, which is much rarer.
+/// Factor on the prior if the server has answered another attempt since: the server is then unresponsive to
+/// this attempt only, which is much rarer.
 const ANSWERED_SINCE_FACTOR: f64 = 0.02;
-/// Factor on the likelihood that a server is unresponsive if it leaves a probe unanswered.
+/// Factor on the likelihood that a server is unresponsive if the server leaves a probe unanswered.
 const PROBE_UNANSWERED_FACTOR: f64 = 10.0;
 /// An attempt is overdue when less than this share of answers takes as long; its server is then probed.
 const OVERDUE_TAIL_PROBABILITY: f64 = 0.05;
@@ -161,13 +161,13 @@
     }
 }
 
-/// What is known of an attempt in flight and of its server, apart from the elapsed time.
+/// The evidence about an attempt in flight and its server, apart from the elapsed time.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct AttemptEvidence {
     /// Expected latency in milliseconds, by the latest report of the server.
     pub expected: f64,
-    /// Probability that a working server leaves its other attempts unanswered for as long as this one has: a
-    /// product over as many of them as it works on at once, 1 if there are none.
+    /// Probability that a working server leaves its other attempts unanswered for as long as this server has:
+    /// a product over as many attempts as the server works on at once, 1 if there are none.
     pub others_tail_probability: f64,
     /// How often attempts meet an unresponsive server, over all servers.
     pub unresponsive_rate: f64,
@@ -271,7 +271,7 @@
         -(1.0 - rng.rand_float()).ln()
     }
 
-    /// Shape 2.1, mean 1.
+    /// A Pareto-distributed value of shape 2.1 and mean 1.
     fn pareto(rng: &mut Rand64) -> f64 {
         1.1 / 2.1 * (1.0 - rng.rand_float()).powf(-1.0 / 2.1)
     }
--- a/crates/decide/src/balancer.rs
+++ b/crates/decide/src/balancer.rs
@@ -25,26 +25,26 @@
 use crate::upload::Uploads;
 use crate::zone_outage::ZoneOutages;
 
-/// The times below hold for mean service times up to this and grow with longer ones, by [`MAX_TIME_SCALE`] at
-/// most. They don't shrink with shorter ones: probes cost, and the averaging time of servers is unknown.
+/// Up to this mean service time the constant times apply as they stand. Longer service times scale them, by
+/// [`MAX_TIME_SCALE`] at most. Shorter ones don't: probes cost, and servers' averaging times are unknown.
 const BASE_SERVICE_TIME: Millis = 40.0;
 const MAX_TIME_SCALE: f64 = 25.0;
 /// A sampled server is probed if its report is older than this, which is about one service time.
 const PROBE_AFTER: Millis = 40.0;
 /// A request waits for the probes of its pair if a report is older than this many service times.
 const PROBE_WAIT_SERVICE_TIMES: f64 = 4.0;
-/// Limits on a wait for probes as a share of the aim and in mean probe times, and on the waits of a request.
+/// Longest wait for probes, as a share of the aim and in mean probe times, and most waits of a request.
 const PROBE_WAIT_AIM_SHARE: f64 = 0.15;
 const PROBE_WAIT_PROBE_TIMES: f64 = 3.0;
 const MAX_PROBE_WAITS: u32 = 2;
-/// No request waits where a probe takes more than this share of a service time: it could not gain as much.
+/// Requests don't wait for probes that take more than this share of a service time: waiting would gain less.
 const MAX_PROBE_TIME_SHARE: f64 = 0.5;
 /// Factor on the longest acceptable answer time after a wait for probes: only the pair was probed, but a
 /// queue that long at the better of two servers is long everywhere.
 const WAIT_FACTOR_AFTER_PROBES: f64 = 0.6;
-/// Reports older than this are not valid; the mean of the servers with valid reports stands in.
+/// Older reports are invalid: the mean load of the servers with valid reports is assumed instead.
 const REPORT_VALIDITY: Millis = 1_000.0;
-/// Weight of a new sample in the averages of one server, and in those that all servers or arrivals feed.
+/// Weight of a new sample in the averages of one server, and in those over all servers or arrivals.
 const SMOOTHING: f64 = 0.15;
 const FLEET_SMOOTHING: f64 = 0.02;
 /// The service time assumed before the first answers, as a share of the class's aim.
@@ -55,16 +55,16 @@
 const MAX_WAIT_AIM_SHARE: f64 = 0.6;
 /// Effect of a request's worth per service time on its longest acceptable answer time; 0 is none.
 const WORTH_EXPONENT: f64 = 0.4;
-/// Effect of a class's refusals on its longest acceptable answer time, if they are above the average.
+/// Effect on a class's longest acceptable answer time of the excess of its refused share over the mean.
 const CLASS_REFUSAL_WEIGHT: f64 = 0.5;
 /// A server is idle if its utilisation with one more request is at most this.
 const IDLE_UTILISATION: f64 = 0.5;
-/// A server with one request in flight is idle, too, while few requests are refused. Weight of their share.
+/// Weight of the refused share: while it is small, servers with one request in flight are idle, too.
 const IDLE_REFUSAL_WEIGHT: f64 = 2.0;
 /// Retry budget: tokens earned per request, and the most that are saved up. A further attempt takes one.
 const RETRY_RATIO: f64 = 0.1;
 const MAX_RETRY_TOKENS: f64 = 10.0;
-/// A refused client is asked to wait for up to this share of its aim.
+/// A refused client is asked to wait for up to this share of its class's aim before it retries.
 const RETRY_AFTER_AIM_SHARE: f64 = 0.3;
 /// An unanswered attempt is a failure of its server if the server was unresponsive with this probability.
 const UNRESPONSIVE_PROBABILITY: f64 = 0.5;
@@ -72,8 +72,8 @@
 const ALLOWANCE_SHARE: f64 = 0.5;
 /// When more kinds of machine than this are known, those without servers are dropped.
 const MAX_KINDS: usize = 64;
-/// The most servers examined in one sample. Of up to that many, all pairs with capacity are equally likely.
-/// Of more, of which a share `f` has capacity, none is found with probability (1 - f)^MAX_EXAMINED.
+/// The most servers examined in one sample. Among that many, all pairs with capacity are equally likely.
+/// Among more, of which a share `f` has capacity, none is found with probability (1 - f)^MAX_EXAMINED.
 const MAX_EXAMINED: usize = 24;
 
 /// The decision module of one sidecar. The same seed, settings and events give the same actions.
@@ -91,6 +91,7 @@
     pub(crate) next_send: u64,
     pub(crate) uploads: Uploads,
     pub(crate) check_schedule: CheckSchedule,
+    /// The timer of these calls has token 0.
     discovery_calls: CallSchedule,
     probe_budget: ProbeBudget,
     pub(crate) outages: ZoneOutages,
@@ -133,7 +134,7 @@
         }
     }
 
-    /// How many servers were examined so far: the cost of sampling, the same on any machine.
+    /// The number of servers examined so far: a measure of the cost of sampling on any machine.
     pub fn servers_examined(&self) -> u64 {
         self.upstreams.examined_count
     }
@@ -198,11 +199,11 @@
             *share += FLEET_SMOOTHING * (f64::from(u8::from(number == pending.tenant.0)) - *share);
         }
         let service_time = self.estimates.classes[pending.class.0].service_time;
-        let usual_service = self.estimates.mean_service_time.get_or_insert(service_time);
-        *usual_service += FLEET_SMOOTHING * (service_time - *usual_service);
+        let mean_service = self.estimates.mean_service_time.get_or_insert(service_time);
+        *mean_service += FLEET_SMOOTHING * (service_time - *mean_service);
         let density = self.worth_density(&pending);
-        let usual_density = self.estimates.mean_density.unwrap_or(density);
-        self.estimates.mean_density = Some(usual_density + FLEET_SMOOTHING * (density - usual_density));
+        let mean_density = self.estimates.mean_density.unwrap_or(density);
+        self.estimates.mean_density = Some(mean_density + FLEET_SMOOTHING * (density - mean_density));
         // The throttle is for servers that don't report their load; otherwise the reports decide.
         let aim = self.settings.classes[pending.class.0].aim;
         let (throttle, reported) = (&mut self.estimates.throttle, self.estimates.first_report_at.is_some());
@@ -221,7 +222,7 @@
         let Some(pending) = self.requests.get(&request).cloned() else { return };
         let selected = self.select_pair(&pending, out);
         let (pair, was_probed) = (selected.map(|(pair, _)| pair), selected.is_some_and(|(_, probed)| probed));
-        // With old reports, sidecars that send seldom crowd onto the same servers or refuse without need.
+        // With old reports, sidecars of little traffic would overload the same servers or refuse needlessly.
         if let Some(pair) = pair.filter(|pair| pair.iter().any(|c| c.awaits_probe)) {
             return self.wait_for_probes(request, pair, was_probed, out);
         }
@@ -230,42 +231,42 @@
         let class = &mut self.estimates.classes[pending.class.0];
         class.refused_share += FLEET_SMOOTHING * (refused - class.refused_share);
         let by_load = pair.map(|[a, b]| if b.projected_load < a.projected_load { [b, a] } else { [a, b] });
-        let admitting = by_load.into_iter().flatten().find(|c| self.admits(c, &pending, was_probed));
-        let other = |_| self.select_warm(&pending).or_else(|| self.find_warming_up_server(&pending));
-        match admitting.or_else(|| pair.and_then(other)) {
+        let admitted = by_load.into_iter().flatten().find(|c| self.admits(c, &pending, was_probed));
+        let fallback = |_| self.select_warmed_up(&pending).or_else(|| self.find_warming_up_server(&pending));
+        match admitted.or_else(|| pair.and_then(fallback)) {
             Some(candidate) => self.send(request, candidate, out),
             None => self.refuse_or_fail(request, out),
         }
     }
 
-    /// Whether a server may get this request. Two bounds apply while it warms up. One is a share of requests,
-    /// by chance, as one sidecar's part of its budget may be less than one request: of `n` requests it is
-    /// sampled for two at most, and chance leaves what the budget allows for all sidecars together. The other
-    /// is an amount of work (`src/slow_start.rs`), an equal part of the allowance per sidecar, as a share
-    /// bounds nothing in a rush, when many sidecars start beside a server that has just started.
+    /// Whether a server may get this request. While it warms up, two bounds apply. One is a probability,
+    /// since a sidecar's share of the server may be less than one request: one of `n` servers is sampled
+    /// for at most two of `n` requests, and the probability lowers this to what all sidecars together may
+    /// send. The other is an amount of work (`src/slow_start.rs`), the same for each sidecar, because a
+    /// probability bounds nothing when many sidecars start at the same time as the server.
     fn admits(&mut self, to: &Candidate, pending: &PendingRequest, was_probed: bool) -> bool {
         if to.warm_up_fraction >= 1.0 {
             return true;
         }
-        let draw_share = if was_probed { pending.draw_share } else { self.draw_share(pending) };
+        let sampled_share = if was_probed { pending.sampled_share } else { self.sampled_share(pending) };
         // While requests are refused, more arrive than servers can carry, and more of them for this server.
         let multiple = self.settings.slow_start.overload_multiple * to.warm_up_fraction;
         let probability =
-            ALLOWANCE_SHARE * multiple / 2.0 * draw_share * (1.0 - self.estimates.refused_share);
+            ALLOWANCE_SHARE * multiple / 2.0 * sampled_share * (1.0 - self.estimates.refused_share);
         self.try_spend_allowance(to, pending.class, probability)
     }
 
     /// Lets a request wait for the probes of its pair. A timer token has 63 bits: two requests may share one.
     fn wait_for_probes(&mut self, request: RequestId, pair: Pair, was_probed: bool, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&request) else { return };
-        // For a warming-up server the share is fixed now, since it may change while the request waits.
-        let draw_share = match pair.iter().any(|c| c.warm_up_fraction < 1.0) {
-            true if !was_probed => self.draw_share(&pending.clone()),
-            _ => pending.draw_share,
+        // If a server is warming up, this share is fixed now: it may change while the request waits.
+        let sampled_share = match pair.iter().any(|c| c.warm_up_fraction < 1.0) {
+            true if !was_probed => self.sampled_share(&pending.clone()),
+            _ => pending.sampled_share,
         };
         let Some(pending) = self.requests.get_mut(&request) else { return };
-        (pending.draw_share, pending.probe_waits, pending.exemption) =
-            (draw_share, pending.probe_waits + 1, pair.iter().find_map(|c| c.exemption));
+        (pending.sampled_share, pending.probe_waits, pending.exemption) =
+            (sampled_share, pending.probe_waits + 1, pair.iter().find_map(|c| c.exemption));
         let longest = PROBE_WAIT_AIM_SHARE * self.settings.classes[pending.class.0].aim;
         let by_probes = self.estimates.probe_time.map(|time| PROBE_WAIT_PROBE_TIMES * time);
         let at = self.now + by_probes.map_or(longest, |time| longest.min(time));
@@ -285,15 +286,15 @@
     }
 
     /// The longest acceptable answer time, as a share of the time left to the aim. Under overload queues grow
-    /// until it is reached, so requests that earn less than usual for their service time are refused first.
+    /// up to this limit, so requests of less worth per service time than the mean are refused first.
     fn max_wait_share(&self, pending: &PendingRequest) -> f64 {
         let density = self.worth_density(pending);
-        let usual_density = self.estimates.mean_density.unwrap_or(density);
-        let by_worth = (density / usual_density).powf(WORTH_EXPONENT).clamp(0.5, 1.5);
+        let mean_density = self.estimates.mean_density.unwrap_or(density);
+        let worth_factor = (density / mean_density).powf(WORTH_EXPONENT).clamp(0.5, 1.5);
         // By worth alone, one class would bear all refusals.
         let excess = self.estimates.classes[pending.class.0].refused_share - self.estimates.refused_share;
-        let by_refusals = (1.0 + CLASS_REFUSAL_WEIGHT * excess).max(0.5);
-        self.estimates.wait_scale * MAX_WAIT_AIM_SHARE * by_worth * by_refusals
+        let refusal_factor = (1.0 + CLASS_REFUSAL_WEIGHT * excess).max(0.5);
+        self.estimates.wait_scale * MAX_WAIT_AIM_SHARE * worth_factor * refusal_factor
     }
 
     /// Worth of a request per millisecond of service time. No sidecar can know which tenants exceed their
@@ -323,7 +324,7 @@
             }
         };
         if may_repeat {
-            // Early enough to meet the aim yet, and spread, since all that were refused together come back.
+            // The wait leaves time to meet the aim. It is random, so that clients don't all retry together.
             let wait =
                 RETRY_AFTER_AIM_SHARE * self.settings.classes[pending.class.0].aim * self.rng.rand_float();
             let retry_after = wait.min(self.settings.limits.max_retry_after);
@@ -356,8 +357,8 @@
 
     /// Factor on the constant times, for service times longer than [`BASE_SERVICE_TIME`].
     fn time_scale(&self) -> f64 {
-        let usual_service = self.estimates.mean_service_time.unwrap_or(BASE_SERVICE_TIME);
-        (usual_service / BASE_SERVICE_TIME).clamp(1.0, MAX_TIME_SCALE)
+        let mean_service = self.estimates.mean_service_time.unwrap_or(BASE_SERVICE_TIME);
+        (mean_service / BASE_SERVICE_TIME).clamp(1.0, MAX_TIME_SCALE)
     }
 
     /// The terms on which a request evaluates all servers.
@@ -367,7 +368,7 @@
         // With roughly exponential answer times, an answer expected after `wait` misses the aim with
         // probability exp(-aim/wait). While that is below the cost of crossing, crossing does not pay.
         let budget = self.cross_zone_budget.as_ref();
-        let terms = budget.map(|budget| budget.cross_zone_cost(self.now, pending.class));
+        let costs = budget.map(|budget| budget.cross_zone_cost(self.now, pending.class));
         let limit = |cost: f64| if cost > 0.0 { aim_left / (1.0 / cost).ln().max(1.0) } else { 0.0 };
         let service_time = self.estimates.classes[pending.class.0].service_time;
         let wait_factor = if pending.probe_waits > 0 { WAIT_FACTOR_AFTER_PROBES } else { 1.0 };
@@ -383,8 +384,8 @@
                 && has_time
                 && self.estimates.probe_time.is_none_or(|time| time <= MAX_PROBE_TIME_SHARE * service_time),
             max_wait: self.max_wait_share(pending) * aim_left * wait_factor,
-            same_zone_limit: limit(terms.map_or(self.settings.cross_zone_cost, |terms| terms.cost)),
-            max_failure_rate: terms.map_or(1.0, |terms| terms.exemption_threshold),
+            same_zone_limit: limit(costs.map_or(self.settings.cross_zone_cost, |costs| costs.cost)),
+            max_failure_rate: costs.map_or(1.0, |costs| costs.exemption_threshold),
         }
     }
 
@@ -449,11 +450,11 @@
         self.estimates.capacity(server, self.upstreams.members_of(server.kind), self.now, self.time_scale())
     }
 
-    /// m: the last report and our sends since. Without a valid report, our sends and the mean of others.
+    /// m: the last report plus our sends since; without a valid report, our sends plus the mean of others.
     fn estimated_in_flight(&self, server: &Upstream, means: &FleetMeans) -> f64 {
         let own = server.outstanding.len() as f64;
         if !server.has_valid_report || !self.estimates.reports_are_trusted() {
-            // All sidecars together keep a warming-up server within its capacity: others queue nothing there.
+            // All sidecars together keep a warming-up server within its capacity: others add no queue there.
             let is_warming_up = server.warm_up_fraction(self.now, &self.settings.slow_start) < 1.0;
             return own + if is_warming_up { 0.0 } else { means.in_flight_from_others };
         }
@@ -463,17 +464,17 @@
 
     /// Whether a server of unknown capacity reports a low utilisation and has at most doubled its load since.
     fn reports_idle(&self, server: &Upstream) -> bool {
-        let is_believed = server.has_valid_report
+        let is_trusted = server.has_valid_report
             && self.estimates.reports_are_trusted()
             && server.unreported_sends as f64 <= server.reported_in_flight + 1.0;
         let is_low = server.utilisation.is_some_and(|utilisation| utilisation < IDLE_UTILISATION);
-        server.capacity.is_none() && is_believed && is_low
+        server.capacity.is_none() && is_trusted && is_low
     }
 
     /// Service time relative to the mean server's, from answers and from sends that are long unanswered.
     fn current_slowness(&self, server: &Upstream) -> f64 {
         let estimated = self.estimated_slowness(server);
-        // An unresponsive server gives no answers to learn from; the time since its last one counts instead.
+        // An unresponsive server gives no answers; the time since its last one is used instead.
         let by_unanswered = server.outstanding.oldest().map_or(0.0, |(_, oldest)| {
             UNANSWERED_WEIGHT * (self.now - oldest.sent.max(server.answered_at))
                 / (oldest.depth * self.estimates.classes[oldest.class.0].service_time)
@@ -482,8 +483,8 @@
     }
 
     pub(crate) fn estimated_slowness(&self, server: &Upstream) -> f64 {
-        let known_of_kind = self.upstreams.members_of(server.kind);
-        self.estimates.relative_service_time(server, known_of_kind, self.now, self.time_scale())
+        let members = self.upstreams.members_of(server.kind);
+        self.estimates.relative_service_time(server, members, self.now, self.time_scale())
     }
 
     fn is_available(&self, server: &Upstream) -> bool {
@@ -508,7 +509,7 @@
         let same_zone = if is_new { self.same_zone_pair(subset, pending, &context) } else { None };
         let mut pair = probed.or(same_zone).or_else(|| self.sample_allowed(subset, pending, &context));
         if pair.is_none() && subset != scope && self.upstreams.sizes(scope) != self.upstreams.sizes(subset) {
-            // Before a refusal, servers outside the subset are examined, too. A pair found there widens it.
+            // Before a refusal, servers outside the subset are sampled. A pair found there widens the subset.
             pair = self.sample_allowed(scope, pending, &SelectionContext { outside_subset: true, ..context });
             if pair.is_some() {
                 self.subset_size.widen();
@@ -526,15 +527,15 @@
     /// Adapts the subset to the traffic and to changes of its members.
     fn update_subset(&mut self) {
         if self.estimates.observed_capacity.is_review_due(self.now) {
-            let warm = self.upstreams.warm_servers(self.now, &self.settings.slow_start);
-            self.estimates.observed_capacity.review(self.now, warm);
+            let warmed_up = self.upstreams.warmed_up_servers(self.now, &self.settings.slow_start);
+            self.estimates.observed_capacity.review(self.now, warmed_up);
         }
         let size = self.subset_size.target(self.now, self.upstreams.serving_count(), self.settings.sidecars);
         if self.upstreams.is_subset_current(size, self.now) {
             return;
         }
         let mut fleet = std::mem::replace(&mut self.upstreams, Fleet::new(self.ranking, None));
-        fleet.update_subset(size, self.now, |_, server| self.warm_up_status(server));
+        fleet.update_subset(size, self.now, |_, server| self.subset_status(server));
         self.upstreams = fleet;
     }
 
@@ -600,16 +601,16 @@
         if any_healthy { healthy } else { self.sample_pair(scope, pending, context, true, is_usable) }
     }
 
-    /// The first two `wanted` servers in random order, or the only one twice. Ejected ones if `with_ejected`.
+    /// The first two `wanted` servers in random order, or the only one twice. May include ejected servers.
     pub(crate) fn sample_pair(
         &mut self,
         scope: CandidateScope,
         pending: &PendingRequest,
         context: &SelectionContext,
-        with_ejected: bool,
+        include_ejected: bool,
         mut wanted: impl FnMut(&Candidate) -> bool,
     ) -> Option<Pair> {
-        let mut sampler = CandidateSampler::new(&self.upstreams, scope, with_ejected);
+        let mut sampler = CandidateSampler::new(&self.upstreams, scope, include_ejected);
         let mut first = None;
         for _ in 0..MAX_EXAMINED {
             let Some(slot) = sampler.next(&mut self.upstreams, &mut self.rng) else { break };
@@ -622,8 +623,8 @@
         first.map(|only| [only, only])
     }
 
-    /// The share of the servers in scope that a pair is drawn from. Needed only if one of them is warming up.
-    fn draw_share(&mut self, pending: &PendingRequest) -> f64 {
+    /// The share of the servers in scope that pairs are sampled from. Needed only if one of a pair warms up.
+    fn sampled_share(&mut self, pending: &PendingRequest) -> f64 {
         let Some(scope) = self.candidate_scope(pending).map(CandidateScope::in_subset) else { return 1.0 };
         let context = self.selection_context(pending);
         let size = self.upstreams.sizes(scope).1.max(1) as f64;
@@ -640,11 +641,11 @@
         } else {
             0.0
         };
-        let drawn_from = match same_zone > 0.0 {
+        let sampled_from = match same_zone > 0.0 {
             true => same_zone,
             false => self.estimate_count(scope, pending, &context, has_capacity),
         };
-        if drawn_from > 0.0 { drawn_from / size } else { 1.0 }
+        if sampled_from > 0.0 { sampled_from / size } else { 1.0 }
     }
 
     /// The number of healthy servers in scope that are `wanted`, estimated from a sample.
@@ -670,7 +671,7 @@
         self.upstreams.get(id).is_some_and(|server| server.serving)
     }
 
-    /// Probes a server unless its report is recent, another probe is under way or the budget is used up.
+    /// Probes a server unless probes are off or unaffordable, its report is recent or a probe is under way.
     pub(crate) fn probe_if_due(&mut self, id: UpstreamId, out: &mut Vec<Action>) {
         let may_probe = self.settings.limits.probes && self.probe_budget.can_afford(1.0);
         let (now, next_send) = (self.now, self.next_send);
@@ -693,18 +694,18 @@
 
     fn send(&mut self, request: RequestId, to: Candidate, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&request) else { return };
-        let left = (pending.deadline - self.now).max(0.0);
+        let time_left = (pending.deadline - self.now).max(0.0);
         let evidence = self.initial_evidence(to.wait, to.failure_rate);
         let may_retry = self.may_retry(pending, pending.attempts.len() + 1);
         let check_after = may_retry.then(|| self.next_check_after(pending, &evidence, 0.0)).flatten();
         // Where attempts cannot be cancelled, the time-out has to be decided beforehand.
         let (timeout, check_after) = match self.settings.limits.cancel {
-            true => (left, check_after),
-            false if may_retry => (self.attempt_timeout(pending, to).min(left), None),
-            false => (left, None),
+            true => (time_left, check_after),
+            false if may_retry => (self.attempt_timeout(pending, to).min(time_left), None),
+            false => (time_left, None),
         };
-        let mean_wait = &mut self.estimates.classes[pending.class.0].expected_latency;
-        *mean_wait += FLEET_SMOOTHING * (to.wait - *mean_wait);
+        let expected_latency = &mut self.estimates.classes[pending.class.0].expected_latency;
+        *expected_latency += FLEET_SMOOTHING * (to.wait - *expected_latency);
         let (class, attempt) = (pending.class, AttemptNo(pending.attempts.len() as u32));
         let exemption = to.exemption.or(pending.exemption);
         let (sent, number) = (self.now, self.next_send);
@@ -736,7 +737,7 @@
         let Some(attempt) = pending.attempts.get_mut(number).filter(|t| t.in_flight) else { return };
         attempt.in_flight = false;
         self.check_schedule.reschedule(request, pending.check_at.take(), None);
-        // Full servers answer soon. Counted as in time, their answers let in more requests and fed overload.
+        // Full servers answer soon. When such answers counted as in time, they worsened an overload.
         let is_full = outcome == Outcome::Full;
         let is_late = is_full || self.now > pending.arrived + self.settings.classes[pending.class.0].aim;
         let smoothing = if is_full { SMOOTHING } else { FLEET_SMOOTHING };
@@ -828,7 +829,7 @@
         self.upstreams.remove_if_gone(id);
     }
 
-    /// Adds the work of a finished attempt to that of the servers that have warmed up.
+    /// Adds the work of a finished attempt, if its server has warmed up, to the work of such servers.
     fn update_observed_capacity(&mut self, id: UpstreamId, sent: &OutstandingSend, outcome: Outcome) {
         let (now, slow_start) = (self.now, &self.settings.slow_start);
         if self.upstreams.get(id).is_some_and(|u| u.warm_up_fraction(now, slow_start) >= 1.0) {
@@ -843,12 +844,12 @@
     fn record_latency(&mut self, id: UpstreamId, sent: OutstandingSend, latency: Millis, answered: bool) {
         let Some(server) = self.upstreams.get(id).filter(|_| latency > 0.0) else { return };
         let estimated = self.estimated_slowness(server);
-        // What a warming-up server takes longer shows neither crowding nor the speed that it will have.
+        // The extra time of a warming-up server shows neither a queue nor its speed once it has warmed up.
         let warm_up_fraction = server.warm_up_fraction(self.now, &self.settings.slow_start);
         let (now, kind) = (self.now, server.kind);
         let without_queue = latency * warm_up_fraction / sent.depth;
-        let service = &mut self.estimates.classes[sent.class.0];
-        let relative = without_queue / service.service_time;
+        let class = &mut self.estimates.classes[sent.class.0];
+        let relative = without_queue / class.service_time;
         let (sample, weight) = match answered {
             true => (relative, SMOOTHING),
             false => (estimated.max(UNANSWERED_WEIGHT * relative), 1.0),
@@ -862,9 +863,9 @@
         self.estimates.kinds.entry(kind).or_default().record_answer(sample, FLEET_SMOOTHING);
         self.estimates.fleet.record_answer(sample, FLEET_SMOOTHING);
         // Only sends that met no queue show the service time. Behind an underestimated queue answers are
-        // late; a service time learnt from them would cause refusals although there is capacity.
+        // late; a service time estimated from them would cause refusals although there is capacity.
         if answered && sent.depth <= 1.0 {
-            service.record_service_time(without_queue, FLEET_SMOOTHING);
+            class.record_service_time(without_queue, FLEET_SMOOTHING);
         }
     }
 
@@ -903,7 +904,7 @@
         let own = own as f64;
         let (Some(report), true) = (report, answered) else { return };
         // Reports carry no age. A report that lacks sends from before its probe is late. When many are late,
-        // none is believed: each server then counts as one without a valid report.
+        // none is trusted: each server then counts as one without a valid report.
         if let Some(in_flight) = report.in_flight.filter(|_| own > 1.0) {
             let late = f64::from(u8::from(in_flight + 1.0 < own));
             self.estimates.late_report_share += FLEET_SMOOTHING * (late - self.estimates.late_report_share);
@@ -911,7 +912,7 @@
         self.record_report(id, report, None);
     }
 
-    /// Records a report. It lacks the sends in `unreported`, by default those since the probe was sent.
+    /// Records a report, which lacks the sends in `unreported`, by default those since the probe was sent.
     fn record_report(&mut self, id: UpstreamId, report: Report, unreported: Option<(u64, usize)>) {
         let Some(in_flight) = reports::valid_in_flight(&report) else { return };
         let (now, scale) = (self.now, self.time_scale());
@@ -939,9 +940,9 @@
         // The limit is a share of the subset: if more of its members fail, others take their place.
         let members = self.upstreams.sizes(CandidateScope::Members).1;
         let may_eject = unreachable || outlier_ejection::may_eject(self.upstreams.ejected_count(), members);
-        let (peers, random) = (self.upstreams.mean_failure_rate(), self.rng.rand_float());
-        let terms = (self.now, peers, may_eject, random);
-        let record = |server: &mut Upstream| outlier_ejection::record(server, failed, unreachable, terms);
+        let (mean_failure_rate, random) = (self.upstreams.mean_failure_rate(), self.rng.rand_float());
+        let context = (self.now, mean_failure_rate, may_eject, random);
+        let record = |server: &mut Upstream| outlier_ejection::record(server, failed, unreachable, context);
         if let Some(change) = self.upstreams.update(id, record).flatten() {
             out.push(Action::Log(format!("server {} is {change}", id.0)));
         }
--- a/crates/decide/src/check_schedule.rs
+++ b/crates/decide/src/check_schedule.rs
@@ -6,8 +6,8 @@
 use crate::api::{Action, Millis, RequestId};
 use crate::fleet::Microseconds;
 
-/// The token of the timer. The timers of requests that wait for probes have smaller tokens, except for one in
-/// 2^62.
+/// The token of the timer. The timers of requests that wait for probes have smaller tokens, except for one
+/// value in 2^62.
 pub(crate) const TIMER_TOKEN: u64 = u64::MAX >> 1;
 
 /// A timer may fire this much early, since its time is kept in whole microseconds.
--- a/crates/decide/src/cross_zone.rs
+++ b/crates/decide/src/cross_zone.rs
@@ -45,11 +45,11 @@
 /// The cost of leaving the zone at present. Both values are shares of a request's worth, above 0 and below 1.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CrossZoneCost {
-    /// A request stays in its zone while its expected loss there is below this. Rises as the budget is used
-    /// up.
+    /// A request stays in its zone while its expected loss there is below this cost, which rises as the
+    /// budget is used up.
     pub cost: f64,
-    /// Without a budget, a request stays in its zone while its expected loss there is below this, or while it
-    /// would gain less than this in another zone.
+    /// Without a budget, a request stays in its zone while its expected loss there is at most this, or while
+    /// another zone would reduce the loss by less than this.
     pub exemption_threshold: f64,
 }
 
@@ -102,7 +102,7 @@
 }
 
 /// The share of its worth that a request is expected to lose at a server. An answer expected after `wait` is
-/// late with the probability exp(-time_left / wait), since latencies are roughly exponential.
+/// late with probability exp(-time_left / wait), since latencies are roughly exponential.
 fn expected_loss(candidate: &Candidate, time_left: Millis) -> f64 {
     let late_probability = match candidate.awaits_probe {
         true => 0.0,
@@ -201,10 +201,10 @@
         any_zone_pair.map(|pair| pair.map(exempted)).or(same_zone_pair)
     }
 
-    /// Selects the better of two warm servers with capacity after a pair was warming up and neither may be
-    /// sent more. Other servers may well have capacity, in the same zone or, with a budget or an exemption,
-    /// in another one.
-    pub(crate) fn select_warm(&mut self, pending: &PendingRequest) -> Option<Candidate> {
+    /// Selects the better of two warmed-up servers with capacity. Called when the servers of the sampled pair
+    /// are warming up and neither may be sent more: others may have capacity, in the same zone or, with a
+    /// budget or an exemption, in another one.
+    pub(crate) fn select_warmed_up(&mut self, pending: &PendingRequest) -> Option<Candidate> {
         let (scope, context) = (self.candidate_scope(pending)?.in_subset(), self.selection_context(pending));
         let (now, class, limiter) = (self.now, pending.class, self.cross_zone_budget.take());
         let may_leave_to = |zone| {
--- a/crates/decide/src/estimates.rs
+++ b/crates/decide/src/estimates.rs
@@ -1,4 +1,4 @@
-//! Estimates of one sidecar: of classes, of kinds of machine and of the fleet as a whole.
+//! Estimates by one sidecar, of classes, kinds of machine and the fleet as a whole.
 
 use std::collections::BTreeMap;
 
@@ -10,10 +10,10 @@
 
 /// Minimum decay time of the estimate of a server while it gets no new samples.
 const MIN_DECAY_TIME: Millis = 2_000.0;
-/// Samples from each member of its kind over which the estimate of a server decays, within the two limits of
-/// time.
+/// The estimate of a server decays over this number of samples from each member of its kind, within the
+/// minimum and the maximum decay time.
 const DECAY_ROUNDS: f64 = 10.0;
-/// Maximum decay time of the estimate of a server: about as long as incidents last.
+/// Maximum decay time of the estimate of a server without new samples: about as long as incidents last.
 const MAX_DECAY_TIME: Millis = 20_000.0;
 
 /// Above this share of late reports, among those that can be checked, no report is trusted.
@@ -24,12 +24,12 @@
 /// Estimates of one class. Service times are from answers that met no queue.
 #[derive(Debug, Clone)]
 pub(crate) struct ClassEstimates {
-    /// Running median.
+    /// Running median, from this number of samples.
     pub service_time: Millis,
     pub samples: f64,
-    /// Share of its arrivals that was refused.
+    /// Share of the class's arrivals that was refused.
     pub refused_share: f64,
-    /// Mean expected answer time at the servers that its requests are sent to, queues included.
+    /// Mean expected answer time at the servers that requests of the class are sent to, queues included.
     pub expected_latency: Millis,
     /// Answer times as a multiple of the expected ones.
     pub latencies: LatencyHistogram,
@@ -65,8 +65,8 @@
 }
 
 /// Moves a geometric mean of loads towards one more load. A plain mean would contain the queues of congested
-/// servers: it is many times what servers work on, while their utilisation is at most 1, and κ would be
-/// overestimated as much.
+/// servers. It would be many times the number of requests that servers work on, while their utilisation is
+/// at most 1, and κ would be overestimated by the same factor.
 fn step_geometric_mean(mean: f64, load: f64, step: f64) -> f64 {
     let (from, to) = (mean.max(0.0).ln_1p(), load.max(0.0).ln_1p());
     (from + step * (to - from)).exp_m1()
@@ -101,7 +101,7 @@
 }
 
 impl KindEstimates {
-    /// Averages in a server's report with weight `step`; the first reports have equal weights.
+    /// Adds a server's report to the means with weight `step`; the first reports have equal weights.
     pub fn record_report(&mut self, in_flight: f64, utilisation: f64, step: f64) {
         self.reports += 1.0;
         let step = step.max(1.0 / self.reports);
@@ -109,13 +109,13 @@
         self.utilisation += step * (utilisation - self.utilisation);
     }
 
-    /// Takes in the report of a server whose cores are all busy.
+    /// Records the report of a server whose cores are all busy.
     pub fn record_saturated_report(&mut self, in_flight: f64) {
         self.min_saturated_in_flight = self.min_saturated_in_flight.min(in_flight.max(1.0));
     }
 
-    /// κ of its mean server. While all reports are of saturated servers, the fewest requests in flight among
-    /// them.
+    /// κ of the mean server of this kind. While all reports are of saturated servers, the fewest requests in
+    /// flight that one of them has reported.
     pub fn capacity(&self) -> Option<f64> {
         match self.reports > 0.0 {
             true => Some(self.in_flight / self.utilisation),
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Averages in the service time of an answer, relative to the mean server's.
+    /// Adds the service time of an answer, relative to the mean server's, to the mean with weight `step`.
     pub fn record_answer(&mut self, relative_service_time: f64, step: f64) {
         self.answers += 1.0;
         self.relative_service_time *= (relative_service_time.max(0.01) / self.relative_service_time)
@@ -143,7 +143,7 @@
     /// Share of the arrivals that no server had capacity for.
     pub refused_share: f64,
     pub retry_tokens: f64,
-    /// How often servers were unresponsive of late.
+    /// How often servers were unresponsive recently.
     pub unresponsive: UnresponsiveRate,
     pub observed_capacity: ObservedCapacity,
     /// Factor on the longest acceptable wait, below 1 while answers are late.
--- a/crates/decide/src/fleet.rs
+++ b/crates/decide/src/fleet.rs
@@ -10,7 +10,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::api::*;
-use crate::observed_capacity::WarmServers;
+use crate::observed_capacity::WarmedUpServers;
 use crate::state::{FleetMeans, Health, Upstream};
 use crate::subset::ServerRanking;
 
@@ -30,8 +30,8 @@
 }
 
 impl CandidateScope {
-    /// The scope reduced to members of the subset. A cell stays whole: it has few servers, and only they know
-    /// its keys.
+    /// The scope reduced to members of the subset. A cell is not reduced: it has few servers, and no
+    /// others recognise its keys as duplicates.
     pub fn in_subset(self) -> CandidateScope {
         match self {
             CandidateScope::All => CandidateScope::Members,
@@ -64,12 +64,12 @@
 
 /// How a server counts for the subset of this sidecar.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum WarmUpStatus {
-    /// It has its full capacity.
+pub(crate) enum SubsetStatus {
+    /// The server has its full capacity.
     WarmedUp,
-    /// Its zone is unreachable.
+    /// The server's zone is unreachable. Servers in slow start have this status, too.
     ZoneUnreachable,
-    /// It is in slow start; `owned` tells whether this sidecar has a share of its allowance.
+    /// The server is in slow start; `owned` tells whether this sidecar has a share of its allowance.
     WarmingUp { owned: bool },
 }
 
@@ -96,13 +96,14 @@
     log_other_in_flight: f64,
 }
 
+/// A server with its place in the indices of the fleet.
 #[derive(Debug)]
 struct Entry {
     id: UpstreamId,
     server: Upstream,
     /// Position in this sidecar's ranking, as in [`ServerRanking::position`].
     position: u64,
-    /// Index into [`Fleet::ranked`].
+    /// Index into [`Fleet::ranked`]: 0 in the home zone (or without one), 1 in other zones.
     locality: usize,
     is_member: bool,
     contribution: Contribution,
@@ -182,7 +183,7 @@
     kind_counts: BTreeMap<KindId, usize>,
     /// Complete lists received so far.
     list_count: u64,
-    /// Candidates examined so far: the cost of sampling, for tests of scaling.
+    /// Number of servers examined so far: the cost of sampling, for tests of scaling.
     pub examined_count: u64,
 }
 
@@ -226,7 +227,7 @@
         &mut self,
         target: usize,
         now: Millis,
-        status: impl Fn(UpstreamId, &Upstream) -> WarmUpStatus,
+        status: impl Fn(UpstreamId, &Upstream) -> SubsetStatus,
     ) {
         (self.subset_outdated, self.subset_target, self.subset_review_at) = (false, target, f64::INFINITY);
         // Members that the home zone lacks are taken from other zones.
@@ -244,13 +245,13 @@
             for &(_, slot) in &ranked {
                 let Some(entry) = self.entries.get_mut(slot).and_then(Option::as_mut) else { continue };
                 let is_member = match status(entry.id, &entry.server) {
-                    WarmUpStatus::WarmingUp { owned } => {
+                    SubsetStatus::WarmingUp { owned } => {
                         self.subset_review_at = now + WARM_UP_REVIEW_INTERVAL;
                         warming_up.push(slot);
                         owned
                     }
-                    WarmUpStatus::ZoneUnreachable => missing > 0,
-                    WarmUpStatus::WarmedUp => {
+                    SubsetStatus::ZoneUnreachable => missing > 0,
+                    SubsetStatus::WarmedUp => {
                         let is_member = missing > 0;
                         missing -= usize::from(is_member && entry.server.health == Health::Ready);
                         is_member
@@ -262,7 +263,8 @@
                 }
             }
             missing_at_home = missing;
-            // With too few warmed-up members, servers that are warming up become members whoever owns them.
+            // With too few warmed-up members, servers that are warming up become members regardless of their
+            // owners.
             let extra = target.min(MIN_MEMBERS).saturating_sub(target - missing);
             for slot in warming_up.into_iter().take(extra) {
                 if let Some(entry) = self.entries[slot].as_mut() {
@@ -302,7 +304,7 @@
         self.entries.iter().flatten().map(|entry| (entry.id, &entry.server))
     }
 
-    /// Changes a server, then its groups, its deadlines and the totals accordingly.
+    /// Changes a server, then its groups, its expiry and half-open times and the totals accordingly.
     pub fn update<T>(&mut self, id: UpstreamId, change: impl FnOnce(&mut Upstream) -> T) -> Option<T> {
         let slot = self.slot(id)?;
         let result = change(&mut self.entries[slot].as_mut()?.server);
@@ -346,7 +348,7 @@
     }
 
     /// Total weight and mean utilisation of all ready servers that have warmed up, members or not.
-    pub fn warm_servers(&self, now: Millis, limits: &SlowStartLimits) -> WarmServers {
+    pub fn warmed_up_servers(&self, now: Millis, limits: &SlowStartLimits) -> WarmedUpServers {
         let serving = self.entries.iter().flatten().filter(|entry| entry.server.serving);
         let ready = serving.filter(|entry| entry.server.health == Health::Ready);
         let warmed_up = ready.filter(|entry| entry.server.warm_up_fraction(now, limits) >= 1.0);
@@ -358,7 +360,7 @@
                 utilisation_sum += utilisation;
             }
         }
-        WarmServers { weight, utilisation: if reports > 0.0 { utilisation_sum / reports } else { 1.0 } }
+        WarmedUpServers { weight, utilisation: if reports > 0.0 { utilisation_sum / reports } else { 1.0 } }
     }
 
     /// The number of servers within a scope: those that are ready or half-open, and all of them.
@@ -367,7 +369,7 @@
         group.map_or((0, 0), |group| (group.ready.len(), group.ready.len() + group.ejected.len()))
     }
 
-    /// Takes over discovery's entry of one server. A server that is unknown and not serving is ignored.
+    /// Applies discovery's entry of one server. A server that is unknown and not serving is ignored.
     pub fn apply_listing(&mut self, listing: &Listing) {
         let slot = match self.slot(listing.upstream) {
             Some(slot) => slot,
@@ -397,7 +399,7 @@
         self.list_count += 1;
     }
 
-    /// Ends a complete list: servers that it did not name serve no more.
+    /// Ends a complete list: servers that it did not name are no longer serving.
     pub fn end_complete_list(&mut self) {
         for slot in 0..self.entries.len() {
             let list = self.list_count;
@@ -485,7 +487,7 @@
         }
     }
 
-    /// Brings totals, ranking, groups and deadlines into line with one server.
+    /// Brings totals, ranking, groups, expiry and half-open times into line with one server.
     fn refresh(&mut self, slot: Slot) {
         let Some(Some(entry)) = self.entries.get_mut(slot) else { return };
         let server = &entry.server;
@@ -771,8 +773,8 @@
             if round % 5 == 0 && !ranking.includes_all() {
                 let target = rng.rand_range(1..30) as usize;
                 let status = |_, server: &Upstream| match server.started {
-                    Some(_) => WarmUpStatus::WarmingUp { owned: ranking.is_owner(3, 9, server.key) },
-                    None => WarmUpStatus::WarmedUp,
+                    Some(_) => SubsetStatus::WarmingUp { owned: ranking.is_owner(3, 9, server.key) },
+                    None => SubsetStatus::WarmedUp,
                 };
                 fleet.update_subset(target, now, status);
                 assert!(fleet.is_subset_current(target, now));
--- a/crates/decide/src/latency_outlier.rs
+++ b/crates/decide/src/latency_outlier.rs
@@ -11,7 +11,7 @@
 /// Additional gain that abandoning an attempt of a keyed request needs: the attempt may still run after its
 /// window.
 const KEYED_RETRY_EXTRA_COST: f64 = 0.3;
-/// A probe counts as unanswered after this multiple of the current usual probe time.
+/// A probe counts as unanswered after this multiple of the mean probe time.
 const PROBE_UNANSWERED_MULTIPLE: f64 = 10.0;
 /// An overdue attempt is checked again when its elapsed time has grown by this factor.
 const RECHECK_GROWTH: f64 = 1.5;
@@ -19,7 +19,8 @@
 const MIN_RECHECK_INTERVAL: Millis = 1.0;
 /// At most this many unanswered attempts of a server are used as evidence.
 const MAX_COMPARED_ATTEMPTS: usize = 16;
-/// A server that has answered nothing for this multiple of the current usual latency is unresponsive.
+/// A server that has answered nothing for this multiple of the latency to be expected at the
+/// present slowdown is unresponsive.
 pub(crate) const UNRESPONSIVE_MULTIPLE: f64 = 4.0;
 
 impl Balancer {
@@ -70,13 +71,13 @@
         let class = &self.estimates.classes[pending.class.0];
         let worthless_after = elapsed + self.aim_left(pending);
         let cost = self.abandon_cost(pending);
-        let worth_retry =
+        let retry_at =
             evidence.next_check(&class.latencies, elapsed, worthless_after, class.expected_latency, cost);
         // The server of an overdue attempt is probed, and probed again at growing intervals. A reply, or its
         // absence, is further evidence.
-        let overdue = class.latencies.overdue_multiple() * evidence.slowdown * evidence.expected;
-        let probe = Some((RECHECK_GROWTH * elapsed).max(overdue)).filter(|at| *at < worthless_after);
-        worth_retry.into_iter().chain(probe).reduce(f64::min)
+        let overdue_at = class.latencies.overdue_multiple() * evidence.slowdown * evidence.expected;
+        let probe_at = Some((RECHECK_GROWTH * elapsed).max(overdue_at)).filter(|at| *at < worthless_after);
+        retry_at.into_iter().chain(probe_at).reduce(f64::min)
     }
 
     /// Checks the latest attempt of a request: cancels it if an answer in time is likelier elsewhere, else
@@ -158,7 +159,7 @@
         let is_unanswered = |probe_sent: Millis| {
             self.estimates
                 .probe_time
-                .is_some_and(|usual| self.now - probe_sent > PROBE_UNANSWERED_MULTIPLE * usual)
+                .is_some_and(|mean| self.now - probe_sent > PROBE_UNANSWERED_MULTIPLE * mean)
         };
         let expected = send.wait.max(expected_by_report);
         AttemptEvidence {
--- a/crates/decide/src/lib.rs
+++ b/crates/decide/src/lib.rs
@@ -1,6 +1,6 @@
-//! The decision module: selects an upstream for each attempt, and decides on retries and refusals. It takes
-//! events and returns actions. It has no clock and does no I/O: the same seed, settings and events give the
-//! same actions.
+//! The decision module: selects an upstream for each attempt, and decides on retries and refusals. The module
+//! takes events and returns actions. It has no clock and does no I/O: the same seed, settings and events give
+//! the same actions.
 
 pub mod api;
 mod attempt_timeout;
--- a/crates/decide/src/observed_capacity.rs
+++ b/crates/decide/src/observed_capacity.rs
@@ -5,7 +5,7 @@
 //! run ahead of its utilisation, which is a mean over the past, and a server of two cores then looks like one
 //! of a hundred. The throughput of all warmed-up servers together contains no queue. Each sidecar counts only
 //! its own answers, so that the sidecars' shares of an allowance together follow the total throughput,
-//! however unequal their traffic is. Pure: time is an argument.
+//! however unequal their traffic is. The time is an argument; no clock is read.
 
 use crate::api::Millis;
 
@@ -13,7 +13,7 @@
 const DECAY_TIME: Millis = 2_000.0;
 /// Decayed number of finished attempts below which no capacity is estimated.
 const MIN_ATTEMPTS: f64 = 1.0;
-/// Lower bound of the mean utilisation, as it is a divisor.
+/// Lower bound of the mean utilisation, since the throughput is divided by it.
 const MIN_UTILISATION: f64 = 0.1;
 /// Interval at which the warmed-up servers are counted.
 const REVIEW_INTERVAL: Millis = 250.0;
@@ -21,7 +21,7 @@
 
 /// All warmed-up servers, members or not: each sidecar sends to some of them, all sidecars together to all.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct WarmServers {
+pub(crate) struct WarmedUpServers {
     /// Sum of their listed weights.
     pub weight: f64,
     /// Mean of their reported utilisation, or 1 without reports.
@@ -35,7 +35,7 @@
     answered_work: Millis,
     finished_attempts: f64,
     updated_at: Millis,
-    warm_servers: WarmServers,
+    warmed_up_servers: WarmedUpServers,
     reviewed_at: Millis,
 }
 
@@ -45,7 +45,7 @@
             answered_work: 0.0,
             finished_attempts: 0.0,
             updated_at: 0.0,
-            warm_servers: WarmServers { weight: 0.0, utilisation: 1.0 },
+            warmed_up_servers: WarmedUpServers { weight: 0.0, utilisation: 1.0 },
             reviewed_at: f64::NEG_INFINITY,
         }
     }
@@ -68,23 +68,24 @@
     /// Takes over a count of the warmed-up servers. Their utilisation is averaged over the same time as the
     /// answers: a current utilisation beside a past throughput would make servers look large whenever load
     /// falls suddenly.
-    pub fn review(&mut self, now: Millis, warm_servers: WarmServers) {
+    pub fn review(&mut self, now: Millis, warmed_up_servers: WarmedUpServers) {
         let kept = (-(now - self.reviewed_at).max(0.0) / DECAY_TIME).exp();
-        let utilisation =
-            warm_servers.utilisation + kept * (self.warm_servers.utilisation - warm_servers.utilisation);
-        (self.warm_servers, self.reviewed_at) = (WarmServers { utilisation, ..warm_servers }, now);
+        let utilisation = warmed_up_servers.utilisation
+            + kept * (self.warmed_up_servers.utilisation - warmed_up_servers.utilisation);
+        (self.warmed_up_servers, self.reviewed_at) =
+            (WarmedUpServers { utilisation, ..warmed_up_servers }, now);
     }
 
     /// Capacity in cores of a server of this listed weight, if `sidecars` sidecars with the same traffic use
     /// the servers; `None` without enough recent attempts.
     pub fn capacity(&self, now: Millis, weight: f64, sidecars: f64) -> Option<f64> {
         let kept = self.remaining_share(now);
-        if self.warm_servers.weight <= 0.0 || self.finished_attempts * kept < MIN_ATTEMPTS {
+        if self.warmed_up_servers.weight <= 0.0 || self.finished_attempts * kept < MIN_ATTEMPTS {
             return None;
         }
         let throughput =
-            self.answered_work * kept / DECAY_TIME * sidecars * weight / self.warm_servers.weight;
-        let utilisation = self.warm_servers.utilisation.clamp(MIN_UTILISATION, 1.0);
+            self.answered_work * kept / DECAY_TIME * sidecars * weight / self.warmed_up_servers.weight;
+        let utilisation = self.warmed_up_servers.utilisation.clamp(MIN_UTILISATION, 1.0);
         Some((throughput / utilisation).max(MIN_CAPACITY_CORES))
     }
 
--- a/crates/decide/src/probe_budget.rs
+++ b/crates/decide/src/probe_budget.rs
@@ -1,13 +1,12 @@
 //! Budget for probes: a share of the worth of requests. Cheap probes are never limited by it. Where probes
-//! are costly and many sidecars have little traffic each, most requests are decided on what has been reported
-//! before.
+//! are costly and many sidecars have little traffic each, most decisions are based on earlier reports.
 
 /// The share of its worth that each request adds to the budget.
 const SPEND_SHARE: f64 = 0.01;
 /// Maximum savings: this number of probes, or the earnings of this number of requests if they are more.
 const MAX_SAVED: f64 = 4.0;
 
-/// Earnings that have not been spent. All amounts are numbers of probes.
+/// The budget of one sidecar. All amounts are numbers of probes.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ProbeBudget {
     earned_per_request: f64,
--- a/crates/decide/src/query.rs
+++ b/crates/decide/src/query.rs
@@ -5,7 +5,7 @@
 use crate::fleet::CandidateScope;
 
 impl Balancer {
-    /// The number of serving servers that are ejected for their failures.
+    /// The number of serving servers that are ejected, half-open ones not included.
     pub fn ejected_count(&self) -> usize {
         let (ready, all) = self.upstreams.sizes(CandidateScope::All);
         all - ready
--- a/crates/decide/src/reports.rs
+++ b/crates/decide/src/reports.rs
@@ -7,17 +7,17 @@
 
 /// In-flight counts are averaged over about this time, as servers average their utilisation.
 const AVERAGING_TIME: Millis = 700.0;
-/// From this utilisation on a server counts as saturated: in-flight / utilisation is then an upper bound on κ
-/// only.
+/// From this utilisation on a server counts as saturated: in-flight / utilisation is then only an upper bound
+/// on κ.
 const SATURATED_UTILISATION: f64 = 0.9;
 /// Factor on the weight of samples that raise κ, so that it rises slowly.
 const RISE_FACTOR: f64 = 0.1;
 /// Below this utilisation in-flight / utilisation is mostly rounding error, but in-flight divided by this is
 /// a lower bound on κ.
 const MIN_UTILISATION: f64 = 0.1;
-/// Weight of a new sample in the averages that all servers feed.
+/// Weight of a new sample in the averages over all servers.
 const FLEET_SMOOTHING: f64 = 0.02;
-/// Larger in-flight counts in a report are invalid.
+/// The largest valid in-flight count in a report.
 const MAX_REPORTED_IN_FLIGHT: f64 = 1e9;
 
 /// The in-flight count of a report, if it is valid.
@@ -64,9 +64,9 @@
     // sample at once, but rises slowly, and not at all while all cores are busy.
     let rise = if utilisation < SATURATED_UTILISATION { weight * RISE_FACTOR } else { 0.0 };
     let sample = (server.mean_in_flight / utilisation.min(1.0)).max(1.0);
-    // A server whose first report is one of saturation has an unknown capacity. Its whole queue would be
-    // taken for cores, and every sidecar that gets one such report would send it more. Its kind gives a
-    // better estimate.
+    // If a server is saturated in its first report, its capacity stays unknown: its whole queue would count
+    // as cores, and each sidecar that gets such a report would send the server more requests. The kind of
+    // machine gives a better estimate.
     if server.capacity.is_none() && utilisation >= SATURATED_UTILISATION {
         return;
     }
--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -1,5 +1,5 @@
 //! Reads settings and load reports. The simulator's first message and the sidecar's configuration hold the
-//! same settings object, so both programs read it here.
+//! same settings object, so both programs read that object here.
 
 use std::collections::HashMap;
 
@@ -196,7 +196,7 @@
         self.rank.is_some()
     }
 
-    /// Identifies this sidecar by its name instead of its number, if it has one.
+    /// Identifies this sidecar by its name. A number in the settings is then ignored.
     pub fn with_identity_from_name(mut self, name: &str) -> Config {
         self.name_key = Some(subset::name_key(name));
         self
@@ -376,9 +376,9 @@
 }
 
 /// Builds a report from the values of a positional report.
-pub fn report_from_columns(columns: &[Column], stats: &[f64]) -> Report {
+pub fn report_from_columns(columns: &[Column], values: &[f64]) -> Report {
     let mut report = Report::default();
-    for (column, value) in columns.iter().zip(stats) {
+    for (column, value) in columns.iter().zip(values) {
         match column {
             Column::InFlight => report.in_flight = Some(*value),
             Column::Utilisation => report.utilisation = Some(*value),
@@ -397,23 +397,23 @@
 }
 
 /// Reads the figures that the settings list from a load report of the form `TEXT inflight=7, util=0.61`.
-/// `None` if it has no valid one.
+/// `None` if the report has no valid figure among them.
 pub fn report_from_text(columns: &[Column], text: &str) -> Option<Report> {
     let figures = text.trim().strip_prefix("TEXT")?;
-    let (mut used, mut stats) = (Vec::new(), Vec::new());
+    let (mut found_columns, mut values) = (Vec::new(), Vec::new());
     for figure in figures.split(',') {
         let Some((name, value)) = figure.split_once('=') else { continue };
         let column = Column::named(name.trim());
         let value = value.trim().parse().ok().filter(|v: &f64| (0.0..=MAX_REPORTED_VALUE).contains(v));
         if let (true, Some(value)) = (columns.contains(&column), value) {
-            used.push(column);
-            stats.push(value);
+            found_columns.push(column);
+            values.push(value);
         }
     }
-    (!used.is_empty()).then(|| report_from_columns(&used, &stats))
+    (!found_columns.is_empty()).then(|| report_from_columns(&found_columns, &values))
 }
 
-/// Larger figures in a load report are invalid.
+/// The largest valid figure in a load report.
 const MAX_REPORTED_VALUE: f64 = 1e6;
 
 #[cfg(test)]
--- a/crates/decide/src/slow_start.rs
+++ b/crates/decide/src/slow_start.rs
@@ -6,7 +6,7 @@
 use crate::Balancer;
 use crate::api::*;
 use crate::cross_zone::BudgetExemption;
-use crate::fleet::{CandidateSampler, CandidateScope, WarmUpStatus};
+use crate::fleet::{CandidateSampler, CandidateScope, SubsetStatus};
 use crate::state::{Candidate, PendingRequest, Upstream};
 
 /// The rate at which all sidecars together send work to a server that is warming up, as a share of its
@@ -14,7 +14,7 @@
 const RATE_SHARE: f64 = 0.4;
 /// The work that may be saved up, as a share of the allowance in one overload window.
 const BURST_SHARE: f64 = 0.25;
-/// Minimum number of sidecars that own a server that is warming up: some may have little traffic, or fail.
+/// Minimum number of owners of a server that is warming up: some sidecars may have little traffic, or fail.
 const MIN_OWNERS: u32 = 4;
 /// Maximum number of servers examined for one request.
 const MAX_EXAMINED: usize = 24;
@@ -55,24 +55,26 @@
     }
 
     /// How a server counts for the subset of this sidecar.
-    pub(crate) fn warm_up_status(&self, server: &Upstream) -> WarmUpStatus {
+    pub(crate) fn subset_status(&self, server: &Upstream) -> SubsetStatus {
         if self.outages.is_unreachable(server.zone) {
-            return WarmUpStatus::ZoneUnreachable;
+            return SubsetStatus::ZoneUnreachable;
         }
         if server.warm_up_fraction(self.now, &self.settings.slow_start) >= 1.0 {
-            return WarmUpStatus::WarmedUp;
+            return SubsetStatus::WarmedUp;
         }
         let owners = self.owner_count(server);
-        WarmUpStatus::WarmingUp { owned: self.ranking.is_owner(owners, self.settings.sidecars, server.key) }
+        SubsetStatus::WarmingUp { owned: self.ranking.is_owner(owners, self.settings.sidecars, server.key) }
     }
 
     /// The number of sidecars that share the allowance of a server that is warming up: at least
     /// [`MIN_OWNERS`], and more as long as each share covers a request of mean service time.
     fn owner_count(&self, upstream: &Upstream) -> u32 {
         let classes = &self.estimates.classes;
-        let mean = classes.iter().map(|class| class.service_time).sum::<f64>() / classes.len().max(1) as f64;
+        let mean_service_time =
+            classes.iter().map(|class| class.service_time).sum::<f64>() / classes.len().max(1) as f64;
         let burst = BURST_SHARE * self.allowance(upstream) * self.settings.slow_start.overload_window;
-        let owners = (burst / mean.max(1.0)).max(f64::from(MIN_OWNERS)).min(f64::from(u32::MAX >> 1));
+        let owners =
+            (burst / mean_service_time.max(1.0)).max(f64::from(MIN_OWNERS)).min(f64::from(u32::MAX >> 1));
         // A power of two, so that sidecars whose estimates differ agree on the number.
         (1 << (owners as u32).ilog2()).min(self.settings.sidecars.max(1))
     }
@@ -131,10 +133,10 @@
         self.upstreams.update(to.id, spend).unwrap_or(false)
     }
 
-    /// Finds a server that is warming up and may be sent a request, for when the sampled pair may not and no
-    /// warmed-up server has capacity. Same-zone servers come first where cross-zone traffic has a cost. Only
-    /// shares that cover whole requests qualify: counted requests keep to the allowance however many arrive,
-    /// requests admitted by chance do not.
+    /// Finds a server that is warming up and may be sent a request. Called when the sampled pair may not
+    /// and no warmed-up server has capacity. Same-zone servers come first where cross-zone traffic has a
+    /// cost. Only shares that cover whole requests qualify: counted requests keep to the allowance however
+    /// many arrive, requests admitted by chance do not.
     pub(crate) fn find_warming_up_server(&mut self, pending: &PendingRequest) -> Option<Candidate> {
         let (scope, context) = (self.candidate_scope(pending)?.in_subset(), self.selection_context(pending));
         let same_zone = CandidateScope::MembersInZone(self.settings.zone);
--- a/crates/decide/src/snapshot.rs
+++ b/crates/decide/src/snapshot.rs
@@ -25,9 +25,9 @@
 /// The estimates of a balancer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Of each server, by its id.
+    /// The estimates of each server, by id.
     pub servers: Vec<(u64, ServerSnapshot)>,
-    /// Of all servers and all arrivals.
+    /// The estimates of all servers and all arrivals.
     pub all: SharedSnapshot,
 }
 
@@ -38,7 +38,7 @@
     capacity: Option<f64>,
     mean_in_flight: f64,
     utilisation: Option<f64>,
-    /// In flight by the last report, plus this sidecar's sends since.
+    /// Requests in flight by the last report, plus this sidecar's sends since.
     in_flight: f64,
     #[serde(rename = "reported")]
     report_age: Option<Millis>,
@@ -52,7 +52,7 @@
     #[serde(rename = "answered")]
     answer_age: Option<Millis>,
     failure_rate: f64,
-    /// For an ejected server: the remaining time and the whole time of its ejection.
+    /// For an ejected server: the time left of the ejection, and its length before jitter.
     #[serde(rename = "ejected")]
     ejection: Option<(Millis, Millis)>,
 }
@@ -170,7 +170,7 @@
         ensure(times.into_iter().all(|time| is_none_or(time, is_amount)), "age")?;
         ensure(is_positive_amount(self.relative_service_time), "relative service time")?;
         ensure(is_share(self.failure_rate), "failure rate")?;
-        let is_valid = |(left, whole)| is_amount(left) && is_amount(whole);
+        let is_valid = |(time_left, wait)| is_amount(time_left) && is_amount(wait);
         ensure(self.ejection.is_none_or(is_valid), "ejection")
     }
 
@@ -189,8 +189,9 @@
         upstream.answered_at = at(self.answer_age);
         upstream.failure_rate = self.failure_rate;
         upstream.is_half_open = false;
-        upstream.health =
-            self.ejection.map_or(Health::Ready, |(left, wait)| Health::Ejected { until: now + left, wait });
+        upstream.health = self
+            .ejection
+            .map_or(Health::Ready, |(time_left, wait)| Health::Ejected { until: now + time_left, wait });
         (upstream.slow_start_credit, upstream.slow_start_credit_at) = (0.0, now);
     }
 }
@@ -282,7 +283,7 @@
                 kinds: estimates.kinds.iter().map(|(id, kind)| (id.0, KindSnapshot::of(kind))).collect(),
                 fleet: KindSnapshot::of(&estimates.fleet),
                 refused_share: estimates.refused_share,
-                // Both processes may retry from now on, together as often as one.
+                // Both processes may retry from now on, but together only as often as one.
                 retry_tokens: (estimates.retry_tokens / 2.0).max(0.0),
                 wait_scale: estimates.wait_scale,
                 mean_density: estimates.mean_density,
--- a/crates/decide/src/staleness.rs
+++ b/crates/decide/src/staleness.rs
@@ -1,15 +1,15 @@
 //! The staleness bound: when discovery is called, and how long to wait between calls, so that a change is
-//! taken in within the bound. Owned by the balancer. No I/O and no clock.
+//! taken in within the bound. The module has no clock and does no I/O.
 //!
 //! The bound is measured from the time at which discovery has a change and can be reached. In the worst case
 //! the change comes right after a call has begun, that call fails at the last moment, and the next one is
 //! answered at the last moment. The time that two such calls leave of the bound is the longest wait between
-//! them. Calls that fail at once leave more time: after the first failure it is used for one more call, after
-//! further ones for longer waits, since a discovery that refuses calls may be overloaded.
+//! them. Calls that fail at once leave more time. After the first failure this time is used for one more
+//! call, after further failures for longer waits, since a discovery that refuses calls may be overloaded.
 
 use crate::api::Millis;
 
-/// The longest duration of a call, including the connect. Discovery turns away calls after a wait of 2 s.
+/// The longest duration of a call, including the connect. Discovery refuses calls after a wait of 2 s.
 pub const CALL_TIMEOUT: Millis = 2_200.0;
 /// Allowance for timers and for the transmission of an answer.
 const DELIVERY_MARGIN: Millis = 100.0;
--- a/crates/decide/src/state.rs
+++ b/crates/decide/src/state.rs
@@ -41,11 +41,11 @@
     pub attempts: Vec<Attempt>,
     /// The pair whose probes the request waits for.
     pub pair: Option<[UpstreamId; 2]>,
-    /// The share of all candidates that the pair was drawn from.
-    pub draw_share: f64,
+    /// The share of all candidates that the pair was sampled from.
+    pub sampled_share: f64,
     /// How often the request has waited for probes.
     pub probe_waits: u32,
-    /// Why the pair was drawn from other zones although no budget pays for it, if so.
+    /// Why the pair may be in other zones although no budget pays for it, if so.
     pub exemption: Option<BudgetExemption>,
     /// The next check of the attempt in flight.
     pub check_at: Option<Millis>,
@@ -60,7 +60,7 @@
             deadline: arrived + time_left,
             attempts: Vec::new(),
             pair: None,
-            draw_share: 1.0,
+            sampled_share: 1.0,
             probe_waits: 0,
             exemption: None,
             check_at: None,
@@ -73,12 +73,12 @@
 pub(crate) struct OutstandingSend {
     pub class: ClassId,
     pub sent: Millis,
-    /// [`Candidate::depth`] and [`Candidate::wait`] of the server when it was sent.
+    /// [`Candidate::depth`] and [`Candidate::wait`] of the server when the attempt was sent.
     pub depth: f64,
     pub wait: Millis,
 }
 
-/// Whether a server is sampled. The `wait` of an ejection is its length before jitter.
+/// Whether a server may be sampled. The `wait` of an ejection is the length of the ejection before jitter.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) enum Health {
     Ready,
@@ -102,7 +102,7 @@
     /// Running mean over its reports, and the utilisation in the last one.
     pub mean_in_flight: f64,
     pub utilisation: Option<f64>,
-    /// In flight as last reported, less those of our sends that have ended since.
+    /// Requests in flight as last reported, less our sends that have ended since.
     pub reported_in_flight: f64,
     pub reported_at: Millis,
     pub has_valid_report: bool,
@@ -118,7 +118,7 @@
     /// Relative to the mean of all servers.
     pub relative_service_time: f64,
     pub estimated_at: Millis,
-    /// Answers and reports from servers of its kind when one of its own was last used for an estimate.
+    /// Numbers of answers and of reports from servers of its kind when its own last one was recorded.
     pub kind_answers_at_estimate: f64,
     pub kind_reports_at_report: f64,
     pub answered_at: Millis,
@@ -139,7 +139,7 @@
     pub same_zone: bool,
     /// Why a server in another zone is a candidate although no budget pays for it, if so.
     pub exemption: Option<BudgetExemption>,
-    /// Its last report is old, and the request may wait for a probe.
+    /// Whether its last report is old and the request may wait for a probe.
     pub awaits_probe: bool,
     pub has_valid_report: bool,
     pub healthy: bool,
@@ -161,7 +161,7 @@
     pub service_time: Millis,
     pub means: FleetMeans,
     pub may_wait_for_probe: bool,
-    /// Servers outside the subset are evaluated: only those with valid reports count as having capacity.
+    /// Whether servers outside the subset are evaluated, too: then only valid reports show capacity.
     pub outside_subset: bool,
     /// A server with an older report makes the request wait for its probe.
     pub max_report_age: Millis,
@@ -177,7 +177,7 @@
         if self.outside_subset && !candidate.has_valid_report {
             return false;
         }
-        // An idle server always has capacity, else a service time learnt under overload would refuse all.
+        // An idle server always has capacity, else a service time estimated under overload would refuse all.
         candidate.awaits_probe || candidate.idle || candidate.wait <= self.max_wait
     }
 
@@ -190,7 +190,7 @@
     }
 }
 
-/// Means over the servers with valid reports, which stand in for those without.
+/// Means over the servers with valid reports, used as estimates for servers without one.
 pub(crate) struct FleetMeans {
     /// Requests in flight that other sidecars have sent to a server.
     pub in_flight_from_others: f64,
@@ -233,7 +233,7 @@
         }
     }
 
-    /// Takes over a list entry. A new incarnation under the same id keeps the outstanding sends only.
+    /// Applies a list entry. A new incarnation under the same id keeps the outstanding sends only.
     pub fn update_from_listing(&mut self, entry: &Listing) {
         if entry.started.is_some_and(|new| self.started.is_none_or(|old| new > old)) {
             let outstanding = std::mem::take(&mut self.outstanding);
@@ -252,7 +252,7 @@
         self.weight = if entry.weight.is_finite() && entry.weight > 0.0 { entry.weight } else { 1.0 };
     }
 
-    /// The share of its full capacity that the server is sure to have. Grows linearly from the initial share.
+    /// The share of full capacity that the server is sure to have; grows linearly from the initial share.
     pub fn warm_up_fraction(&self, now: Millis, limits: &SlowStartLimits) -> f64 {
         match self.started {
             Some(started) if now < started + limits.warm_up => {
@@ -282,14 +282,14 @@
         Some(sent)
     }
 
-    /// The outstanding sends that a report requested now may lack, which are those sent at the same time: the
-    /// number of the first, or `next_send` if there is none, and their count.
+    /// The outstanding sends that a report requested now may lack, because they are sent at this same time:
+    /// the number of the first one (`next_send` if there is none), and their count.
     pub fn unreported(&self, next_send: u64, now: Millis) -> (u64, usize) {
         let latest = self.outstanding.iter_newest_first().take_while(|(_, sent)| sent.sent >= now);
         latest.fold((next_send, 0), |(_, count), (number, _)| (number, count + 1))
     }
 
-    /// Records the load of a report that is valid until then and lacks the sends in `unreported`.
+    /// Records the load of a report that is valid until `until` and lacks the sends in `unreported`.
     pub fn record_report(&mut self, in_flight: f64, now: Millis, until: Millis, unreported: (u64, usize)) {
         (self.first_unreported_send, self.unreported_sends) = unreported;
         (self.reported_in_flight, self.reported_at) = (in_flight, now);
--- a/crates/decide/src/subset.rs
+++ b/crates/decide/src/subset.rs
@@ -1,5 +1,5 @@
-//! The ranking of servers by one sidecar and the target size of its subset. Pure values; the members follow
-//! in the module `fleet`.
+//! The ranking of servers by one sidecar and the target size of its subset. The members are
+//! determined in the module `fleet`.
 //!
 //! Every server has its own order of all sidecars, derived from its name, and a sidecar takes the servers in
 //! whose order it comes early. The first sidecars in a server's order are its owners. Their number does not
@@ -22,7 +22,8 @@
     mix(name.bytes().fold(0xCBF2_9CE4_8422_2325, fnv))
 }
 
-/// Weights are rounded to a power of this: lists state them roughly, and some change them all the time.
+/// Weights are rounded to a power of this: lists state them roughly, and some lists change them all
+/// the time.
 const WEIGHT_STEP_FACTOR: f64 = 2.0;
 /// Weights further from 1 than this many steps are taken for typing errors and limited.
 const MAX_WEIGHT_STEPS: f64 = 10.0;
@@ -104,9 +105,9 @@
     }
 }
 
-/// Minimum size: with two in five members ejected, and one in three of the rest warming up or draining, three
-/// are left to sample from.
-const MIN_SIZE: f64 = 8.0;
+/// Minimum target size: with two in five members ejected, and one in three of the rest warming up or
+/// draining, three are left to sample from.
+const MIN_SUBSET_SIZE: f64 = 8.0;
 /// Minimum mean number of subsets that a server is in: with fewer, some servers are left to one or two
 /// sidecars.
 const MIN_SUBSETS_PER_SERVER: f64 = 8.0;
@@ -116,12 +117,12 @@
 const MEMBER_SAMPLE_INTERVAL: Millis = 250.0;
 /// The traffic is the larger of its averages over these windows: it rises at once and falls slowly.
 const RATE_WINDOWS: [Millis; 2] = [2_000.0, 30_000.0];
-/// The base size changes once the size wanted is at most or at least this multiple of it.
+/// The base size changes once the wanted size is at most the first or at least the second multiple of it.
 const RESIZE_RATIOS: [f64; 2] = [0.7, 1.25];
 /// Share of the extra members that is dropped in each interval in which none was needed.
-const EXTRA_DECAY: f64 = 0.1;
-/// About as long as a report stays valid.
-const EXTRA_DECAY_INTERVAL: Millis = 1_000.0;
+const EXTRA_DECAY_SHARE: f64 = 0.1;
+/// Interval at which extra members are reviewed: about as long as a report stays valid.
+const EXTRA_REVIEW_INTERVAL: Millis = 1_000.0;
 
 /// The target size of one sidecar's subset.
 #[derive(Debug, Clone)]
@@ -129,6 +130,7 @@
     /// Arrivals per millisecond, averaged over each of [`RATE_WINDOWS`], at the time `rates_at`.
     rates: [f64; 2],
     rates_at: Millis,
+    /// Target size without the extra members.
     base: f64,
     /// Members on top of the base size, because the members lacked capacity that other servers had.
     extra: f64,
@@ -160,7 +162,7 @@
         self.rates_at = now;
     }
 
-    /// Requests per millisecond.
+    /// Arrivals per millisecond: the larger of the averages.
     fn rate(&self, now: Millis) -> f64 {
         let elapsed = (now - self.rates_at).max(0.0);
         let rates =
@@ -170,16 +172,17 @@
 
     /// The target size for these numbers of servers and sidecars.
     pub fn target(&mut self, now: Millis, servers: usize, sidecars: u32) -> usize {
-        if now >= self.reviewed_at + EXTRA_DECAY_INTERVAL {
+        if now >= self.reviewed_at + EXTRA_REVIEW_INTERVAL {
             self.reviewed_at = now;
             self.review_extra(servers);
         }
         let (servers, sidecars) = (servers as f64, f64::from(sidecars.max(1)));
         // A pair is sampled for each request.
         let by_traffic = 2.0 * self.rate(now) * MEMBER_SAMPLE_INTERVAL;
-        let wanted = by_traffic.max(MIN_SUBSETS_PER_SERVER * servers / sidecars).max(MIN_SIZE).min(servers);
+        let wanted =
+            by_traffic.max(MIN_SUBSETS_PER_SERVER * servers / sidecars).max(MIN_SUBSET_SIZE).min(servers);
         let [lower, upper] = RESIZE_RATIOS.map(|ratio| ratio * self.base);
-        // A subset of all servers is taken at once, however little larger.
+        // A size that includes all servers applies at once, however small the change.
         if wanted <= lower || wanted >= upper || wanted == servers {
             self.base = wanted;
         }
@@ -197,7 +200,7 @@
         self.extra = self.extra.min(servers as f64);
         if !std::mem::take(&mut self.extra_needed) {
             self.extra =
-                if self.extra < 1.0 { 0.0 } else { self.extra - (EXTRA_DECAY * self.extra).max(1.0) };
+                if self.extra < 1.0 { 0.0 } else { self.extra - (EXTRA_DECAY_SHARE * self.extra).max(1.0) };
         }
     }
 }
@@ -340,7 +343,7 @@
     fn size_grows_with_traffic_at_once_and_shrinks_slowly() {
         let mut size = SubsetSize::default();
         let idle = size.target(0.0, 200, 300);
-        assert_eq!(idle, MIN_SIZE as usize, "before any traffic");
+        assert_eq!(idle, MIN_SUBSET_SIZE as usize, "before any traffic");
         let mut now = 0.0;
         for _ in 0..1_000 {
             now += 2.0;
--- a/crates/decide/src/throttle.rs
+++ b/crates/decide/src/throttle.rs
@@ -5,7 +5,7 @@
 //! share of answers in time shows this. Requests are refused at random so that at most `MAX_SENT_PER_IN_TIME`
 //! times as many are sent as were answered in time recently. While most answers are in time, all requests are
 //! sent; while none is, a few still are, to detect the recovery. Used only where no server reports its load.
-//! Time and random values are arguments.
+//! Times and random values are arguments.
 
 use crate::api::Millis;
 
@@ -23,7 +23,8 @@
 /// Decaying counts of requests and of answers in time.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Throttle {
-    /// Requests that have ended or were refused here. Those in flight may yet be in time.
+    /// Requests that have ended or were refused here. Those in flight are not counted: they may yet be in
+    /// time.
     requests: f64,
     in_time: f64,
     decayed_at: Millis,
--- a/crates/decide/src/throttle/tests.rs
+++ b/crates/decide/src/throttle/tests.rs
@@ -3,8 +3,8 @@
 
 use super::*;
 
-/// Plays 20 requests per second, of which `in_time` of those sent are answered in time. Returns the share
-/// refused.
+/// Simulates 20 requests per second. Of those sent, the share `in_time` is answered in time. Returns the
+/// refused share of all requests.
 fn refused_share(throttle: &mut Throttle, now: &mut Millis, seconds: u32, in_time: f64) -> f64 {
     let mut rng = oorandom::Rand64::new(u128::from(seconds));
     let (mut refused, all) = (0, seconds * 20);
--- a/crates/decide/src/upload.rs
+++ b/crates/decide/src/upload.rs
@@ -31,12 +31,12 @@
         let Some((send, removed_at)) = self.uploads.remove(&key) else { return };
         let number = self.next_send;
         self.next_send += 1;
-        let entered = self
+        let added = self
             .upstreams
             .update(id, |upstream| upstream.add_send(number, OutstandingSend { sent: now, ..send }));
-        match entered {
+        match added {
             Some(()) => drop(self.sends.insert(key, (number, id))),
-            // The server has left the list in the meantime, and its record is gone.
+            // The server was removed in the meantime.
             None => drop(self.sends.remove(&key)),
         }
         let Some(pending) = self.requests.get_mut(&request) else { return };
--- a/crates/decide/src/zone_outage.rs
+++ b/crates/decide/src/zone_outage.rs
@@ -1,6 +1,6 @@
 //! Zones that are unreachable. A zone often fails as a whole: its power, its switch or the link to it. If its
-//! servers were found unreachable one by one, each would cost a lost attempt, and as many again for each of
-//! many sidecars with little traffic.
+//! servers were found unreachable one by one, each sidecar, even with little traffic, would lose an attempt
+//! per server.
 //!
 //! A zone counts as unreachable once several different servers in a row could not be reached and nothing was
 //! received from the zone in between. It is probed at once and then at growing intervals; any contact makes
@@ -52,8 +52,8 @@
         }
     }
 
-    /// Records something that an unreachable zone could not have caused, such as an answer or a newly started
-    /// server. Returns whether the zone was unreachable until now.
+    /// Records a sign that a zone is reachable, such as an answer or a newly started server. Returns
+    /// whether the zone was unreachable until now.
     pub fn record_contact(&mut self, zone: ZoneId) -> bool {
         self.zones.remove(&zone).is_some_and(|failures| failures.is_unreachable())
     }
@@ -66,8 +66,8 @@
         self.zones.values().any(ZoneFailures::is_unreachable)
     }
 
-    /// Returns the zones that are to be probed now, and schedules their next probes after their interval times
-    /// `jitter` (0.5 to 1), since all sidecars notice an outage together. The interval then doubles.
+    /// Returns the zones that are to be probed now, and schedules their next probes after `jitter` (0.5 to 1)
+    /// times their interval, since all sidecars notice an outage together. The interval then doubles.
     pub fn take_due(&mut self, now: Millis, jitter: f64) -> Vec<ZoneId> {
         let due = self
             .zones
@@ -94,8 +94,8 @@
             let slot = sampler.next(&mut self.upstreams, &mut self.rng);
             match slot.and_then(|slot| self.upstreams.at_slot(slot)) {
                 Some((id, _)) if self.settings.limits.probes => self.probe_if_due(id, out),
-                // The zone has no server left to probe, or probes are off and only requests can find it
-                // reachable again.
+                // The zone has no server left to probe, or probes are off and only requests can show that
+                // the zone is reachable again.
                 _ => self.record_zone_contact(zone),
             }
         }
--- a/crates/decide/tests/health.rs
+++ b/crates/decide/tests/health.rs
@@ -113,7 +113,7 @@
     assert!(refused(&actions));
 }
 
-/// Guards against permanent refusals: a service time learnt under overload must not cause refusals beside
+/// Guards against permanent refusals: a service time estimated under overload must not cause refusals beside
 /// idle servers.
 #[test]
 fn idle_server_has_capacity_whatever_the_estimated_service_time() {
--- a/crates/pools/src/counts.rs
+++ b/crates/pools/src/counts.rs
@@ -1,6 +1,6 @@
 //! Counts of attempts, by class and destination zone, with the reasons of those that left the zone without a
-//! budget. A table of counts outlives the budgets that write to it, and may be read from any thread
-//! meanwhile.
+//! budget. A table of counts outlives the budgets that write to it, and may be read from any thread at any
+//! time.
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
@@ -13,7 +13,7 @@
 /// The name under which zones that the settings don't name are counted together.
 pub const UNNAMED_ZONES: &str = "elsewhere";
 
-/// What is counted for each class and destination zone.
+/// The counters that are kept for each class and destination zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Counter {
     /// First attempts of requests.
@@ -55,15 +55,15 @@
     }
 }
 
-/// The names that counts are kept under. The size of a table depends only on their number, which is bounded
-/// by the settings.
+/// The names that counts are kept under. The size of a table depends only on the number of names, which the
+/// settings bound.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Names {
     /// Names of classes, by id.
     pub classes: Vec<String>,
     /// Names of zones, by id.
     pub zones: Vec<String>,
-    /// The index of the zone of the instance that is counted.
+    /// The index of the zone of the counted instance.
     pub local_zone: usize,
 }
 
@@ -77,7 +77,8 @@
     probes: Vec<AtomicU64>,
     /// The level and the burst of each budget at the last attempt, as the bits of floating-point numbers.
     budget_levels: [[AtomicU64; 2]; MAX_BUDGETS],
-    budgets: AtomicUsize,
+    /// The number of budgets that have a level.
+    budget_count: AtomicUsize,
 }
 
 impl Counts {
@@ -86,7 +87,13 @@
         let zones = names.zones.len() + 1;
         let attempts = (0..names.classes.len() * zones).map(|_| Default::default()).collect();
         let probes = (0..zones).map(|_| AtomicU64::new(0)).collect();
-        Counts { names, attempts, probes, budget_levels: Default::default(), budgets: AtomicUsize::new(0) }
+        Counts {
+            names,
+            attempts,
+            probes,
+            budget_levels: Default::default(),
+            budget_count: AtomicUsize::new(0),
+        }
     }
 
     /// The names that counts are kept under.
@@ -94,7 +101,7 @@
         &self.names
     }
 
-    /// The index of a zone; that after the last one for zones without a name.
+    /// The index of a zone. Zones without a name share the index after the last named zone.
     fn zone_index(&self, zone: ZoneId) -> usize {
         usize::try_from(zone.0).unwrap_or(usize::MAX).min(self.names.zones.len())
     }
@@ -120,13 +127,13 @@
             stored[1].store(burst.to_bits(), Ordering::Relaxed);
             count += 1;
         }
-        self.budgets.store(count, Ordering::Release);
+        self.budget_count.store(count, Ordering::Release);
     }
 
     /// The level and the burst of each budget at the last attempt, in the order of the rules.
     pub fn budget_levels(&self) -> Vec<(f64, f64)> {
         let number = |bits: &AtomicU64| f64::from_bits(bits.load(Ordering::Relaxed));
-        let count = self.budgets.load(Ordering::Acquire);
+        let count = self.budget_count.load(Ordering::Acquire);
         self.budget_levels.iter().take(count).map(|[level, burst]| (number(level), number(burst))).collect()
     }
 
--- a/crates/pools/src/cross_zone_budget.rs
+++ b/crates/pools/src/cross_zone_budget.rs
@@ -1,6 +1,6 @@
-//! Budgets for traffic that leaves a zone: what they pay for, what leaving the zone costs as they are used
-//! up, and for which reasons requests are exempt from them. No clock and no I/O: the decision module notifies
-//! this code of attempts, with the time.
+//! Budgets for traffic that leaves a zone: the attempts that they pay for, the cost of leaving the zone as
+//! they are used up, and the reasons for which requests are exempt from them. No clock and no I/O: the
+//! decision module notifies this code of attempts, with the time.
 
 use std::sync::Arc;
 
@@ -32,14 +32,14 @@
 /// A budget. A cross-zone attempt needs tokens from every budget that applies to it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Budget {
-    /// The classes that it applies to; `None` for all.
+    /// The classes that the budget applies to; `None` for all.
     pub classes: Option<Vec<ClassId>>,
-    /// The destination zones that it applies to; `None` for all.
+    /// The destination zones that the budget applies to; `None` for all.
     pub to: Option<Vec<ZoneId>>,
-    /// What it limits.
+    /// The limit.
     pub limit: BudgetLimit,
-    /// The most that can be saved up, or owed after exemptions, in attempts or bytes. It is of all sidecars
-    /// together where the limit is.
+    /// The most that can be saved up, or owed after exemptions, in attempts or bytes: of this sidecar for a
+    /// share, of all sidecars together for a rate.
     pub burst: f64,
 }
 
@@ -134,8 +134,8 @@
 }
 
 impl CrossZoneBudgets {
-    /// Budgets that are empty, so that a restart grants nothing. `counts` is continued, and names the zone of
-    /// the instance.
+    /// Budgets that are empty, so that a restart grants nothing. The counts in `counts` are continued; its
+    /// names include the zone of the instance.
     pub fn new(rules: Rules, counts: Arc<Counts>, sidecars: u32, now: Millis) -> CrossZoneBudgets {
         let classes = counts.names().classes.len();
         let mut budgets = CrossZoneBudgets {
@@ -208,8 +208,8 @@
         }
     }
 
-    /// The cost rises from [`Rules::cost`] to [`Rules::exemption_threshold`] as the emptiest budget is used
-    /// up.
+    /// The cost rises from [`Rules::cost`] to [`Rules::exemption_threshold`] as the emptiest applicable
+    /// budget is used up.
     fn cross_zone_cost(&self, now: Millis, class: ClassId) -> CrossZoneCost {
         let applicable =
             self.budgets.iter().filter(|state| state.applies_to_all_zones && state.applies_to_class(class));
--- a/crates/pools/src/file.rs
+++ b/crates/pools/src/file.rs
@@ -41,7 +41,7 @@
     }
 }
 
-/// A parsed file without faults of its own. Its names have not been compared with any settings.
+/// A parsed file without faults, except that its names have not been compared with any settings.
 #[derive(Debug, Clone)]
 pub struct File {
     text: String,
@@ -82,7 +82,7 @@
 }
 
 impl BudgetTable {
-    /// The limits that are given; exactly one is valid.
+    /// The limits that the table gives; valid tables give exactly one.
     fn limits(&self) -> impl Iterator<Item = (BudgetLimit, &Spanned<f64>)> {
         let share = self.share.as_ref().map(|value| (BudgetLimit::Share(*value.get_ref()), value));
         let rate = self.per_second.as_ref().map(|value| (BudgetLimit::PerSecond(*value.get_ref()), value));
