--- a/crates/decide/src/api.rs
+++ b/crates/decide/src/api.rs
@@ -125,7 +125,7 @@
     Subscribed {
         /// The time within which a change must be received, even if calls fail: the bound of
         /// [`crate::staleness`].
-        must_ask_in: Millis,
+        staleness_bound: Millis,
     },
 }
 
--- a/crates/decide/src/balancer.rs
+++ b/crates/decide/src/balancer.rs
@@ -968,10 +968,10 @@
         if self.estimates.kinds.len() > MAX_KINDS {
             self.estimates.kinds.retain(|kind, _| self.upstreams.has_kind(*kind));
         }
-        let Discovery::Subscribed { must_ask_in } = self.settings.discovery else { return };
+        let Discovery::Subscribed { staleness_bound } = self.settings.discovery else { return };
         if must_call {
             let random = self.rng.rand_float();
-            let at = self.discovery_calls.schedule_call(self.now, must_ask_in, random);
+            let at = self.discovery_calls.schedule_call(self.now, staleness_bound, random);
             out.extend(at.map(|at| Action::SetTimer { at, token: 0 }));
         }
     }
--- a/crates/decide/src/settings.rs
+++ b/crates/decide/src/settings.rs
@@ -186,7 +186,9 @@
             },
             discovery: match self.membership_mode {
                 Membership::Automatic => Discovery::Pushed,
-                Membership::Subscribe => Discovery::Subscribed { must_ask_in: self.invariants.must_ask_in },
+                Membership::Subscribe => {
+                    Discovery::Subscribed { staleness_bound: self.invariants.must_ask_in }
+                }
             },
         }
     }
--- a/crates/decide/tests/any_order.rs
+++ b/crates/decide/tests/any_order.rs
@@ -287,7 +287,7 @@
         settings.limits.probes = seed % 3 > 0;
         settings.cross_zone_cost = [0.0, 0.02, 0.2][seed as usize % 3];
         if seed % 2 == 0 {
-            settings.discovery = Discovery::Subscribed { must_ask_in: 5_000.0 };
+            settings.discovery = Discovery::Subscribed { staleness_bound: 5_000.0 };
         }
         let start = if seed % 5 == 0 { 0.0 } else { 50_000.0 };
         let mut balancer = Balancer::new(settings.clone(), seed);
--- a/crates/decide/tests/rules.rs
+++ b/crates/decide/tests/rules.rs
@@ -174,7 +174,7 @@
 #[test]
 fn discovery_is_called_after_a_jittered_wait_and_again_after_a_failure() {
     let mut settings = settings();
-    settings.discovery = Discovery::Subscribed { must_ask_in: 10_000.0 };
+    settings.discovery = Discovery::Subscribed { staleness_bound: 10_000.0 };
     let mut harness = Harness::new(settings, vec![]);
     let mut waits = Vec::new();
     let mut actions = harness.event(Event::ListReceived(ListUpdate::Restored(vec![listing(1)])));
--- a/crates/decide/tests/staleness.rs
+++ b/crates/decide/tests/staleness.rs
@@ -21,7 +21,7 @@
 
 /// Settings under which the module calls discovery.
 fn subscribed_settings() -> Settings {
-    Settings { discovery: Discovery::Subscribed { must_ask_in: BOUND }, ..settings() }
+    Settings { discovery: Discovery::Subscribed { staleness_bound: BOUND }, ..settings() }
 }
 
 /// The time of the timer for the next call to discovery, if one was set.
--- a/crates/sidecar/src/driver.rs
+++ b/crates/sidecar/src/driver.rs
@@ -272,8 +272,8 @@
         let send_delay_ms = settings.connect_timeout_ms() + WRITE_GRACE.as_secs_f64() * 1e3;
         module_settings.limits.tick = module_settings.limits.tick.max(send_delay_ms);
         // A change in discovery counts as received after this time, whatever else the settings allow.
-        if let Discovery::Subscribed { must_ask_in } = &mut module_settings.discovery {
-            *must_ask_in = must_ask_in.min(watch_liveness::STALENESS_BOUND.as_secs_f64() * 1e3);
+        if let Discovery::Subscribed { staleness_bound } = &mut module_settings.discovery {
+            *staleness_bound = staleness_bound.min(watch_liveness::STALENESS_BOUND.as_secs_f64() * 1e3);
         }
         let aims = module_settings
             .classes
