--- a/crates/decide/src/balancer.rs
+++ b/crates/decide/src/balancer.rs
@@ -25,15 +25,15 @@
 use crate::upload::Uploads;
 use crate::zone_outage::ZoneOutages;
 
-/// Up to this mean service time the constant times apply as they stand. Longer service times scale them, by
-/// [`MAX_TIME_SCALE`] at most. Shorter ones don't: probes cost, and servers' averaging times are unknown.
+/// Up to this mean service time the constant times apply as they stand. Longer ones scale them, at most by
+/// [`MAX_TIME_SCALE`]. Shorter ones don't: probes cost, and the averaging time of servers is unknown.
 const BASE_SERVICE_TIME: Millis = 40.0;
 const MAX_TIME_SCALE: f64 = 25.0;
 /// A sampled server is probed if its report is older than this, which is about one service time.
 const PROBE_AFTER: Millis = 40.0;
 /// A request waits for the probes of its pair if a report is older than this many service times.
 const PROBE_WAIT_SERVICE_TIMES: f64 = 4.0;
-/// Longest wait for probes, as a share of the aim and in mean probe times, and most waits of a request.
+/// Longest wait for probes, as a share of the aim and in mean probe times, and the most waits of a request.
 const PROBE_WAIT_AIM_SHARE: f64 = 0.15;
 const PROBE_WAIT_PROBE_TIMES: f64 = 3.0;
 const MAX_PROBE_WAITS: u32 = 2;
@@ -303,9 +303,9 @@
         let quotas: f64 = self.settings.tenants.iter().map(|tenant| tenant.quota_per_s).sum();
         let quota = self.settings.tenants.get(pending.tenant.0).map_or(0.0, |tenant| tenant.quota_per_s);
         let share = self.estimates.tenant_shares.get(pending.tenant.0).copied().unwrap_or(0.0);
-        let within = if quota > 0.0 && share > 0.0 { (quota / quotas / share).min(1.0) } else { 1.0 };
+        let within_quota = if quota > 0.0 && share > 0.0 { (quota / quotas / share).min(1.0) } else { 1.0 };
         let worth = self.settings.classes[pending.class.0].worth;
-        worth * (within + (1.0 - within) * self.settings.over_quota_worth)
+        worth * (within_quota + (1.0 - within_quota) * self.settings.over_quota_worth)
             / self.estimates.classes[pending.class.0].service_time.max(1.0)
     }
 
@@ -365,8 +365,8 @@
     pub(crate) fn selection_context(&self, pending: &PendingRequest) -> SelectionContext {
         let aim_left = self.aim_left(pending);
         let has_time = aim_left > 2.0 * PROBE_WAIT_AIM_SHARE * self.settings.classes[pending.class.0].aim;
-        // With roughly exponential answer times, an answer expected after `wait` misses the aim with
-        // probability exp(-aim/wait). While that is below the cost of crossing, crossing does not pay.
+        // With roughly exponential answer times, an answer misses the aim with probability
+        // exp(-aim/expected_latency). While that is below the cost of crossing, crossing does not pay.
         let budget = self.cross_zone_budget.as_ref();
         let costs = budget.map(|budget| budget.cross_zone_cost(self.now, pending.class));
         let limit = |cost: f64| if cost > 0.0 { aim_left / (1.0 / cost).ln().max(1.0) } else { 0.0 };
@@ -420,7 +420,7 @@
             projected_load: (in_flight + 1.0) / capacity * slowness,
             depth,
             idle: self.reports_idle(server) || is_lightly_loaded,
-            wait: context.service_time * slowness * depth,
+            expected_latency: context.service_time * slowness * depth,
             failure_rate: server.failure_rate,
             warm_up_fraction,
         })
@@ -557,11 +557,11 @@
             true => context.same_zone_limit.min(context.max_wait),
             false => context.max_wait,
         };
-        let is_usable = |c: &Candidate| c.healthy && context.has_capacity(c) && c.wait <= limit(c);
+        let suits = |c: &Candidate| c.healthy && context.has_capacity(c) && c.expected_latency <= limit(c);
         let is_allowed = |c: &Candidate| self.is_serving(c.id) && self.is_still_allowed(pending, c);
         let [a, b] = pending.pair?.map(|id| {
             let candidate = self.examine(self.upstreams.slot(id)?, pending, context);
-            candidate.filter(|c| is_usable(c) && is_allowed(c))
+            candidate.filter(|c| suits(c) && is_allowed(c))
         });
         Some([a.or(b)?, b.or(a)?])
     }
@@ -695,7 +695,7 @@
     fn send(&mut self, request: RequestId, to: Candidate, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&request) else { return };
         let time_left = (pending.deadline - self.now).max(0.0);
-        let evidence = self.initial_evidence(to.wait, to.failure_rate);
+        let evidence = self.initial_evidence(to.expected_latency, to.failure_rate);
         let may_retry = self.may_retry(pending, pending.attempts.len() + 1);
         let check_after = may_retry.then(|| self.next_check_after(pending, &evidence, 0.0)).flatten();
         // Where attempts cannot be cancelled, the time-out has to be decided beforehand.
@@ -704,13 +704,13 @@
             false if may_retry => (self.attempt_timeout(pending, to).min(time_left), None),
             false => (time_left, None),
         };
-        let expected_latency = &mut self.estimates.classes[pending.class.0].expected_latency;
-        *expected_latency += FLEET_SMOOTHING * (to.wait - *expected_latency);
+        let mean_latency = &mut self.estimates.classes[pending.class.0].expected_latency;
+        *mean_latency += FLEET_SMOOTHING * (to.expected_latency - *mean_latency);
         let (class, attempt) = (pending.class, AttemptNo(pending.attempts.len() as u32));
-        let exemption = to.exemption.or(pending.exemption);
-        let (sent, number) = (self.now, self.next_send);
+        let (sent, number, exemption) = (self.now, self.next_send, to.exemption.or(pending.exemption));
+        let Candidate { depth, expected_latency, .. } = to;
         let add_send = |server: &mut Upstream| {
-            server.add_send(number, OutstandingSend { class, sent, depth: to.depth, wait: to.wait });
+            server.add_send(number, OutstandingSend { class, sent, depth, expected_latency });
             Attempt::new(to.id, server, sent)
         };
         let Some(started) = self.upstreams.update(to.id, add_send) else { return };
@@ -790,7 +790,7 @@
         self.record_zone_outcome(id, outcome);
         self.update_observed_capacity(id, &sent, outcome);
         let latencies = &mut self.estimates.classes[sent.class.0].latencies;
-        let relative_latency = latency / sent.wait;
+        let relative_latency = latency / sent.expected_latency;
         let unresponsive = evidence.map_or(0.0, |e| e.unresponsive_probability(latencies, latency));
         let is_overdue = evidence
             .is_some_and(|e| !e.answered_since && latency >= UNRESPONSIVE_MULTIPLE * e.slowdown * e.expected);
--- a/crates/decide/src/cross_zone.rs
+++ b/crates/decide/src/cross_zone.rs
@@ -101,12 +101,12 @@
     fn probe_sent(&mut self, to: ZoneId);
 }
 
-/// The share of its worth that a request is expected to lose at a server. An answer expected after `wait` is
-/// late with probability exp(-time_left / wait), since latencies are roughly exponential.
+/// The share of its worth that a request is expected to lose at a server. Latencies are roughly
+/// exponential, so an answer is late with probability exp(-time_left / expected_latency).
 fn expected_loss(candidate: &Candidate, time_left: Millis) -> f64 {
     let late_probability = match candidate.awaits_probe {
         true => 0.0,
-        false if time_left > 0.0 => (-time_left / candidate.wait.max(f64::MIN_POSITIVE)).exp(),
+        false if time_left > 0.0 => (-time_left / candidate.expected_latency.max(f64::MIN_POSITIVE)).exp(),
         false => 1.0,
     };
     1.0 - (1.0 - late_probability) * (1.0 - candidate.failure_rate)
--- a/crates/decide/src/fleet.rs
+++ b/crates/decide/src/fleet.rs
@@ -736,7 +736,8 @@
                 }
                 3 | 4 => {
                     number += 1;
-                    let sent = OutstandingSend { class: ClassId(0), sent: now, depth: 1.0, wait: 1.0 };
+                    let sent =
+                        OutstandingSend { class: ClassId(0), sent: now, depth: 1.0, expected_latency: 1.0 };
                     let serving = fleet.get(id).is_some_and(|server| server.serving);
                     if serving {
                         fleet.update(id, |server| server.add_send(number, sent));
--- a/crates/decide/src/latency_outlier.rs
+++ b/crates/decide/src/latency_outlier.rs
@@ -29,7 +29,7 @@
     pub(crate) fn attempt_timeout(&self, pending: &PendingRequest, to: Candidate) -> Millis {
         let service_time = self.estimates.classes[pending.class.0].service_time;
         let spare = self.aim_left(pending) - RETRY_RESERVE_SERVICE_TIMES * service_time;
-        spare.max(UNRESPONSIVE_MULTIPLE * self.estimates.unresponsive.slowdown() * to.wait)
+        spare.max(UNRESPONSIVE_MULTIPLE * self.estimates.unresponsive.slowdown() * to.expected_latency)
     }
 
     /// The evidence about an attempt when it is sent.
@@ -130,7 +130,7 @@
         send: &OutstandingSend,
     ) -> AttemptEvidence {
         let tail_probability = |other: &OutstandingSend| {
-            let multiple = (self.now - other.sent) / other.wait;
+            let multiple = (self.now - other.sent) / other.expected_latency;
             self.estimates.classes[other.class.0].latencies.tail_probability(multiple)
         };
         let sent_since_last_answer = upstream
@@ -161,7 +161,7 @@
                 .probe_time
                 .is_some_and(|mean| self.now - probe_sent > PROBE_UNANSWERED_MULTIPLE * mean)
         };
-        let expected = send.wait.max(expected_by_report);
+        let expected = send.expected_latency.max(expected_by_report);
         AttemptEvidence {
             others_tail_probability,
             answered_since: upstream.answered_at > send.sent,
--- a/crates/decide/src/outstanding_sends.rs
+++ b/crates/decide/src/outstanding_sends.rs
@@ -64,7 +64,7 @@
 
     #[test]
     fn sends_removed_in_any_order_leave_the_queue_empty() {
-        let send = |at| OutstandingSend { class: ClassId(0), sent: at, depth: 1.0, wait: 1.0 };
+        let send = |at| OutstandingSend { class: ClassId(0), sent: at, depth: 1.0, expected_latency: 1.0 };
         let mut sends = OutstandingSends::default();
         (0..100).for_each(|number| sends.push(2 * number, send(number as f64)));
         assert!(sends.remove(7).is_none(), "no send has this number");
--- a/crates/decide/src/state.rs
+++ b/crates/decide/src/state.rs
@@ -73,9 +73,9 @@
 pub(crate) struct OutstandingSend {
     pub class: ClassId,
     pub sent: Millis,
-    /// [`Candidate::depth`] and [`Candidate::wait`] of the server when the attempt was sent.
+    /// [`Candidate::depth`] and [`Candidate::expected_latency`] of the server when the attempt was sent.
     pub depth: f64,
-    pub wait: Millis,
+    pub expected_latency: Millis,
 }
 
 /// Whether a server may be sampled. The `wait` of an ejection is the length of the ejection before jitter.
@@ -148,8 +148,8 @@
     /// Expected answer time in service times of this server; above 1 if there is a queue.
     pub depth: f64,
     pub idle: bool,
-    /// Expected answer time.
-    pub wait: Millis,
+    /// Expected answer time, including the queue.
+    pub expected_latency: Millis,
     pub failure_rate: f64,
 }
 
@@ -178,14 +178,14 @@
             return false;
         }
         // An idle server always has capacity, else a service time estimated under overload would refuse all.
-        candidate.awaits_probe || candidate.idle || candidate.wait <= self.max_wait
+        candidate.awaits_probe || candidate.idle || candidate.expected_latency <= self.max_wait
     }
 
     /// Whether a server keeps a request in its zone. Called only where crossing has a cost.
     pub fn suits_same_zone(&self, candidate: &Candidate) -> bool {
         candidate.same_zone
             && self.has_capacity(candidate)
-            && (candidate.wait <= self.same_zone_limit || candidate.awaits_probe)
+            && (candidate.expected_latency <= self.same_zone_limit || candidate.awaits_probe)
             && candidate.failure_rate <= self.max_failure_rate
     }
 }
