--- a/crates/sidecar/src/transfer/answer_hold.rs
+++ b/crates/sidecar/src/transfer/answer_hold.rs
@@ -1,8 +1,8 @@
 //! How long an answer without a stated length is held back before it is streamed. While nothing of it has
 //! been forwarded, another attempt can still replace it. A short answer is of use only when it is complete,
-//! so it is held until then; the client of a long answer waits for its first bytes. Which of both an answer
-//! is shows only at its end, so that is estimated from earlier answers. Pure except for the atomic cell of
-//! the estimate; times are arguments.
+//! so it is held until then; the client of a long answer waits for its first bytes. Whether an answer is long
+//! is known only at its end, and is therefore estimated from earlier answers. Pure except for the atomic cell
+//! of the estimate; times are arguments.
 
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::time::Duration;
@@ -18,7 +18,7 @@
 /// A hold ends this much before the deadline that it must meet, so that the answer can be forwarded in time.
 const HOLD_MARGIN: Duration = Duration::from_millis(10);
 /// An answer that has brought no bytes for this many times its longest gap may have stopped.
-const MAX_SILENCE_IN_GAPS: u32 = 2;
+const MAX_PAUSE_IN_GAPS: u32 = 2;
 /// Weight of one answer in the moving average of the share of long answers.
 const LONG_SHARE_WEIGHT: f64 = 1.0 / 16.0;
 /// From this share of long answers on, an answer of unknown length is expected to be long. About one long
@@ -73,8 +73,8 @@
     /// Whether more bytes are to be expected, judged by the gaps so far. An answer of which nothing has
     /// followed the bytes that came with its head may have stopped.
     pub fn is_progressing(&self, now: Instant) -> bool {
-        let silence = now.saturating_duration_since(self.last_piece_at);
-        self.longest_gap.is_some_and(|longest| silence <= longest * MAX_SILENCE_IN_GAPS)
+        let pause = now.saturating_duration_since(self.last_piece_at);
+        self.longest_gap.is_some_and(|longest| pause <= longest * MAX_PAUSE_IN_GAPS)
     }
 
     /// Whether the answer arrives as fast as long answers do, its longest pause not counted. A slower answer
--- a/crates/sidecar/src/transfer/answer_hold/tests.rs
+++ b/crates/sidecar/src/transfer/answer_hold/tests.rs
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn answer_is_progressing_while_its_silence_is_at_most_twice_its_longest_gap() {
+fn answer_is_progressing_while_its_pause_is_at_most_twice_its_longest_gap() {
     let head_at = Instant::now();
     let mut pace = Pace::new(head_at);
     assert!(!pace.is_progressing(head_at + ms(1)), "no piece has arrived yet");
--- a/crates/sidecar/src/transfer/framing.rs
+++ b/crates/sidecar/src/transfer/framing.rs
@@ -1,8 +1,8 @@
 //! Finds where the requests in a byte stream begin and end (RFC 9112, 6 and 7), both for a client's stream
-//! and for our own to an upstream, and whether a request has two framings. hyper parses the stream as well,
-//! but drops a `Content-Length` beside `Transfer-Encoding`, so that the code behind it cannot detect that.
-//! Pure: it takes bytes, cut at any place. Where it cannot follow the stream, hyper rejects the request as
-//! well, and the rest of the stream is ignored.
+//! and for the stream to an upstream, and whether a request has two framings. hyper parses the stream as
+//! well, but drops a `Content-Length` beside `Transfer-Encoding`, so that code behind hyper cannot detect two
+//! framings. Pure: the parser takes bytes, cut at any place. Where the parser cannot follow the stream, hyper
+//! rejects the request as well, and the rest of the stream is ignored.
 
 use memchr::memchr;
 
@@ -29,17 +29,23 @@
 #[derive(Debug)]
 pub struct Framing {
     position: Position,
-    /// The beginning of the current line, and its length so far.
+    /// The beginning of the current line.
     line: [u8; KEPT_LINE_BYTES],
+    /// Length of the current line so far.
     line_length: usize,
-    /// The current head so far: whether it has a line yet, and its framing headers.
+    /// Whether the current head has a line yet.
     has_lines: bool,
+    /// `Content-Length` of the current head; [`u64::MAX`] if it is not a number.
     content_length: Option<u64>,
+    /// Whether the last transfer coding of the current head is `chunked`.
     is_chunked: bool,
+    /// Whether the current head has a `Transfer-Encoding`.
     has_transfer_encoding: bool,
-    /// Number of complete heads and of complete requests.
+    /// Number of complete heads.
     complete_heads: u64,
+    /// Number of complete requests.
     complete_requests: u64,
+    /// Number of the first request with two framings, counted from 1.
     first_ambiguous_request: Option<u64>,
 }
 
@@ -64,9 +70,9 @@
     /// Takes in bytes up to the end of the first request that ends in them, and returns their number. Once
     /// the framing cannot be followed, it takes in all bytes.
     pub fn feed(&mut self, bytes: &[u8]) -> usize {
-        let (mut fed, before) = (0, self.complete_requests);
+        let (mut fed, requests_before) = (0, self.complete_requests);
         while let Some(rest) =
-            bytes.get(fed..).filter(|rest| !rest.is_empty() && self.complete_requests == before)
+            bytes.get(fed..).filter(|rest| !rest.is_empty() && self.complete_requests == requests_before)
         {
             fed += match self.position {
                 Position::Untracked => rest.len(),
--- a/crates/sidecar/src/transfer/limits.rs
+++ b/crates/sidecar/src/transfer/limits.rs
@@ -6,20 +6,20 @@
 
 /// Bodies up to this size are buffered: they are checked before they are forwarded, and can be sent again.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 << 10;
-/// Longest body in either direction; the platform's bodies have at most 32 MB.
+/// Longest body in either direction; bodies on the platform have at most 32 MB.
 pub const MAX_BODY_BYTES: u64 = 32 << 20;
-/// A request head must be complete this long after its first byte, or after its connection began. Honest
-/// clients take up to 2 s, and a connection whose head never ends must be closed within 3 s.
+/// A request head must be complete this long after its first byte, or after its connection was accepted.
+/// Well-behaved clients take up to 2 s, and a connection whose head never ends must be closed within 3 s.
 pub const HEAD_TIMEOUT: Duration = Duration::from_millis(2_700);
 /// A body must be complete this long after its head, plus the time that its bytes take at
 /// [`MIN_BODY_BYTES_PER_SECOND`].
 const BODY_BASE_TIMEOUT: Duration = Duration::from_millis(2_300);
-/// Minimum rate of a body: half of what the slowest honest client sends.
+/// Minimum rate of a body: half the rate of the slowest well-behaved client.
 pub const MIN_BODY_BYTES_PER_SECOND: u64 = 32 << 10;
 /// A stream that makes no progress for this long has ended.
 pub const STREAM_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// When a body of which `bytes` have been received must be complete or have brought more.
+/// When a body of which `bytes` bytes have been received must be complete, or more of it received.
 pub fn body_due_by(head_at: Instant, bytes: u64) -> Instant {
     head_at
         + BODY_BASE_TIMEOUT
@@ -55,7 +55,7 @@
     use super::*;
 
     #[test]
-    fn slowest_honest_client_is_in_time_and_slower_bodies_time_out() {
+    fn slowest_well_behaved_client_is_in_time_and_slower_bodies_time_out() {
         let start = Instant::now();
         // After how many milliseconds a body sent at this rate times out; `None` if 4 MB are sent before.
         let timed_out_after_ms = |bytes_per_second: u64| {
--- a/crates/sidecar/src/transfer/stall_timeout.rs
+++ b/crates/sidecar/src/transfer/stall_timeout.rs
@@ -1,13 +1,14 @@
 //! The stall timeout: how long an answer that has begun may bring no bytes before it is taken to be
-//! truncated. It is estimated from the gaps in answers that went on after them. Pure except for its atomic
-//! cells; it never reads the time.
+//! truncated. The timeout is estimated from gaps after which answers continued. Pure except for the atomic
+//! cells; no function reads the time.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
 /// Smallest stall timeout. An answer is generated before it is sent, so its bytes follow each other quickly.
 const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(30);
-/// Largest stall timeout, also used to measure longer gaps: honest servers pause for up to 2 s.
+/// Largest stall timeout, also given to some answers so that longer gaps are observed. Well-behaved servers
+/// pause for up to 2 s.
 pub const MAX_STALL_TIMEOUT: Duration = Duration::from_millis(2_100);
 /// Gap that is assumed before any answer was observed.
 const INITIAL_GAP: Duration = Duration::from_millis(75);
@@ -22,8 +23,9 @@
 /// The estimate shared by all attempts of an instance.
 #[derive(Debug)]
 pub struct StallTimeout {
-    /// The longest recent gap after which an answer went on, in microseconds.
+    /// The longest recent gap after which an answer continued, in microseconds.
     longest_gap_micros: AtomicU64,
+    /// Number of calls of [`StallTimeout::next_timeout`].
     timeouts_given: AtomicU64,
 }
 
@@ -57,7 +59,7 @@
         (longest_gap * GAP_MULTIPLE).clamp(MIN_STALL_TIMEOUT, MAX_STALL_TIMEOUT)
     }
 
-    /// Records that an answer went on after a gap.
+    /// Records that an answer continued after a gap.
     pub fn record_gap(&self, gap: Duration) {
         self.longest_gap_micros.fetch_max(micros(gap.min(MAX_STALL_TIMEOUT)), Ordering::Relaxed);
     }
@@ -74,7 +76,7 @@
 mod tests {
     use super::*;
 
-    /// Lets answers pass that each pause once for `gap`. Returns how many of them were cut off.
+    /// Records answers that each pause once for `gap`. Returns how many of them were cut off.
     fn cut_off_answers(timeout: &StallTimeout, answers: usize, gap: Duration) -> usize {
         let mut cut_off = 0;
         for _ in 0..answers {
--- a/crates/sidecar/src/transfer/upload.rs
+++ b/crates/sidecar/src/transfer/upload.rs
@@ -21,11 +21,11 @@
 /// The state of a streamed request body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum UploadState {
-    /// Incomplete, or not read yet.
+    /// The body is incomplete, or has not been read yet.
     Receiving,
-    /// Complete; its last byte was received at this time.
+    /// The body is complete; its last byte was received at this time.
     Complete(Instant),
-    /// It could not be read completely; the client gets this status.
+    /// The body could not be read completely; the client gets this status.
     Failed(StatusCode),
 }
 
@@ -44,8 +44,9 @@
     first_bytes: Bytes,
     /// The length stated by the client.
     length: Option<u64>,
-    /// When the head of the request was received, and when the first bytes were.
+    /// When the head of the request was received.
     head_at: Instant,
+    /// When the first bytes of the body were received.
     first_bytes_at: Instant,
     source: Mutex<Source>,
     state: watch::Sender<UploadState>,
@@ -133,9 +134,9 @@
     rest_was_read: bool,
     forwarded_bytes: u64,
     timeout: Pin<Box<Sleep>>,
-    /// Set while the attempt does not poll for more bytes. Such times, added up in `not_polled_for`, do not
-    /// count against the client's minimum rate.
+    /// Since when the attempt has not polled for more bytes; `None` while it waits for some.
     not_polled_since: Option<Instant>,
+    /// Sum of the times without polling, which do not count against the client's minimum rate.
     not_polled_for: Duration,
 }
 
