--- a/crates/sidecar/src/budget.rs
+++ b/crates/sidecar/src/budget.rs
@@ -1,5 +1,5 @@
-//! Limits of the connections and transfers of an instance. Its owner sets them; permits are returned as they
-//! are dropped.
+//! Limits of the connections and transfers of an instance. The instance's owner sets the limits; a permit is
+//! returned when it is dropped.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -8,8 +8,8 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// A limit of concurrently held permits. The limit may change while permits are held: if it shrinks below
-/// their number, they stay valid, and no more are given out until enough have been returned.
+/// A limit of concurrently held permits. The limit may change while permits are held: if it shrinks below the
+/// number of held permits, these stay valid, and no more are given out until enough have been returned.
 #[derive(Debug, Clone)]
 pub struct Quota(Arc<QuotaState>);
 
@@ -34,8 +34,8 @@
         self.try_acquire_beyond(0)
     }
 
-    /// Takes a permit, if necessary one of `extra` permits above the limit. These are for a holder that is
-    /// about to replace another.
+    /// Takes a permit, if necessary one of `extra` permits above the limit. The extra permits are for a
+    /// holder that is about to replace another.
     pub fn try_acquire_beyond(&self, extra: usize) -> Option<QuotaPermit> {
         let limit = self.limit().saturating_add(extra);
         let one_more = |in_use: usize| (in_use < limit).then_some(in_use + 1);
@@ -95,7 +95,8 @@
 struct TransferState {
     semaphore: Arc<Semaphore>,
     limit: AtomicUsize,
-    /// Held permits above a limit that has shrunk; they are discarded instead of returned.
+    /// Number of held permits above a limit that has shrunk. That many permits are discarded instead of
+    /// returned when they are dropped.
     excess: Mutex<usize>,
 }
 
@@ -180,8 +181,8 @@
     _shared_permit: Option<Box<dyn Send + Sync>>,
 }
 
-/// All limits of an instance. Generations of one instance share them by cloning: while one drains and its
-/// successor serves, both together stay within the limits.
+/// All limits of an instance. Generations of one instance share the limits by cloning this value: while one
+/// generation drains and its successor serves, both together stay within the limits.
 #[derive(Clone)]
 pub struct Budgets {
     /// Client connections.
--- a/crates/sidecar/src/client_disconnect.rs
+++ b/crates/sidecar/src/client_disconnect.rs
@@ -1,10 +1,10 @@
 //! The last check before the first byte of an attempt is written: whether the client is still connected and
-//! the upstream's connection usable, asked of the sockets themselves.
+//! the upstream's connection usable, according to the sockets themselves.
 //!
 //! The driver learns of a disconnect late: the event passes the accept queue, the runtime's poll of the
 //! kernel, the client's connection task, a channel and the tasks scheduled before. A request and the end of
 //! stream behind it are also read one after the other, so a client that disconnected before its request was
-//! read shows as disconnected only after the request was forwarded. On a starved core, or while nothing
+//! read shows as disconnected only after the request was forwarded. On an overloaded core, or while nothing
 //! accepts connections, that delay is unbounded.
 //!
 //! The upstream's socket is checked in the same call, since bytes that wait there would be read as the
@@ -40,7 +40,7 @@
 pub struct WriteConditions {
     /// The client that must still be connected.
     pub client: ClientConnection,
-    /// From this time on an answer is of no use.
+    /// When an answer ceases to be of use.
     pub expires_at: Instant,
 }
 
--- a/crates/sidecar/src/connection.rs
+++ b/crates/sidecar/src/connection.rs
@@ -21,16 +21,16 @@
 
 /// An open connection. Dropping it closes it; [`Connection::close`] also waits until it is closed.
 pub struct Connection {
-    /// Sends requests over it.
+    /// Sends requests over the connection.
     pub sender: SendRequest<AttemptBody>,
     task: JoinHandle<()>,
-    /// Counts its bytes.
+    /// Counts the connection's bytes.
     pub meter: Arc<Meter>,
     /// Local port.
     pub local_port: u16,
-    /// Whether it has carried a request before.
+    /// Whether the connection has carried a request before.
     pub was_used: bool,
-    /// When it last became idle.
+    /// When the connection last became idle.
     pub idle_since: Instant,
     _permit: UpstreamPermit,
 }
@@ -46,7 +46,7 @@
             .await
             .map_err(|_| "connecting timed out".to_owned())?
             .map_err(|error| format!("cannot connect: {error}"))?;
-        // Otherwise the kernel may delay a small request.
+        // With Nagle's algorithm the kernel may delay a small request.
         stream.set_nodelay(true).map_err(|error| error.to_string())?;
         let local_port = stream.local_addr().map_or(0, |address| address.port());
         let (metered_stream, meter) = MeteredStream::new(stream);
@@ -56,14 +56,14 @@
             .await
             .map_err(|error| error.to_string())?;
         let task = tokio::spawn(async move {
-            // The exchange reports its own errors.
+            // Errors are reported by the exchange that is in progress.
             let _ = connection.await;
         });
         let idle_since = Instant::now();
         Ok(Connection { sender, task, meter, local_port, was_used: false, idle_since, _permit: permit })
     }
 
-    /// Whether it can take a request now, as far as this side knows.
+    /// Whether the connection can take a request now, as far as this side knows.
     pub fn is_usable(&self) -> bool {
         self.sender.is_ready()
     }
@@ -99,7 +99,8 @@
 }
 
 impl Pool {
-    /// Takes the most recently used connection, so that the others can reach their idle limit.
+    /// Takes the most recently used connection that is usable and within `idle_limit`, and closes more
+    /// recently used ones that are not. Connections used less recently can then reach their idle limit.
     pub fn take(&mut self, idle_limit: Duration) -> Option<Connection> {
         while let Some(connection) = self.idle.pop() {
             if connection.is_usable() && connection.idle_since.elapsed() < idle_limit {
@@ -168,12 +169,12 @@
             pool.put(connection.into_idle().await.expect("a ready connection"));
         }
         let latest = pool.idle[2].idle_since;
-        let (long, none) = (Duration::from_secs(60), Duration::ZERO);
+        let (long, zero) = (Duration::from_secs(60), Duration::ZERO);
         pool.sweep(long, long);
         assert_eq!(pool.idle.len(), 3);
-        pool.sweep(long, none);
+        pool.sweep(long, zero);
         assert_eq!(pool.idle.iter().map(|connection| connection.idle_since).collect::<Vec<_>>(), [latest]);
-        pool.sweep(none, none);
+        pool.sweep(zero, zero);
         assert!(pool.is_empty(), "the last connection is closed as well once its limit has passed");
     }
 }
--- a/crates/sidecar/src/connection_close.rs
+++ b/crates/sidecar/src/connection_close.rs
@@ -21,7 +21,7 @@
     HeadOverdue,
     /// Too many connections that have carried requests are quiet.
     ExcessQuiet,
-    /// A new connection needs the place of this one.
+    /// A new connection needs the permit of this one.
     Eviction,
     /// The instance drains or is being evacuated.
     Draining,
@@ -51,7 +51,7 @@
     Keep,
     /// The write side is shut down, and reading goes on for a moment.
     Shutdown,
-    /// The connection is closed at once: it is unknown which request would have come on it.
+    /// The connection is closed at once. It holds no accepted request.
     CloseNow,
     /// The connection is closed after the answer to its current request.
     CloseAfterAnswer,
@@ -108,7 +108,7 @@
                 "{reason:?}: {action:?}"
             );
             assert_eq!(
-                super::close_action(reason, ConnectionContents::PipelinedRequests),
+                close_action(reason, ConnectionContents::PipelinedRequests),
                 CloseAction::Keep,
                 "{reason:?}: pipelined requests would be lost"
             );
--- a/crates/sidecar/src/discovery.rs
+++ b/crates/sidecar/src/discovery.rs
@@ -48,7 +48,7 @@
     pub address: SocketAddr,
     /// Id of the watch. With it the driver recognizes queued events of a watch that has been replaced.
     pub id: u64,
-    /// The version that the sidecar has.
+    /// Version of the list that the sidecar has; 0 if there is none or changes were missed.
     pub seq: u64,
     /// Receives the events.
     pub events: EventSink<DiscoveryEvent>,
@@ -56,9 +56,10 @@
     pub log: Log,
     /// Timeouts.
     pub timeouts: WatchTimeouts,
-    /// This sidecar's position, from 0 to 1, among those that reopen an unresponsive watch.
+    /// This sidecar's position, from 0 to 1, among the sidecars that reopen an unresponsive watch.
     pub spread_position: f64,
-    /// The last sign of life of a watch that has become unresponsive, until there is another sign of life.
+    /// When an unresponsive watch received its last complete item; `None` once a reopened watch has received
+    /// one.
     pub silent_since: Option<Instant>,
 }
 
@@ -77,8 +78,8 @@
                 self.log.line(format!("discovery: {reason}; reopening the watch"));
                 logged_reason = reason;
             }
-            // A watch that received a list was in order. Others back off, so as not to overload a struggling
-            // discovery.
+            // A watch that received a list has worked. After any other the wait doubles, so that a discovery
+            // service in trouble is not overloaded.
             wait = if made_progress { first_wait } else { (wait * 2).min(longest_wait) };
             sleep(wait).await;
         }
@@ -92,8 +93,8 @@
         loop {
             let Err(error) = self.watch_once().await;
             self.log.line(format!("discovery: {error:#}"));
-            // Only an unresponsive watch is reopened at once. Its retries are counted from its last sign of
-            // life, so that the count starts anew once a reopened watch shows one.
+            // Only an unresponsive watch is reopened at once. Its retries are counted from its last complete
+            // item, so that the count starts anew once a reopened watch has received an item.
             let Some(silent_since) = self.silent_since else { break };
             if retries_count_from.replace(silent_since) != Some(silent_since) {
                 retries = 0;
@@ -129,19 +130,19 @@
         let mut stream = JsonStream::new(MAX_LIST_BYTES);
         let end = self.read_stream(response.into_body(), &mut stream).await;
         if stream.is_inside_item() {
-            // The truncated list is missed; only a complete list can make up for it.
+            // The truncated list is lost, and only a complete list can replace it.
             self.seq = 0;
         }
         end
     }
 
-    /// Reads a watch until it ends. Only a fully received item is a sign of life, since a stream may bring
-    /// partial ones forever.
+    /// Reads a watch until it ends. Only a complete item counts as a response, since a stream may bring
+    /// partial items forever.
     async fn read_stream(&mut self, mut body: Incoming, stream: &mut JsonStream) -> Result<Infallible> {
         let mut last_item_at = Instant::now();
         loop {
             let Ok(frame) = timeout_at(last_item_at + self.timeouts.silence, body.frame()).await else {
-                // The staleness bound counts from this watch's last sign of life, even if another watch
+                // The staleness bound counts from this watch's last complete item, even if another watch
                 // became unresponsive before.
                 self.silent_since = Some(last_item_at);
                 bail!("the watch is unresponsive");
@@ -159,7 +160,7 @@
                 (last_item_at, self.silent_since) = (Instant::now(), None);
             }
             if let Some(reason) = malformed {
-                // The valid lists in the chunk were reported, but only a complete list can make up for the
+                // The valid lists in the chunk were reported, but only a complete list can replace the
                 // malformed one.
                 self.seq = 0;
                 bail!("a list cannot be read: {reason}");
--- a/crates/sidecar/src/driver.rs
+++ b/crates/sidecar/src/driver.rs
@@ -41,18 +41,19 @@
 use crate::watch_liveness::{self, WatchTimeouts};
 use crate::write_check;
 
-/// An attempt must be written within this time after its connect deadline, or not at all. It covers the rest
-/// of a busy turn of the event loop.
+/// An attempt that has not been written this long after its connect deadline is not written at all. The grace
+/// time covers the rest of a busy turn of the event loop.
 const WRITE_GRACE: Duration = Duration::from_millis(10);
-/// Probe timeout as a fraction of the shortest aim. Servers answer probes outside their queue, and by then
-/// the request that caused the probe has been dispatched elsewhere.
+/// Probe timeout as a fraction of the shortest aim. Servers answer probes outside their queue, so a probe
+/// does not wait behind requests, and by the end of the timeout the request that caused the probe has been
+/// dispatched elsewhere.
 const PROBE_TIMEOUT_FRACTION_OF_AIM: f64 = 0.5;
 /// Interval between sweeps of idle connections.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
 /// Idle limit for connections to upstreams outside the subset, and for all but the most recently used
 /// connection to any upstream. Upstreams accept a limited number of connections, so a needless idle
 /// connection of one sidecar can make an upstream refuse another sidecar. The limit is longer than a burst of
-/// requests lasts and longer than a reading of an upstream's load remains in use.
+/// requests lasts and longer than a load report of an upstream remains in use.
 const SPARE_IDLE_LIMIT: Duration = Duration::from_secs(2);
 /// Idle limit as a fraction of the upstreams' keep-alive time. A request written just as the upstream closes
 /// the connection ends as a reset.
@@ -66,7 +67,7 @@
     SetSidecarCount(u32),
     /// Replace the budgets for cross-zone traffic, or remove them.
     SetCrossZoneBudget(Option<CrossZoneBudget>),
-    /// Close all idle connections and keep none from now on, since a successor needs them.
+    /// Close all idle connections and keep none from now on, since a successor needs their permits.
     Retire,
     /// Send the current host list.
     GetHostList(oneshot::Sender<HostList>),
@@ -82,13 +83,13 @@
 
 /// An event for the driver.
 pub enum DriverEvent {
-    /// From clients.
+    /// An event on the client side.
     Client(ClientEvent),
-    /// From connections to upstreams.
+    /// An event on a connection to an upstream.
     Upstream(UpstreamEvent),
-    /// From the discovery watch.
+    /// An event of the discovery watch.
     Discovery(DiscoveryEvent),
-    /// From the owner of the instance.
+    /// A command from the owner of the instance.
     Command(InstanceCommand),
 }
 
@@ -117,7 +118,7 @@
     /// Cancels the task that works on the attempt when dropped; `None` before there is a task.
     cancel_on_drop: Option<oneshot::Sender<()>>,
     cancelled: bool,
-    /// Length of its body; 0 if unknown.
+    /// Length of the request's body; 0 if unknown.
     body_bytes: u64,
 }
 
@@ -127,21 +128,21 @@
     }
 }
 
-/// A request without its final answer.
+/// A request that has no final answer yet.
 struct OpenRequest {
-    /// The id that its client gave it.
+    /// The id that the client gave the request.
     id: Box<str>,
     class: ClassId,
     forward: Arc<ForwardedRequest>,
     reply: oneshot::Sender<FinalAnswer>,
     attempt_count: u32,
     deadline: Deadline,
-    /// When its client should have the answer.
+    /// When the client should have its answer.
     aim_at: Instant,
-    /// How long its client waits, counted from the request's last byte.
+    /// How long the client waits, counted from the request's last byte.
     time_left: Duration,
-    /// Key of its [`Timer::AnswerBackstop`], set once its last byte has arrived. From then on it counts as
-    /// received.
+    /// Key of the request's [`Timer::AnswerBackstop`], set once the last byte of the request has arrived.
+    /// From then on the request counts as received.
     backstop: Option<(Instant, u64)>,
 }
 
@@ -152,15 +153,15 @@
     AnswerBackstop(RequestId),
     /// Idle connections are due for a sweep.
     Sweep,
-    /// Discovery has had its time to send the current list.
-    DiscoveryGrace,
+    /// The startup wait for a list from discovery has ended.
+    StartupWait,
 }
 
 /// An event for the owner of an instance.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum InstanceEvent {
-    /// The instance is ready and `/up` answers 200: it has a host list, and discovery has sent one or has had
-    /// its time to.
+    /// The instance is ready and `/up` answers 200: the instance has a host list, and discovery has sent a
+    /// list or the startup wait for one has ended.
     Ready,
     /// The host list has changed.
     ListChanged,
@@ -190,16 +191,16 @@
     pub lifecycle: watch::Receiver<lifecycle::Lifecycle>,
 }
 
-/// The driver.
+/// Owns the decision module of an instance, its connections to upstreams and its open requests.
 pub struct Driver {
     /// The decision module.
     module: Balancer,
     settings: SettingsObject,
     report_columns: Vec<Column>,
     class_names: Vec<String>,
-    /// By class: the time within which its clients should have their answers.
+    /// For each class, the time within which clients should have their answers.
     aims: Vec<Option<Duration>>,
-    /// Whether the module itself asks discovery for lists, rather than an agent pushing them.
+    /// Whether the decision module requests lists from discovery. Otherwise an agent pushes them.
     subscribed: bool,
     sidecar_count: u32,
     metrics: Arc<Metrics>,
@@ -212,9 +213,10 @@
     discovery_events: EventSink<DiscoveryEvent>,
     discovery: SocketAddr,
     watch_timeouts: WatchTimeouts,
-    /// This sidecar's position, from 0 to 1, among those that reopen an unresponsive watch.
+    /// This sidecar's position, from 0 to 1, among the sidecars that reopen an unresponsive watch.
     spread_position: f64,
-    /// Whether discovery has sent a list or has had its time to. Always true with a subscription.
+    /// Whether discovery has sent a list or the startup wait for one has ended. Always true if the decision
+    /// module requests lists.
     discovery_settled: bool,
     has_list: bool,
     /// Version of the host list.
@@ -241,7 +243,7 @@
     /// Number of the timer that was set last.
     last_timer: u64,
     sweep_scheduled: bool,
-    /// Whether idle connections are closed at once.
+    /// Whether connections are closed as soon as they are idle.
     retired: bool,
     probe_timeout: Duration,
     /// How long an attempt may take to get its connection, over all connections that it tries.
@@ -267,8 +269,9 @@
         let (driver_events, inbox) = mpsc::unbounded_channel();
         let unix_time = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
         let mut module_settings = settings.settings();
-        // The module stops sending one tick before a key's window ends. That suffices in the simulator, where
-        // a send leaves at once; here it may first have to connect.
+        // The module starts no attempt within one tick of the end of a key's window. One tick suffices in the
+        // simulator, where an attempt is sent at once. Here an attempt may first have to connect, so the tick
+        // is at least as long as that may take.
         let send_delay_ms = settings.connect_timeout_ms() + WRITE_GRACE.as_secs_f64() * 1e3;
         module_settings.limits.tick = module_settings.limits.tick.max(send_delay_ms);
         // A change in discovery counts as received after this time, whatever else the settings allow.
@@ -297,7 +300,7 @@
             module,
             report_columns: settings.columns(),
             aims,
-            class_names: settings.classes().into_iter().map(|form| form.name).collect(),
+            class_names: settings.classes().into_iter().map(|class| class.name).collect(),
             metrics,
             log,
             budgets,
@@ -311,7 +314,7 @@
                 true => WatchTimeouts::shared_service(),
                 false => WatchTimeouts::local_agent(Duration::from_secs_f64(settings.drain_grace_ms() / 1e3)),
             },
-            // A fraction of the seed's upper 53 bits: an integer below 2 to the power of 53 is exact as a
+            // The seed's upper 53 bits as a fraction. An integer below 2 to the power of 53 is exact as a
             // float.
             spread_position: (seed >> 11) as f64 / (1u64 << 53) as f64,
             discovery_settled: subscribed,
@@ -326,7 +329,7 @@
             in_flight: BTreeMap::new(),
             streaming: HashMap::new(),
             attempt_context,
-            servers: Servers::new(unix_time.map_or(0.0, |since| since.as_secs_f64() * 1e3)),
+            servers: Servers::new(unix_time.map_or(0.0, |since_1970| since_1970.as_secs_f64() * 1e3)),
             draining_count: 0,
             timers: BTreeMap::new(),
             last_timer: 0,
@@ -356,7 +359,7 @@
             self.start_watch();
             let wait =
                 watch_liveness::startup_wait(Duration::from_secs_f64(self.settings.shortest_aim_ms() / 1e3));
-            self.set_timer(Instant::now() + wait, Timer::DiscoveryGrace);
+            self.set_timer(Instant::now() + wait, Timer::StartupWait);
         }
         loop {
             let next_timer_at = self.timers.keys().next().map(|key| key.0);
@@ -417,7 +420,7 @@
                     self.finish_request(request, FinalAnswer::Failed);
                     self.abandon_request(request);
                 }
-                Timer::DiscoveryGrace => {
+                Timer::StartupWait => {
                     self.discovery_settled = true;
                     self.announce_readiness();
                 }
@@ -536,7 +539,7 @@
                 self.discovery_settled = true;
                 self.apply_list(&list, false);
                 if let Some(forwarder) = &self.list_forwarder {
-                    // A process that cannot keep up also has a watch of its own.
+                    // A process that misses a forwarded list receives it over its own watch.
                     let _ = forwarder.try_send(list);
                 }
             }
@@ -549,9 +552,9 @@
         }
     }
 
-    /// Applies a list that discovery sent to another process of this sidecar, unless it is no newer than the
-    /// own one: the rules treat the sidecar as informed by either. The own version stays, since the changes
-    /// in between are still to come.
+    /// Applies a list that discovery sent to another process of this sidecar, if it is newer than the list of
+    /// this process: the rules count a change as received once either process has it. The version of this
+    /// process stays, since its own watch still has to deliver the changes in between.
     fn apply_peer_list(&mut self, list: &HostList) {
         let own_seq = self.seq;
         if list.seq > own_seq {
@@ -627,7 +630,7 @@
         let Some(open) = self.open_requests.get(&request).filter(|open| open.backstop.is_none()) else {
             return;
         };
-        // A request that arrives late in the life of the process is answered before the process ends.
+        // A request that arrives shortly before the process ends is answered before the end.
         let process_ends = self.lifecycle.borrow().answers_due_by();
         let deadline = Deadline::new(received_at, open.time_left, process_ends);
         self.metrics.taken(open.class);
@@ -643,11 +646,11 @@
     /// known. Other requests get their deadlines when they are received.
     fn shorten_deadlines_to_process_end(&mut self) {
         let Some(process_ends) = self.lifecycle.borrow_and_update().answers_due_by() else { return };
-        let too_late = self
+        let beyond_end = self
             .open_requests
             .iter()
             .filter(|(_, open)| open.backstop.is_some() && open.deadline.at() > process_ends);
-        let to_shorten: Vec<RequestId> = too_late.map(|(request, _)| *request).collect();
+        let to_shorten: Vec<RequestId> = beyond_end.map(|(request, _)| *request).collect();
         for request in to_shorten {
             let Some(open) = self.open_requests.get_mut(&request) else { continue };
             open.deadline = open.deadline.capped_at(process_ends);
@@ -675,7 +678,8 @@
         }
     }
 
-    /// Reports to the module that a request has ended without its decision, and cancels its attempts.
+    /// Reports to the module that a request has ended without a decision of the module, and cancels the
+    /// request's attempts.
     fn abandon_request(&mut self, request: RequestId) {
         self.send_to_module(Event::ClientDisconnected(request));
         self.cancel_attempts(request);
@@ -780,7 +784,7 @@
         let number = AttemptNo(open.attempt_count);
         open.attempt_count += 1;
         let body_bytes = open.forward.body.length().unwrap_or(0);
-        let body_is_spent = open.forward.body.upload().is_some_and(|upload| !upload.is_sendable());
+        let upload_is_consumed = open.forward.body.upload().is_some_and(|upload| !upload.is_sendable());
         let timeout = Duration::try_from_secs_f64(timeout / 1e3).unwrap_or_default();
         let attempt_deadline = match now.checked_add(timeout) {
             Some(deadline) if !timeout.is_zero() => deadline.min(open.deadline.attempts_due_by()),
@@ -807,7 +811,7 @@
             body_bytes,
         };
         self.in_flight.insert((request, number), in_flight);
-        if body_is_spent {
+        if upload_is_consumed {
             // An earlier attempt has consumed the upload, which cannot be sent again.
             return self.queue_attempt_end(attempt, Outcome::NotSent);
         }
@@ -842,7 +846,7 @@
             return self.write_attempt(attempt, connection);
         }
         let address = server.address();
-        // Running out of own sockets must not count against the upstream.
+        // A lack of permits on this side must not count against the upstream.
         let Some(permit) = self.connection_permit(address) else {
             return self.queue_attempt_end(attempt, Outcome::NotSent);
         };
@@ -970,7 +974,7 @@
             budgets.attempt_ended(now, attempt.request, attempt.number, outcome, body_bytes);
         }
         // The first answer ends the request without a decision of the module. So does an answer that finds
-        // the request invalid, since every upstream would.
+        // the request invalid, since every upstream would reject it.
         let mut client_answered = !self.open_requests.contains_key(&attempt.request);
         if let Some(UploadState::Failed(status)) = upload_state {
             client_answered = true;
@@ -1040,7 +1044,7 @@
         tokio::spawn(run_probe(connection, request, upstream, incarnation, probe_by, events));
     }
 
-    /// Reports once that the instance is ready, as soon as it is.
+    /// Sends [`InstanceEvent::Ready`] when the instance has become ready, and only once.
     fn announce_readiness(&self) {
         let is_ready = self.has_list && self.discovery_settled;
         if is_ready && !self.metrics.ready.swap(true, Ordering::Release) {
@@ -1050,7 +1054,7 @@
 
     // --- The host list -----------------------------------------------------------------------
 
-    /// Applies a list from discovery. With `restored` the list was stored or handed over, and counts as
+    /// Applies a list. A `restored` list was read from a file or handed over by a predecessor, and counts as
     /// complete.
     fn apply_list(&mut self, list: &HostList, restored: bool) {
         self.seq = list.seq;
@@ -1084,7 +1088,8 @@
     *request.method_mut() = forward.method.clone();
     *request.uri_mut() = forward.target.clone();
     let mut headers = forward.headers.clone();
-    // The client's own Host header is forwarded with its other headers. HTTP/1.1 requires one in any case.
+    // The client's own Host header is forwarded with its other headers. HTTP/1.1 requires a Host header, so
+    // without one from the client the upstream's address is sent.
     let address = address.filter(|_| !headers.contains_key(header::HOST));
     if let Some(host) = address.and_then(|address| HeaderValue::from_str(&address.to_string()).ok()) {
         headers.insert(header::HOST, host);
--- a/crates/sidecar/src/execution.rs
+++ b/crates/sidecar/src/execution.rs
@@ -65,11 +65,11 @@
 /// Whether an attempt may have run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Execution {
-    /// No byte of it was written.
+    /// No byte of the attempt was written.
     NotStarted,
-    /// It may have run, or may still run.
+    /// The attempt may have run, or may still run.
     MayHaveRun,
-    /// It is proven that it has not run and never will.
+    /// The attempt is proven not to have run, and never will.
     NeverRan,
 }
 
@@ -77,7 +77,7 @@
 pub fn execution(termination: Termination, written: Written) -> Execution {
     match (termination, written) {
         (Termination::Answered(AnswerKind::NotProcessed), _) => Execution::NeverRan,
-        // An upstream that answers has seen some of the request, whatever is known of the bytes written.
+        // An upstream that answers has received some of the request, however many bytes count as written.
         (Termination::Answered(_) | Termination::Malformed, _) | (_, Written::Complete) => {
             Execution::MayHaveRun
         }
@@ -118,7 +118,8 @@
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if marked_not_processed => {
             AnswerKind::NotProcessed
         }
-        // These concern this sidecar's request rate or the upstream's read timeout, not the request itself.
+        // These statuses concern this sidecar's request rate or the upstream's read timeout, not the request
+        // itself.
         StatusCode::TOO_MANY_REQUESTS | StatusCode::REQUEST_TIMEOUT => AnswerKind::Failed,
         status if status.is_client_error() => AnswerKind::InvalidRequest,
         _ => AnswerKind::Failed,
--- a/crates/sidecar/src/hosts.rs
+++ b/crates/sidecar/src/hosts.rs
@@ -10,7 +10,7 @@
 /// A complete list, or the changes since an earlier version.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct HostList {
-    /// Version.
+    /// Version of the list.
     pub seq: u64,
     /// Whether the list is complete, rather than changes.
     #[serde(rename = "whole", default)]
@@ -22,10 +22,10 @@
 /// The entry of one upstream.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Host {
-    /// Name, the same for all sidecars.
+    /// The upstream's name, the same for all sidecars.
     #[serde(rename = "host")]
     pub name: String,
-    /// Address that it listens on.
+    /// Address on which the upstream listens.
     #[serde(rename = "dial")]
     pub address: SocketAddr,
     /// Zone.
@@ -37,12 +37,12 @@
     /// Cell.
     #[serde(rename = "block", default)]
     pub cell: u64,
-    /// Whether it accepts new requests.
+    /// Whether the upstream accepts new requests.
     pub health: Health,
-    /// Weight: its size relative to other upstreams.
+    /// Weight: the upstream's size relative to others.
     #[serde(rename = "share", default = "default_weight")]
     pub weight: f64,
-    /// Start time of its current incarnation, in Unix milliseconds; 0 for long ago.
+    /// Start time of the upstream's current incarnation, in Unix milliseconds; 0 means long ago.
     #[serde(rename = "born_ms", default)]
     pub started_ms: f64,
 }
@@ -55,11 +55,11 @@
 #[derive(Serialize, Deserialize, Clone, Copy, PartialEq, Eq, Debug)]
 #[serde(rename_all = "snake_case")]
 pub enum Health {
-    /// It accepts new requests.
+    /// The upstream accepts new requests.
     Ready,
-    /// It only finishes the requests that it has.
+    /// The upstream finishes the requests that it has, and accepts no others.
     Draining,
-    /// It has ended.
+    /// The upstream has ended.
     Gone,
 }
 
--- a/crates/sidecar/src/io_counts.rs
+++ b/crates/sidecar/src/io_counts.rs
@@ -1,5 +1,5 @@
-//! Counts of read and write system calls and of the bytes that they copy, for the benchmark that guards the
-//! ordinary path (`benches/ordinary_path.rs`). Without the feature `calls` nothing is counted, and the
+//! Counts of read and write system calls and of the bytes that they copy, for the benchmark of the ordinary
+//! path of a request (`benches/ordinary_path.rs`). Without the feature `calls` nothing is counted, and the
 //! counters are not compiled in.
 
 use std::io;
--- a/crates/sidecar/src/lifecycle.rs
+++ b/crates/sidecar/src/lifecycle.rs
@@ -18,11 +18,12 @@
 use tokio::time::Instant;
 
 /// After an evacuation has begun, an idle connection may carry one more request for this long, since its
-/// client may be about to send one. 4 s after the call, no connection may be open that has carried a request
-/// within the last 2 s.
+/// client may be about to send one. 4 s after the operators' call to evacuate, no connection may be open that
+/// has carried a request within the last 2 s.
 pub const EVACUATION_LINGER: Duration = Duration::from_millis(1_200);
-/// When an instance closes, a connection that has never carried a request may be about to. Until it is this
-/// old it still gets an answer, so that no connection is accepted and then dropped.
+/// When an instance closes, a connection that has never carried a request may be about to carry its first.
+/// Until the connection is this old, that request still gets an answer, so that no connection is accepted and
+/// then dropped.
 const UNUSED_CONNECTION_GRACE: Duration = Duration::from_millis(500);
 
 /// Time for the last answers to reach their clients.
@@ -49,8 +50,8 @@
 /// How an instance is to end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Drain {
-    /// For a while, accept connections that are on their way; then release the listener and finish open
-    /// requests.
+    /// Accept connections for the linger time, since clients may still be connecting; then release the
+    /// listener and finish open requests.
     Close {
         /// How long connections are still accepted.
         linger: Duration,
@@ -71,7 +72,7 @@
 pub enum LifecycleRequest {
     /// Accept clients, unless the instance is ending.
     Open,
-    /// Send clients away.
+    /// Answer 503 at `/up` and close each connection after its answer, until the instance rejoins.
     Evacuate,
     /// Accept clients again after an evacuation, unless the instance is ending.
     Rejoin,
@@ -96,7 +97,7 @@
 }
 
 impl Lifecycle {
-    /// Begins in standby, or serving.
+    /// A lifecycle that begins in standby or, if `standby` is false, serving.
     pub fn new(standby: bool, now: Instant) -> Lifecycle {
         let stage = if standby { Stage::Standby } else { Stage::Serving };
         Lifecycle {
@@ -151,7 +152,7 @@
         true
     }
 
-    /// Ends the lifecycle after the driver has failed: a successor accepts the clients that still come.
+    /// Ends the lifecycle after the driver has failed: a successor accepts clients from now on.
     pub fn fail(&mut self, now: Instant) {
         if self.stage != Stage::HandedOver {
             self.enter(Stage::HandedOver, now);
@@ -224,7 +225,7 @@
         match self.stage {
             Stage::Standby | Stage::Serving => None,
             Stage::Evacuating => Some(self.stage_since.max(accepted_at) + EVACUATION_LINGER),
-            // An unused connection gets its one answer while clients may still connect.
+            // While clients may still connect, an unused connection stays open for one request.
             Stage::Draining => used.then_some(self.stage_since),
             Stage::Closing if used => Some(self.stage_since),
             Stage::Closing => Some(
--- a/crates/sidecar/src/messages.rs
+++ b/crates/sidecar/src/messages.rs
@@ -24,9 +24,9 @@
 }
 
 impl<T: 'static> EventSink<T> {
-    /// Sends into a channel that also carries other messages. The channel needs no bound of its own: a sender
-    /// reports a connection, an attempt or a watch only once it has ended or changed, and the number of those
-    /// is bounded.
+    /// Sends into a channel that also carries other messages. The channel needs no bound of its own: each
+    /// event reports the end or a change of a connection, an attempt or a watch, and the number of these is
+    /// bounded.
     pub fn new<M: From<T> + Send + 'static>(channel: mpsc::UnboundedSender<M>) -> EventSink<T> {
         EventSink(Arc::new(move |event| channel.send(event.into()).is_ok()))
     }
@@ -70,11 +70,11 @@
     pub class: ClassId,
     /// Its tenant.
     pub tenant: TenantId,
-    /// The id that its client gave it.
+    /// The id that the client gave the request.
     pub id: Box<str>,
-    /// When its last byte was read; for an upload, when it was passed to the driver.
+    /// When the last byte of the request was read; for an upload, when the request was passed to the driver.
     pub received_at: Instant,
-    /// How long its client waits from `received_at` on.
+    /// How long the client waits from `received_at` on.
     pub time_left: Duration,
     /// The request to forward to upstreams.
     pub forward: ForwardedRequest,
@@ -110,13 +110,14 @@
     pub request: RequestId,
     /// Number of the attempt within its request.
     pub number: AttemptNo,
-    /// The upstream that it goes to.
+    /// The upstream to which the attempt is sent.
     pub upstream: UpstreamId,
-    /// The upstream's incarnation that it was meant for. Connections do not outlast an incarnation.
+    /// The incarnation of the upstream for which the attempt was decided. Connections do not outlast an
+    /// incarnation.
     pub incarnation: u64,
     /// When the attempt times out.
     pub attempt_deadline: Instant,
-    /// When it must have its connection, however many connections it tries.
+    /// When the attempt must have a connection, however many connections it tries.
     pub connect_by: Instant,
     /// When the client should have its answer.
     pub aim_at: Instant,
--- a/crates/sidecar/src/metered_stream.rs
+++ b/crates/sidecar/src/metered_stream.rs
@@ -1,6 +1,6 @@
-//! The stream of a connection to an upstream, with a meter of its bytes. The meter knows how much of a
-//! request was written, and so whether the upstream can have received it, and whether an answer has begun,
-//! and so to which request received bytes belong.
+//! The stream of a connection to an upstream, with a meter of its bytes. The meter counts how much of a
+//! request was written, which tells whether the upstream can have received the request. It also tracks the
+//! open request and its answer, which tells whether received bytes belong to a request.
 
 use std::io;
 use std::pin::Pin;
@@ -23,15 +23,17 @@
 use crate::transfer::limits::STREAM_IDLE_TIMEOUT;
 use crate::transfer::stall_timeout::StallTimeout;
 
-/// The byte counts and exchange state of a connection. hyper owns the stream, so they are shared with it.
+/// The byte counts and exchange state of a connection, shared between the stream, which hyper owns, and the
+/// task that runs the exchange.
 pub struct Meter {
     opened_at: Instant,
     bytes_written: AtomicU64,
     bytes_read: AtomicU64,
-    /// Whether a request has begun to be written whose answer is not complete.
+    /// Whether the writing of a request has begun and the answer to the request is not complete.
     request_open: AtomicBool,
-    /// Whether bytes of its answer have been received, and the notification of that.
+    /// Whether bytes of the open request's answer have been received.
     answer_started: AtomicBool,
+    /// Notified when `answer_started` becomes true.
     answer_start: Notify,
     /// When bytes were last read, in microseconds after the connection was opened.
     last_read_micros: AtomicU64,
@@ -44,12 +46,13 @@
 /// The current exchange of a request and its answer.
 #[derive(Default)]
 struct Exchange {
-    /// Bytes of the request that the kernel has accepted, and their framing, which finds the end of the
-    /// request.
+    /// Bytes of the request that the kernel has accepted.
     request_bytes_written: u64,
+    /// Framing of these bytes, which finds the end of the request.
     framing: Framing,
-    /// The conditions for writing the first byte, and whether the request was obsolete by then.
+    /// The conditions for writing the first byte.
     conditions: Option<WriteConditions>,
+    /// Whether the request was obsolete when its first byte was to be written.
     obsolete: bool,
     /// Where an attempt and the gaps in its answer are recorded; `None` for a probe.
     recorders: Option<(Arc<Metrics>, Arc<StallTimeout>)>,
@@ -222,9 +225,9 @@
     }
 
     /// Checks the connection before the first byte of a request is written. Bytes that wait in the socket
-    /// would be read as its answer, a connection closed by the upstream would lose it, and its client may
-    /// have disconnected. The check asks the sockets themselves, since the runtime learns of new events only
-    /// when it next polls the kernel.
+    /// would be read as the answer, a request on a connection closed by the upstream would be lost, and the
+    /// client may have disconnected. The check polls the sockets themselves, since the runtime detects new
+    /// events only when it next polls the kernel.
     fn check_before_request(&self) -> io::Result<()> {
         if self.meter.request_open.load(Ordering::Relaxed) {
             return Ok(());
--- a/crates/sidecar/src/request_bound.rs
+++ b/crates/sidecar/src/request_bound.rs
@@ -1,6 +1,6 @@
-//! The time bound of an accepted request in each of its states, and the answer its client gets when it is
-//! reached. The front, the driver, the attempts and the streams all use these bounds. Pure: times are
-//! arguments.
+//! The time bound of an accepted request in each of its states, and the answer that its client gets when the
+//! bound is reached. The front, the driver, the attempts and the streams all use these bounds. Pure: times
+//! are arguments.
 //!
 //! | state | bound | answer to the client |
 //! | --- | --- | --- |
@@ -26,7 +26,8 @@
 pub const ATTEMPT_MARGIN: Duration = Duration::from_millis(3);
 /// The driver fails a request this much before the deadline if the decision module has not ended it by then.
 pub const FINAL_ANSWER_MARGIN: Duration = Duration::from_micros(1_500);
-/// An answer later than this after its deadline counts as lost; a less late one has no worth.
+/// An answer that comes later than this after its deadline counts as lost. An answer that comes after the
+/// deadline but within this limit has no worth.
 pub const LATE_ANSWER_LIMIT: Duration = Duration::from_millis(500);
 /// A streamed answer may go on for this long after its deadline without progress. This is half of
 /// [`LATE_ANSWER_LIMIT`]; the other half is for a process that gets little processor time.
@@ -114,13 +115,13 @@
     Queued(Deadline),
     /// Waits for a connection to an upstream.
     Connecting(AttemptTimes),
-    /// Waits for an upstream's answer, or for the rest of one of which nothing has been forwarded.
+    /// Waits for an upstream's answer, or for the rest of an answer no part of which has been forwarded.
     Sent(AttemptTimes),
     /// Waits for the rest of an answer that is being streamed.
     Streaming(StreamProgress),
 }
 
-/// The client's answer when the bound is reached.
+/// The answer that the client gets when a bound is reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndsWith {
     /// 408 and a closed connection: the request was never complete.
@@ -138,7 +139,7 @@
 pub struct Bound {
     /// When the state ends at the latest.
     pub at: Instant,
-    /// The client's answer if it ends then.
+    /// The answer that the client gets if the state lasts until then.
     pub ends_with: EndsWith,
 }
 
@@ -169,12 +170,13 @@
         return idle_timeout_at;
     }
     let pause_ends_at = progress.waiting_since + progress.longest_pause;
-    let earned_time = Duration::from_micros(
+    let minimum_rate_time = Duration::from_micros(
         progress.forwarded_bytes.saturating_mul(1_000_000) / MIN_STREAM_BYTES_PER_SECOND,
     );
     let grace_ends_at = progress.deadline + STREAM_GRACE;
-    // An answer that pauses for longer than answers do has stopped; a slow one must keep the minimum rate.
-    idle_timeout_at.min(grace_ends_at.max(pause_ends_at.min(grace_ends_at + earned_time)))
+    // An answer that pauses for longer than the estimated longest pause has stopped; a slow one must keep the
+    // minimum rate.
+    idle_timeout_at.min(grace_ends_at.max(pause_ends_at.min(grace_ends_at + minimum_rate_time)))
 }
 
 #[cfg(test)]
--- a/crates/sidecar/src/servers.rs
+++ b/crates/sidecar/src/servers.rs
@@ -14,26 +14,27 @@
 
 /// An upstream listed by discovery.
 pub struct Server {
-    /// Its latest entry in discovery.
+    /// The server's latest entry in discovery.
     pub host: Host,
-    /// Its listing in the decision module.
+    /// The server's listing in the decision module.
     pub listing: Listing,
-    /// Number of its incarnation. Connections do not outlast an incarnation.
+    /// Number of the server's incarnation. Connections do not outlast an incarnation.
     pub incarnation: u64,
-    /// Its idle connections.
+    /// Idle connections to the server.
     pub pool: Pool,
-    /// Whether it is gone. A gone server is removed once no attempt is in flight to it.
+    /// Whether the server has ended or is no longer listed. Such a server is removed once no attempt is in
+    /// flight to it.
     gone: bool,
 }
 
 impl Server {
-    /// The address that it listens on.
+    /// The address on which the server listens.
     pub fn address(&self) -> SocketAddr {
         self.host.address
     }
 
-    /// Marks it as gone and closes its idle connections. Connections that are returned later are closed as
-    /// well, since it no longer serves.
+    /// Marks the server as gone and closes its idle connections. Connections that are returned later are
+    /// closed as well, since the server no longer serves.
     fn mark_gone(&mut self) {
         self.listing.lifecycle = Lifecycle::Draining;
         self.gone = true;
@@ -113,9 +114,10 @@
             UpstreamId(self.last_id)
         });
         let lifecycle = if host.health == Health::Ready { Lifecycle::Serving } else { Lifecycle::Draining };
-        let same_incarnation = self.by_id.get(&id).filter(|server| server.host.started_ms == host.started_ms);
+        let known_incarnation =
+            self.by_id.get(&id).filter(|server| server.host.started_ms == host.started_ms);
         // The start time comes from another machine's clock. If it lies in the future, it counts as now.
-        let started = match same_incarnation {
+        let started = match known_incarnation {
             Some(server) => server.listing.started,
             None => (host.started_ms > 0.0).then(|| (host.started_ms - self.epoch_unix_ms).min(now)),
         };
@@ -175,8 +177,8 @@
         self.by_id.values().any(|server| server.gone || !server.pool.is_empty())
     }
 
-    /// Removes gone servers without attempts in flight, since servers are replaced by others with new names
-    /// all the time. If a name comes back later, it is that of a new server.
+    /// Removes gone servers without attempts in flight, since servers are continually replaced by others with
+    /// new names. A name that is listed again later is that of a new server.
     pub fn remove_gone(&mut self, in_flight_to: impl Iterator<Item = UpstreamId>) {
         if self.by_id.values().any(|server| server.gone) {
             let busy: HashSet<UpstreamId> = in_flight_to.collect();
--- a/crates/sidecar/src/upstream.rs
+++ b/crates/sidecar/src/upstream.rs
@@ -75,7 +75,7 @@
     shared: &'a AttemptContext,
 }
 
-/// The hold on one answer of unknown length: the answer is buffered in the hope that it completes soon.
+/// The hold on one answer of unknown length, which is buffered until it is complete or the hold ends.
 struct AnswerHold<'a> {
     context: &'a HoldContext<'a>,
     head_at: Instant,
@@ -120,23 +120,23 @@
             shared.metrics.unheld_answers.fetch_add(1, Ordering::Relaxed);
             return false;
         }
-        let (aim_at, attempt_until) = (attempt.aim_at, attempt.attempt_deadline);
-        let times = HoldTimes { head_at: self.head_at, aim_at, attempt_times_out_at: attempt_until };
+        let (aim_at, attempt_times_out_at) = (attempt.aim_at, attempt.attempt_deadline);
+        let times = HoldTimes { head_at: self.head_at, aim_at, attempt_times_out_at };
         self.until = hold_until(times, shared.answer_lengths.long_expected());
         true
     }
 }
 
-/// Sends a request once and reads its answer until it is complete or may be streamed. Without `hold_context`,
-/// and unless the request was served, the answer is not held.
+/// Sends a request once and reads its answer until the answer is complete or may be streamed. An answer is
+/// held only with a `hold_context`, and only if it has served the request.
 async fn exchange(
     sender: &mut SendRequest<AttemptBody>,
     mut request: Request<AttemptBody>,
     meter: &Arc<Meter>,
     hold_context: Option<&HoldContext<'_>>,
 ) -> Result<Received, ExchangeError> {
-    let informational_meter = meter.clone();
-    hyper::ext::on_informational(&mut request, move |_| informational_meter.mark_interim_answer());
+    let interim_meter = meter.clone();
+    hyper::ext::on_informational(&mut request, move |_| interim_meter.mark_interim_answer());
     let response = sender.send_request(request).await.map_err(|_| ExchangeError::ConnectionLost)?;
     meter.mark_answer_started();
     let (head, mut body): (_, Incoming) = Response::into_parts(response);
@@ -212,9 +212,13 @@
     }
 }
 
-/// Returns when an answer that has begun brings nothing for longer than the stall timeout. While
-/// `waiting_for_permit` is set nothing is read, so that the upstream is not to blame for the pause.
-async fn answer_stalled(meter: &Meter, stall_timeout: &StallTimeout, waiting_for_permit: &AtomicBool) {
+/// Returns when an answer that has begun brings no bytes for longer than the stall timeout. While
+/// `waiting_for_permit` is set, nothing is read from the upstream, so the pause does not count as a stall.
+async fn wait_until_answer_stalls(
+    meter: &Meter,
+    stall_timeout: &StallTimeout,
+    waiting_for_permit: &AtomicBool,
+) {
     loop {
         meter.wait_for_answer_start().await;
         let limit = stall_timeout.next_timeout();
@@ -228,11 +232,11 @@
             }
             sleep_until(until).await;
         }
-        // An informational response has ended; the answer itself is still to come.
+        // An interim answer has ended; the final answer is still to come.
     }
 }
 
-/// The connection over which an attempt was written, and how much of it was.
+/// The connection over which an attempt was written, and how many bytes were written.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct WireUsage {
     /// Local port; 0 if there was no connection.
@@ -256,7 +260,7 @@
         attempt: AttemptInfo,
         /// Its result.
         end: AttemptEnd,
-        /// Its use of the connection, for the trace.
+        /// The attempt's use of its connection, for the trace.
         wire: WireUsage,
     },
     /// State of the upload that an attempt forwards: still in progress, or received completely.
@@ -270,9 +274,9 @@
     },
     /// A connection has become idle.
     Idle {
-        /// The upstream that it leads to.
+        /// The upstream to which the connection leads.
         upstream: UpstreamId,
-        /// The incarnation of the upstream that it was opened to.
+        /// The incarnation of the upstream to which the connection was opened.
         incarnation: u64,
         /// The connection.
         connection: Box<Connection>,
@@ -311,7 +315,7 @@
     pub metrics: Arc<Metrics>,
     /// Timeout for answers that stall.
     pub stall_timeout: Arc<StallTimeout>,
-    /// Statistics on the length of answers that state none.
+    /// Estimate of whether answers of unknown length are long.
     pub answer_lengths: Arc<AnswerLengths>,
     /// Limit on streamed answers.
     pub transfers: TransferLimit,
@@ -327,8 +331,8 @@
     pub write_conditions: Option<WriteConditions>,
 }
 
-/// Runs one attempt over a connection until it ends, times out or is cancelled, that is, until `cancelled`
-/// resolves.
+/// Runs one attempt over a connection until the attempt ends, times out or is cancelled. It is cancelled when
+/// `cancelled` resolves.
 pub async fn run_attempt(
     mut connection: Connection,
     attempt_request: AttemptRequest,
@@ -450,13 +454,15 @@
                     (Termination::Malformed, None)
                 }
             },
-            () = answer_stalled(&meter, &context.stall_timeout, &waiting_for_permit) => {
+            () = wait_until_answer_stalls(&meter, &context.stall_timeout, &waiting_for_permit) => {
                 let upstream = attempt.upstream.0;
                 context.log.line(format!("upstream {upstream}: the answer stalled before its end"));
                 (Termination::Malformed, None)
             }
             _ = cancelled => (Termination::Cancelled, None),
-            () = attempt_timeout(&attempt, upload.as_deref(), &events) => (Termination::TimedOut, None),
+            () = wait_until_attempt_times_out(&attempt, upload.as_deref(), &events) => {
+                (Termination::TimedOut, None)
+            }
         }
     };
     // The connection is closed before the written bytes are counted and before the driver is notified: the
@@ -483,9 +489,13 @@
     AttemptEnd::Outcome(execution::outcome(termination, execution), answer)
 }
 
-/// Returns when an attempt has timed out. For an upload the timeout counts from its last byte; its progress
-/// is reported.
-async fn attempt_timeout(attempt: &AttemptInfo, upload: Option<&Upload>, events: &EventSink<UpstreamEvent>) {
+/// Returns when an attempt has timed out. For an upload the timeout counts from the upload's last byte, and
+/// changes of the upload's state are reported to the driver.
+async fn wait_until_attempt_times_out(
+    attempt: &AttemptInfo,
+    upload: Option<&Upload>,
+    events: &EventSink<UpstreamEvent>,
+) {
     let until = bound(RequestState::Sent(attempt.times())).at;
     let Some(upload) = upload else { return sleep_until(until).await };
     let timeout = until.saturating_duration_since(Instant::now());
@@ -502,7 +512,7 @@
     }
 }
 
-/// Probes an upstream and reports its answer, if it is complete by `probe_by`.
+/// Probes an upstream and reports its answer, if the answer is complete by `probe_by`.
 pub async fn run_probe(
     connection: ProbeConnection,
     request: Request<AttemptBody>,
@@ -551,9 +561,9 @@
     New {
         /// Address of the upstream.
         address: SocketAddr,
-        /// Time by which it must be open.
+        /// Time by which the connection must be open.
         connect_by: Instant,
-        /// Permit for it.
+        /// Permit for the connection.
         permit: UpstreamPermit,
     },
 }
--- a/crates/sidecar/src/watch_liveness.rs
+++ b/crates/sidecar/src/watch_liveness.rs
@@ -17,7 +17,7 @@
 const SHARED_SERVICE_CALL_TIMEOUT: Duration = Duration::from_millis(CALL_TIMEOUT as u64);
 /// Minimum and maximum call timeout for an agent on the sidecar's own machine, which answers at once. While
 /// discovery is down the agent does not respond, and changes that it gets when discovery returns count as
-/// received at once. A call that hangs must therefore end well within the grace period of a drain.
+/// received at once. An unanswered call must therefore end well within the grace period of a drain.
 const LOCAL_AGENT_CALL_TIMEOUT: [Duration; 2] = [Duration::from_millis(100), Duration::from_millis(500)];
 /// Wait before a watch that received a list is reopened, and longest wait between failed calls.
 const BACK_OFF: [Duration; 2] = [Duration::from_millis(50), Duration::from_millis(200)];
@@ -64,10 +64,10 @@
     }
 }
 
-/// How long to wait before an unresponsive watch is reopened. `silent_for` is the time since its last sign of
-/// life, `retries` the number of failed attempts to reopen it, and `spread_position` this sidecar's position
-/// in the spread, from 0 to 1. `None` once [`STALENESS_BOUND`] would be exceeded: what was missed then counts
-/// as received, and the decision module requests a new list as usual.
+/// How long to wait before an unresponsive watch is reopened. `silent_for` is the time since the watch last
+/// received a complete item, `retries` the number of failed attempts to reopen it, and `spread_position` this
+/// sidecar's position in the spread, from 0 to 1. `None` once [`STALENESS_BOUND`] would be exceeded: missed
+/// changes then count as received, and the decision module requests a new list as usual.
 pub fn reopen_wait(silent_for: Duration, retries: u32, spread_position: f64) -> Option<Duration> {
     let wait = match retries {
         0 => REOPEN_SPREAD.mul_f64(spread_position.clamp(0.0, 1.0)),
@@ -99,7 +99,7 @@
             // unresponsive, too.
             let sum = timeouts.silence + first * 2 + timeouts.call + timeouts.silence + longest;
             assert!(sum < STALENESS_BOUND, "{drain_grace:?}: {sum:?}");
-            // If the calls after the first watch hang instead, there is time for at least six.
+            // If the calls after the first watch get no answer instead, there is time for at least six.
             let five_calls = (timeouts.call + longest) * 5;
             assert!(timeouts.silence + five_calls <= STALENESS_BOUND, "{drain_grace:?}");
         }
--- a/crates/sidecar/src/write_check.rs
+++ b/crates/sidecar/src/write_check.rs
@@ -13,10 +13,10 @@
 /// State of an attempt's upstream.
 #[derive(Debug, Clone, Copy)]
 pub struct UpstreamState {
-    /// Whether it is still the process that the attempt was meant for. A new process may be warming up, and
-    /// does not know the idempotency keys that the old one has seen.
+    /// Whether the upstream is still the process for which the attempt was decided. A new process may be
+    /// warming up, and does not know the idempotency keys that the old one has received.
     pub same_incarnation: bool,
-    /// Whether it accepts new requests.
+    /// Whether the upstream accepts new requests.
     pub is_serving: bool,
 }
 
@@ -29,10 +29,10 @@
     pub cancelled: bool,
     /// Whether the attempt has timed out.
     pub timed_out: bool,
-    /// Whether it has waited for a connection for longer than the module allows for. The window of its key
-    /// might end before it arrives.
+    /// Whether the attempt has waited for a connection for longer than the decision module allows for. The
+    /// window of the idempotency key might end before the attempt arrives.
     pub connect_timed_out: bool,
-    /// Its upstream, unless that has been removed.
+    /// The attempt's upstream, unless it has been removed.
     pub upstream: Option<UpstreamState>,
 }
 
