--- a/crates/sidecar/src/discovery.rs
+++ b/crates/sidecar/src/discovery.rs
@@ -60,7 +60,7 @@
     pub spread_position: f64,
     /// When an unresponsive watch received its last complete item; `None` once a reopened watch has received
     /// one.
-    pub silent_since: Option<Instant>,
+    pub unresponsive_since: Option<Instant>,
 }
 
 impl Watch {
@@ -95,11 +95,12 @@
             self.log.line(format!("discovery: {error:#}"));
             // Only an unresponsive watch is reopened at once. Its retries are counted from its last complete
             // item, so that the count starts anew once a reopened watch has received an item.
-            let Some(silent_since) = self.silent_since else { break };
-            if retries_count_from.replace(silent_since) != Some(silent_since) {
+            let Some(unresponsive_since) = self.unresponsive_since else { break };
+            if retries_count_from.replace(unresponsive_since) != Some(unresponsive_since) {
                 retries = 0;
             }
-            let wait = watch_liveness::reopen_wait(silent_since.elapsed(), retries, self.spread_position);
+            let wait =
+                watch_liveness::reopen_wait(unresponsive_since.elapsed(), retries, self.spread_position);
             let Some(wait) = wait else { break };
             retries += 1;
             sleep(wait).await;
@@ -141,10 +142,10 @@
     async fn read_stream(&mut self, mut body: Incoming, stream: &mut JsonStream) -> Result<Infallible> {
         let mut last_item_at = Instant::now();
         loop {
-            let Ok(frame) = timeout_at(last_item_at + self.timeouts.silence, body.frame()).await else {
+            let Ok(frame) = timeout_at(last_item_at + self.timeouts.idle, body.frame()).await else {
                 // The staleness bound counts from this watch's last complete item, even if another watch
                 // became unresponsive before.
-                self.silent_since = Some(last_item_at);
+                self.unresponsive_since = Some(last_item_at);
                 bail!("the watch is unresponsive");
             };
             let frame = frame.context("the watch ended")??;
@@ -157,7 +158,7 @@
                     StreamItem::Object(text) => malformed = self.report_list(&text)?.or(malformed),
                     StreamItem::Malformed(reason) => malformed = Some(reason.to_owned()),
                 }
-                (last_item_at, self.silent_since) = (Instant::now(), None);
+                (last_item_at, self.unresponsive_since) = (Instant::now(), None);
             }
             if let Some(reason) = malformed {
                 // The valid lists in the chunk were reported, but only a complete list can replace the
--- a/crates/sidecar/src/driver.rs
+++ b/crates/sidecar/src/driver.rs
@@ -389,7 +389,7 @@
             log: self.log.clone(),
             timeouts: self.watch_timeouts,
             spread_position: self.spread_position,
-            silent_since: None,
+            unresponsive_since: None,
         };
         self.watch = Some(AbortOnDrop(if self.subscribed {
             tokio::spawn(watch.run_until_failure())
--- a/crates/sidecar/src/request_bound.rs
+++ b/crates/sidecar/src/request_bound.rs
@@ -123,7 +123,7 @@
 
 /// The answer that the client gets when a bound is reached.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EndsWith {
+pub enum AnswerAtBound {
     /// 408 and a closed connection: the request was never complete.
     RequestTimeout,
     /// The answer of another attempt if the class allows one and there is time, otherwise 502.
@@ -140,24 +140,24 @@
     /// When the state ends at the latest.
     pub at: Instant,
     /// The answer that the client gets if the state lasts until then.
-    pub ends_with: EndsWith,
+    pub answer: AnswerAtBound,
 }
 
 /// The bound of a state, as in the table of the module comment.
 pub fn bound(state: RequestState) -> Bound {
     match state {
         RequestState::Reading { head_at, bytes } => {
-            Bound { at: body_due_by(head_at, bytes), ends_with: EndsWith::RequestTimeout }
+            Bound { at: body_due_by(head_at, bytes), answer: AnswerAtBound::RequestTimeout }
         }
         RequestState::Queued(deadline) => {
-            Bound { at: deadline.minus(FINAL_ANSWER_MARGIN), ends_with: EndsWith::BadGateway }
+            Bound { at: deadline.minus(FINAL_ANSWER_MARGIN), answer: AnswerAtBound::BadGateway }
         }
         RequestState::Connecting(times) => {
-            Bound { at: times.connect_by.min(times.times_out_at), ends_with: EndsWith::AnotherAttempt }
+            Bound { at: times.connect_by.min(times.times_out_at), answer: AnswerAtBound::AnotherAttempt }
         }
-        RequestState::Sent(times) => Bound { at: times.times_out_at, ends_with: EndsWith::AnotherAttempt },
+        RequestState::Sent(times) => Bound { at: times.times_out_at, answer: AnswerAtBound::AnotherAttempt },
         RequestState::Streaming(progress) => {
-            Bound { at: stream_ends_at(&progress), ends_with: EndsWith::TruncatedAnswer }
+            Bound { at: stream_ends_at(&progress), answer: AnswerAtBound::TruncatedAnswer }
         }
     }
 }
--- a/crates/sidecar/src/request_bound/tests.rs
+++ b/crates/sidecar/src/request_bound/tests.rs
@@ -10,9 +10,9 @@
 const STATED_LENGTH: Option<u64> = Some(200_000);
 
 /// The bound of a state, as the time since the request was received.
-fn bound_after(start: Instant, state: RequestState) -> (Duration, EndsWith) {
-    let Bound { at, ends_with } = bound(state);
-    (at.saturating_duration_since(start), ends_with)
+fn bound_after(start: Instant, state: RequestState) -> (Duration, AnswerAtBound) {
+    let Bound { at, answer } = bound(state);
+    (at.saturating_duration_since(start), answer)
 }
 
 fn streaming(
@@ -41,27 +41,27 @@
     };
     let less_margin = |millis: u64| ms(millis) - FINAL_ANSWER_MARGIN;
     let table = [
-        (RequestState::Reading { head_at: start, bytes: 0 }, ms(2_300), EndsWith::RequestTimeout),
-        (RequestState::Reading { head_at: start, bytes: 32 << 10 }, ms(3_300), EndsWith::RequestTimeout),
-        (RequestState::Queued(deadline), less_margin(600), EndsWith::BadGateway),
-        (RequestState::Queued(deadline_capped), less_margin(200), EndsWith::BadGateway),
-        (RequestState::Connecting(attempt(100, 400)), ms(100), EndsWith::AnotherAttempt),
-        (RequestState::Connecting(attempt(500, 400)), ms(400), EndsWith::AnotherAttempt),
-        (RequestState::Sent(attempt(100, 400)), ms(400), EndsWith::AnotherAttempt),
+        (RequestState::Reading { head_at: start, bytes: 0 }, ms(2_300), AnswerAtBound::RequestTimeout),
+        (RequestState::Reading { head_at: start, bytes: 32 << 10 }, ms(3_300), AnswerAtBound::RequestTimeout),
+        (RequestState::Queued(deadline), less_margin(600), AnswerAtBound::BadGateway),
+        (RequestState::Queued(deadline_capped), less_margin(200), AnswerAtBound::BadGateway),
+        (RequestState::Connecting(attempt(100, 400)), ms(100), AnswerAtBound::AnotherAttempt),
+        (RequestState::Connecting(attempt(500, 400)), ms(400), AnswerAtBound::AnotherAttempt),
+        (RequestState::Sent(attempt(100, 400)), ms(400), AnswerAtBound::AnotherAttempt),
         // A short answer that stops before or after its deadline ends soon after it.
-        (streaming(start, 100, 1_000, None), ms(850), EndsWith::TruncatedAnswer),
-        (streaming(start, 590, 1_000, None), ms(850), EndsWith::TruncatedAnswer),
+        (streaming(start, 100, 1_000, None), ms(850), AnswerAtBound::TruncatedAnswer),
+        (streaming(start, 590, 1_000, None), ms(850), AnswerAtBound::TruncatedAnswer),
         // An answer that goes on has the time its bytes have earned, and ends when it pauses for too long.
-        (streaming(start, 840, 32 << 10, None), ms(990), EndsWith::TruncatedAnswer),
-        (streaming(start, 9_000, 32 << 10, None), ms(8_850), EndsWith::TruncatedAnswer),
-        (streaming(start, 9_000, 100, None), ms(874), EndsWith::TruncatedAnswer),
+        (streaming(start, 840, 32 << 10, None), ms(990), AnswerAtBound::TruncatedAnswer),
+        (streaming(start, 9_000, 32 << 10, None), ms(8_850), AnswerAtBound::TruncatedAnswer),
+        (streaming(start, 9_000, 100, None), ms(874), AnswerAtBound::TruncatedAnswer),
         // A long answer only has the idle timeout: its client is timed by its first bytes alone.
-        (streaming(start, 100, 70_000, None), ms(10_100), EndsWith::TruncatedAnswer),
-        (streaming(start, 100, 0, STATED_LENGTH), ms(10_100), EndsWith::TruncatedAnswer),
+        (streaming(start, 100, 70_000, None), ms(10_100), AnswerAtBound::TruncatedAnswer),
+        (streaming(start, 100, 0, STATED_LENGTH), ms(10_100), AnswerAtBound::TruncatedAnswer),
     ];
     for (state, expected_at, expected_end) in table {
-        let (at, ends_with) = bound_after(start, state);
-        assert_eq!((at.as_millis(), ends_with), (expected_at.as_millis(), expected_end), "{state:?}");
+        let (at, answer) = bound_after(start, state);
+        assert_eq!((at.as_millis(), answer), (expected_at.as_millis(), expected_end), "{state:?}");
     }
 }
 
--- a/crates/sidecar/src/watch_liveness.rs
+++ b/crates/sidecar/src/watch_liveness.rs
@@ -11,7 +11,7 @@
 /// A watch is dead after this time without an empty line or a fully received list. While nothing changes an
 /// empty line comes every 2 s, so the timeout must be a little longer than that, and short enough that a
 /// second watch may become unresponsive within [`STALENESS_BOUND`].
-const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_500);
+const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Call timeout for a discovery service that all sidecars share. The service handles calls in turn and
 /// rejects those that have waited for 2 s. The decision module spreads its calls by the same figure.
 const SHARED_SERVICE_CALL_TIMEOUT: Duration = Duration::from_millis(CALL_TIMEOUT as u64);
@@ -37,7 +37,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct WatchTimeouts {
     /// Longest time without an empty line or a fully received list.
-    pub silence: Duration,
+    pub idle: Duration,
     /// Time for a call to be answered, connecting included.
     pub call: Duration,
     /// Wait before a watch that received a list is reopened, and longest wait between failed calls. Each wait
@@ -52,7 +52,7 @@
         let [min_call, max_call] = LOCAL_AGENT_CALL_TIMEOUT;
         let longest_wait = (drain_grace / 10).clamp(MIN_BACK_OFF, BACK_OFF[1]);
         WatchTimeouts {
-            silence: SILENCE_TIMEOUT,
+            idle: IDLE_TIMEOUT,
             call: (drain_grace / 4).clamp(min_call, max_call),
             back_off: [BACK_OFF[0].min(longest_wait), longest_wait],
         }
@@ -60,15 +60,15 @@
 
     /// Timeouts for a discovery service that all sidecars share.
     pub fn shared_service() -> WatchTimeouts {
-        WatchTimeouts { silence: SILENCE_TIMEOUT, call: SHARED_SERVICE_CALL_TIMEOUT, back_off: BACK_OFF }
+        WatchTimeouts { idle: IDLE_TIMEOUT, call: SHARED_SERVICE_CALL_TIMEOUT, back_off: BACK_OFF }
     }
 }
 
-/// How long to wait before an unresponsive watch is reopened. `silent_for` is the time since the watch last
-/// received a complete item, `retries` the number of failed attempts to reopen it, and `spread_position` this
-/// sidecar's position in the spread, from 0 to 1. `None` once [`STALENESS_BOUND`] would be exceeded: missed
-/// changes then count as received, and the decision module requests a new list as usual.
-pub fn reopen_wait(silent_for: Duration, retries: u32, spread_position: f64) -> Option<Duration> {
+/// How long to wait before an unresponsive watch is reopened. `unresponsive_for` is the time since the watch
+/// last received a complete item, `retries` the number of failed attempts to reopen it, and `spread_position`
+/// this sidecar's position in the spread, from 0 to 1. `None` once [`STALENESS_BOUND`] would be exceeded:
+/// missed changes then count as received, and the decision module requests a new list as usual.
+pub fn reopen_wait(unresponsive_for: Duration, retries: u32, spread_position: f64) -> Option<Duration> {
     let wait = match retries {
         0 => REOPEN_SPREAD.mul_f64(spread_position.clamp(0.0, 1.0)),
         _ => {
@@ -76,7 +76,7 @@
             min + (max - min).mul_f64(spread_position.clamp(0.0, 1.0))
         }
     };
-    (silent_for + wait < STALENESS_BOUND).then_some(wait)
+    (unresponsive_for + wait < STALENESS_BOUND).then_some(wait)
 }
 
 /// How long a new process waits for the agent's list before it accepts requests.
@@ -97,22 +97,22 @@
             let [first, longest] = timeouts.back_off;
             // The first watch becomes unresponsive; the second is answered at the last moment and is
             // unresponsive, too.
-            let sum = timeouts.silence + first * 2 + timeouts.call + timeouts.silence + longest;
+            let sum = timeouts.idle + first * 2 + timeouts.call + timeouts.idle + longest;
             assert!(sum < STALENESS_BOUND, "{drain_grace:?}: {sum:?}");
             // If the calls after the first watch get no answer instead, there is time for at least six.
             let five_calls = (timeouts.call + longest) * 5;
-            assert!(timeouts.silence + five_calls <= STALENESS_BOUND, "{drain_grace:?}");
+            assert!(timeouts.idle + five_calls <= STALENESS_BOUND, "{drain_grace:?}");
         }
         // A shared service leaves time for the slowest call that is answered at all, and for repeating failed
         // calls.
         let timeouts = WatchTimeouts::shared_service();
         for spread_position in [0.0, 0.5, 1.0] {
-            let first = reopen_wait(timeouts.silence, 0, spread_position).expect("there is time");
-            assert!(timeouts.silence + first + timeouts.call < STALENESS_BOUND);
-            let (mut silent_for, mut retries) = (timeouts.silence, 0);
-            while let Some(wait) = reopen_wait(silent_for, retries, spread_position) {
-                silent_for += wait;
-                assert!(silent_for < STALENESS_BOUND);
+            let first = reopen_wait(timeouts.idle, 0, spread_position).expect("there is time");
+            assert!(timeouts.idle + first + timeouts.call < STALENESS_BOUND);
+            let (mut unresponsive_for, mut retries) = (timeouts.idle, 0);
+            while let Some(wait) = reopen_wait(unresponsive_for, retries, spread_position) {
+                unresponsive_for += wait;
+                assert!(unresponsive_for < STALENESS_BOUND);
                 retries += 1;
             }
             assert!(retries >= 6, "{retries} calls that are rejected at once");
--- a/crates/udp/src/watch.rs
+++ b/crates/udp/src/watch.rs
@@ -36,7 +36,7 @@
                 log,
                 timeouts: WatchTimeouts::shared_service(),
                 spread_position: 0.0,
-                silent_since: None,
+                unresponsive_since: None,
             };
             tokio::select! {
                 () = watch.run() => {}
