--- a/crates/sidecar/src/client_disconnect.rs
+++ b/crates/sidecar/src/client_disconnect.rs
@@ -1,7 +1,7 @@
 //! The last check before the first byte of an attempt is written: whether the client is still connected and
 //! the upstream's connection usable, according to the sockets themselves.
 //!
-//! The driver learns of a disconnect late: the event passes the accept queue, the runtime's poll of the
+//! The driver is notified of a disconnect late: the event passes the accept queue, the runtime's poll of the
 //! kernel, the client's connection task, a channel and the tasks scheduled before. A request and the end of
 //! stream behind it are also read one after the other, so a client that disconnected before its request was
 //! read shows as disconnected only after the request was forwarded. On an overloaded core, or while nothing
--- a/crates/sidecar/src/hosts.rs
+++ b/crates/sidecar/src/hosts.rs
@@ -12,7 +12,7 @@
 pub struct HostList {
     /// Version of the list.
     pub seq: u64,
-    /// Whether the list is complete, rather than changes.
+    /// Whether the list is complete. Otherwise it contains the changes since an earlier version.
     #[serde(rename = "whole", default)]
     pub complete: bool,
     /// The entries. Each is decoded on its own, so that an invalid entry does not invalidate the others.
--- a/crates/sidecar/src/request_bound.rs
+++ b/crates/sidecar/src/request_bound.rs
@@ -50,7 +50,8 @@
         process_ends.map_or(deadline, |ends| deadline.capped_at(ends))
     }
 
-    /// The same deadline, but no later than the end of the process.
+    /// The same deadline, but no later than the end of the process, and no earlier than the request was
+    /// received.
     pub fn capped_at(&self, process_ends: Instant) -> Deadline {
         Deadline { at: self.at.min(process_ends).max(self.received_at), ..*self }
     }
@@ -65,6 +66,7 @@
         self.minus(ATTEMPT_MARGIN)
     }
 
+    /// The time `margin` before the deadline, but no earlier than the request was received.
     fn minus(&self, margin: Duration) -> Instant {
         self.at.checked_sub(margin).map_or(self.received_at, |at| at.max(self.received_at))
     }
--- a/crates/sidecar/src/request_bound/tests.rs
+++ b/crates/sidecar/src/request_bound/tests.rs
@@ -48,14 +48,15 @@
         (RequestState::Connecting(attempt(100, 400)), ms(100), AnswerAtBound::AnotherAttempt),
         (RequestState::Connecting(attempt(500, 400)), ms(400), AnswerAtBound::AnotherAttempt),
         (RequestState::Sent(attempt(100, 400)), ms(400), AnswerAtBound::AnotherAttempt),
-        // A short answer that stops before or after its deadline ends soon after it.
+        // A short answer that stops before or after its deadline ends soon after the deadline.
         (streaming(start, 100, 1_000, None), ms(850), AnswerAtBound::TruncatedAnswer),
         (streaming(start, 590, 1_000, None), ms(850), AnswerAtBound::TruncatedAnswer),
-        // An answer that goes on has the time its bytes have earned, and ends when it pauses for too long.
+        // An answer that makes progress has the time that its bytes take at the minimum rate, and ends when
+        // it pauses for too long.
         (streaming(start, 840, 32 << 10, None), ms(990), AnswerAtBound::TruncatedAnswer),
         (streaming(start, 9_000, 32 << 10, None), ms(8_850), AnswerAtBound::TruncatedAnswer),
         (streaming(start, 9_000, 100, None), ms(874), AnswerAtBound::TruncatedAnswer),
-        // A long answer only has the idle timeout: its client is timed by its first bytes alone.
+        // A long answer only has the idle timeout, since only its first bytes must come in time.
         (streaming(start, 100, 70_000, None), ms(10_100), AnswerAtBound::TruncatedAnswer),
         (streaming(start, 100, 0, STATED_LENGTH), ms(10_100), AnswerAtBound::TruncatedAnswer),
     ];
@@ -79,8 +80,8 @@
 }
 
 /// Every accepted request ends within the limit for late answers, whatever it waits for, except a long answer
-/// that is being streamed, since that is timed by its first bytes. The margin is enough for a process that
-/// gets a twentieth of a core.
+/// that is being streamed, since only its first bytes must come in time. The margin is enough for a process
+/// that gets a twentieth of a core.
 #[test]
 fn request_without_a_known_long_answer_ends_within_the_late_answer_limit() {
     const TURN: Duration = Duration::from_millis(5);
--- a/crates/sidecar/src/servers.rs
+++ b/crates/sidecar/src/servers.rs
@@ -138,7 +138,7 @@
             pool: Pool::default(),
             gone: false,
         });
-        // Connections to a former address or incarnation are dead, or lead to the wrong process.
+        // Connections to a former address or incarnation are broken, or lead to the wrong process.
         if server.host.address != host.address || server.host.started_ms != host.started_ms {
             server.incarnation += 1;
             server.pool.close_all();
--- a/crates/sidecar/src/upstream.rs
+++ b/crates/sidecar/src/upstream.rs
@@ -469,7 +469,7 @@
     // next attempt must not be sent while this one may still run.
     let was_reused = connection.was_used;
     connection.close().await;
-    // A client that has disconnected must not count against the upstream.
+    // The disconnect of a client must not count against the upstream.
     let termination = if meter.is_request_obsolete() { Termination::Cancelled } else { termination };
     let written = meter.request_written();
     let execution = execution::execution(termination, written);
--- a/crates/sidecar/src/watch_liveness.rs
+++ b/crates/sidecar/src/watch_liveness.rs
@@ -8,9 +8,9 @@
 /// A change that a watch misses counts as received this long after the watch became unresponsive, whether or
 /// not it arrived.
 pub const STALENESS_BOUND: Duration = Duration::from_secs(6);
-/// A watch is dead after this time without an empty line or a fully received list. While nothing changes an
-/// empty line comes every 2 s, so the timeout must be a little longer than that, and short enough that a
-/// second watch may become unresponsive within [`STALENESS_BOUND`].
+/// A watch counts as unresponsive after this time without an empty line or a fully received list. While
+/// nothing changes an empty line comes every 2 s, so the timeout must be a little longer than that, and short
+/// enough that a second watch may become unresponsive within [`STALENESS_BOUND`].
 const IDLE_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// Call timeout for a discovery service that all sidecars share. The service handles calls in turn and
 /// rejects those that have waited for 2 s. The decision module spreads its calls by the same figure.
