--- a/crates/decide/src/slow_start.rs
+++ b/crates/decide/src/slow_start.rs
@@ -133,10 +133,10 @@
         self.upstreams.update(to.id, spend).unwrap_or(false)
     }
 
-    /// Finds a server that is warming up and may be sent a request. Called when the sampled pair may not
-    /// and no warmed-up server has capacity. Same-zone servers come first where cross-zone traffic has a
-    /// cost. Only shares that cover whole requests qualify: counted requests keep to the allowance however
-    /// many arrive, requests admitted by chance do not.
+    /// Finds a server that is warming up and may be sent a request. Called when neither server of the sampled
+    /// pair may be sent one and no warmed-up server has capacity. Same-zone servers come first where
+    /// cross-zone traffic has a cost. Only shares that cover whole requests qualify: counted requests keep to
+    /// the allowance however many arrive, requests admitted by chance do not.
     pub(crate) fn find_warming_up_server(&mut self, pending: &PendingRequest) -> Option<Candidate> {
         let (scope, context) = (self.candidate_scope(pending)?.in_subset(), self.selection_context(pending));
         let same_zone = CandidateScope::MembersInZone(self.settings.zone);
