--- a/crates/sidecar/src/driver.rs
+++ b/crates/sidecar/src/driver.rs
@@ -10,7 +10,7 @@
 use hyper::header::{self, HeaderValue};
 use hyper::{HeaderMap, Method, Request, StatusCode, Uri};
 use sagemast_decide::Balancer;
-use sagemast_decide::api::*;
+use sagemast_decide::api::{Lifecycle as ServerLifecycle, *};
 use sagemast_decide::settings::{Column, Config as SettingsObject, report_from_text};
 use sagemast_decide::snapshot::Snapshot;
 use tokio::sync::{mpsc, oneshot, watch};
@@ -30,7 +30,7 @@
     AttemptEnd, AttemptInfo, ClientEvent, EventSink, FinalAnswer, ForwardedRequest, RequestArrival,
 };
 use crate::metrics::{Metrics, RequestOutcome};
-use crate::request_bound::{Deadline, RequestState, bound};
+use crate::request_bound::{self, Deadline, RequestState};
 use crate::servers::Servers;
 use crate::transfer::request_body::AttemptBody;
 use crate::transfer::upload::UploadState;
@@ -41,8 +41,8 @@
 use crate::watch_liveness::{self, WatchTimeouts};
 use crate::write_check;
 
-/// An attempt that has not been written this long after its connect deadline is not written at all. The grace
-/// time covers the rest of a busy turn of the event loop.
+/// An attempt that has not been written this long after its `connect_by` time is not written at all. The
+/// grace time covers the events that the driver may handle before it handles the attempt's new connection.
 const WRITE_GRACE: Duration = Duration::from_millis(10);
 /// Probe timeout as a fraction of the shortest aim. Servers answer probes outside their queue, so a probe
 /// does not wait behind requests, and by the end of the timeout the request that caused the probe has been
@@ -50,10 +50,10 @@
 const PROBE_TIMEOUT_FRACTION_OF_AIM: f64 = 0.5;
 /// Interval between sweeps of idle connections.
 const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
-/// Idle limit for connections to upstreams outside the subset, and for all but the most recently used
-/// connection to any upstream. Upstreams accept a limited number of connections, so a needless idle
-/// connection of one sidecar can make an upstream refuse another sidecar. The limit is longer than a burst of
-/// requests lasts and longer than a load report of an upstream remains in use.
+/// Idle limit for connections to upstreams outside the subset that requests are sent to, and for all but the
+/// most recently used connection to any upstream. Upstreams accept a limited number of connections, so a
+/// needless idle connection of one sidecar can make an upstream refuse another sidecar. The limit is longer
+/// than a burst of requests lasts and longer than a load report of an upstream remains in use.
 const SPARE_IDLE_LIMIT: Duration = Duration::from_secs(2);
 /// Idle limit as a fraction of the upstreams' keep-alive time. A request written just as the upstream closes
 /// the connection ends as a reset.
@@ -77,7 +77,7 @@
     ForwardLists(mpsc::Sender<HostList>),
     /// Apply a list that another process of the same sidecar received from discovery.
     PeerList(HostList),
-    /// Panic, as a bug would make the driver panic. Only the rig and tests send this.
+    /// Panic, as a bug would make the driver panic. Only the test program `sagemast-rig` and tests send this.
     Panic,
 }
 
@@ -118,7 +118,7 @@
     /// Cancels the task that works on the attempt when dropped; `None` before there is a task.
     cancel_on_drop: Option<oneshot::Sender<()>>,
     cancelled: bool,
-    /// Length of the request's body; 0 if unknown.
+    /// Length of the request's body. An unknown length counts as 0.
     body_bytes: u64,
 }
 
@@ -140,17 +140,17 @@
     /// When the client should have its answer.
     aim_at: Instant,
     /// How long the client waits, counted from the request's last byte.
-    time_left: Duration,
-    /// Key of the request's [`Timer::AnswerBackstop`], set once the last byte of the request has arrived.
-    /// From then on the request counts as received.
-    backstop: Option<(Instant, u64)>,
+    client_timeout: Duration,
+    /// Key of the request's [`Timer::AnswerOverdue`]. The timer is set when the last byte of the request
+    /// arrives, so the request is received if and only if there is a key.
+    overdue_timer: Option<(Instant, u64)>,
 }
 
 enum Timer {
-    /// Set by the decision module.
-    Module(u64),
+    /// A timer of the decision module, with its token.
+    DecisionModule(u64),
     /// The final answer to a request is overdue.
-    AnswerBackstop(RequestId),
+    AnswerOverdue(RequestId),
     /// Idle connections are due for a sweep.
     Sweep,
     /// The startup wait for a list from discovery has ended.
@@ -171,7 +171,7 @@
 
 /// Configuration of a driver.
 pub struct DriverConfig {
-    /// Settings.
+    /// The settings object, from which the driver derives the [`Settings`] of the decision module.
     pub settings: SettingsObject,
     /// Seed for random numbers.
     pub seed: u64,
@@ -195,17 +195,18 @@
 pub struct Driver {
     /// The decision module.
     module: Balancer,
-    settings: SettingsObject,
+    settings_object: SettingsObject,
     report_columns: Vec<Column>,
     class_names: Vec<String>,
     /// For each class, the time within which clients should have their answers.
     aims: Vec<Option<Duration>>,
-    /// Whether the decision module requests lists from discovery. Otherwise an agent pushes them.
+    /// Whether the decision module requests lists from a discovery service that all sidecars share. Otherwise
+    /// an agent on this machine pushes them.
     subscribed: bool,
     sidecar_count: u32,
     metrics: Arc<Metrics>,
     log: Log,
-    budgets: Budgets,
+    resource_budgets: Budgets,
     instance_events: EventSink<InstanceEvent>,
     lifecycle: watch::Receiver<lifecycle::Lifecycle>,
     inbox: mpsc::UnboundedReceiver<DriverEvent>,
@@ -213,14 +214,15 @@
     discovery_events: EventSink<DiscoveryEvent>,
     discovery: SocketAddr,
     watch_timeouts: WatchTimeouts,
-    /// This sidecar's position, from 0 to 1, among the sidecars that reopen an unresponsive watch.
+    /// Pseudo-random position of this sidecar, from 0 to 1, in the time over which all sidecars spread the
+    /// reopening of unresponsive watches.
     spread_position: f64,
     /// Whether discovery has sent a list or the startup wait for one has ended. Always true if the decision
     /// module requests lists.
     discovery_settled: bool,
     has_list: bool,
-    /// Version of the host list.
-    seq: u64,
+    /// Version of the host list from which the watch continues. Lists of other processes do not change it.
+    host_list_version: u64,
     /// The task of the current watch.
     watch: Option<AbortOnDrop>,
     /// Id of the current watch.
@@ -256,7 +258,7 @@
     /// Creates a driver without a host list, and the channel into which its events are sent.
     pub fn new(config: DriverConfig) -> (Driver, mpsc::UnboundedSender<DriverEvent>) {
         let DriverConfig {
-            settings,
+            settings: settings_object,
             seed,
             discovery,
             budgets,
@@ -268,13 +270,15 @@
         } = config;
         let (driver_events, inbox) = mpsc::unbounded_channel();
         let unix_time = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH);
-        let mut module_settings = settings.settings();
-        // The module starts no attempt within one tick of the end of a key's window. One tick suffices in the
-        // simulator, where an attempt is sent at once. Here an attempt may first have to connect, so the tick
-        // is at least as long as that may take.
-        let send_delay_ms = settings.connect_timeout_ms() + WRITE_GRACE.as_secs_f64() * 1e3;
+        let mut module_settings = settings_object.settings();
+        // Servers discard repeats of an idempotency key only within a window, and the module starts no
+        // attempt within one tick of the window's end. One tick suffices in the simulator, where an attempt
+        // is sent at once. Here an attempt may first have to connect, so the tick is at least as long as that
+        // may take.
+        let send_delay_ms = settings_object.connect_timeout_ms() + WRITE_GRACE.as_secs_f64() * 1e3;
         module_settings.limits.tick = module_settings.limits.tick.max(send_delay_ms);
-        // A change in discovery counts as received after this time, whatever else the settings allow.
+        // A change that the watch misses counts as received after `STALENESS_BOUND`, even if the settings
+        // allow the module more time.
         if let Discovery::Subscribed { staleness_bound } = &mut module_settings.discovery {
             *staleness_bound = staleness_bound.min(watch_liveness::STALENESS_BOUND.as_secs_f64() * 1e3);
         }
@@ -298,12 +302,12 @@
             subscribed,
             sidecar_count,
             module,
-            report_columns: settings.columns(),
+            report_columns: settings_object.columns(),
             aims,
-            class_names: settings.classes().into_iter().map(|class| class.name).collect(),
+            class_names: settings_object.classes().into_iter().map(|class| class.name).collect(),
             metrics,
             log,
-            budgets,
+            resource_budgets: budgets,
             instance_events: events,
             lifecycle,
             inbox,
@@ -312,14 +316,16 @@
             discovery,
             watch_timeouts: match subscribed {
                 true => WatchTimeouts::shared_service(),
-                false => WatchTimeouts::local_agent(Duration::from_secs_f64(settings.drain_grace_ms() / 1e3)),
+                false => WatchTimeouts::local_agent(Duration::from_secs_f64(
+                    settings_object.drain_grace_ms() / 1e3,
+                )),
             },
             // The seed's upper 53 bits as a fraction. An integer below 2 to the power of 53 is exact as a
             // float.
             spread_position: (seed >> 11) as f64 / (1u64 << 53) as f64,
             discovery_settled: subscribed,
             has_list: false,
-            seq: 0,
+            host_list_version: 0,
             watch: None,
             watch_id: 0,
             list_forwarder: None,
@@ -336,11 +342,11 @@
             sweep_scheduled: false,
             retired: false,
             probe_timeout: Duration::from_secs_f64(
-                settings.shortest_aim_ms() * PROBE_TIMEOUT_FRACTION_OF_AIM / 1e3,
+                settings_object.shortest_aim_ms() * PROBE_TIMEOUT_FRACTION_OF_AIM / 1e3,
             ),
-            connect_timeout: Duration::from_secs_f64(settings.connect_timeout_ms() / 1e3),
+            connect_timeout: Duration::from_secs_f64(settings_object.connect_timeout_ms() / 1e3),
             actions: Vec::new(),
-            settings,
+            settings_object,
         };
         (driver, driver_events)
     }
@@ -357,8 +363,9 @@
         }
         if !self.subscribed {
             self.start_watch();
-            let wait =
-                watch_liveness::startup_wait(Duration::from_secs_f64(self.settings.shortest_aim_ms() / 1e3));
+            let wait = watch_liveness::startup_wait(Duration::from_secs_f64(
+                self.settings_object.shortest_aim_ms() / 1e3,
+            ));
             self.set_timer(Instant::now() + wait, Timer::StartupWait);
         }
         loop {
@@ -378,13 +385,13 @@
     }
 
     /// Starts a watch in place of the current one. Events of the old watch that are still queued are ignored;
-    /// the new watch delivers their changes again, since it continues from the last version that was applied.
+    /// the new watch delivers their changes again, since it continues from `host_list_version`.
     fn start_watch(&mut self) {
         self.watch_id += 1;
         let watch = Watch {
             address: self.discovery,
             id: self.watch_id,
-            seq: self.seq,
+            seq: self.host_list_version,
             events: self.discovery_events.clone(),
             log: self.log.clone(),
             timeouts: self.watch_timeouts,
@@ -414,8 +421,8 @@
         let now = Instant::now();
         while let Some(entry) = self.timers.first_entry().filter(|entry| entry.key().0 <= now) {
             match entry.remove() {
-                Timer::Module(token) => self.send_to_module(Event::TimerFired(token)),
-                Timer::AnswerBackstop(request) => {
+                Timer::DecisionModule(token) => self.send_to_module(Event::TimerFired(token)),
+                Timer::AnswerOverdue(request) => {
                     // The module decides in time unless it has a fault or the process was stalled.
                     self.finish_request(request, FinalAnswer::Failed);
                     self.abandon_request(request);
@@ -428,8 +435,9 @@
                     let idle_limit = self.idle_limit();
                     let spare_limit = idle_limit.min(SPARE_IDLE_LIMIT);
                     for (id, pool) in self.servers.pools_by_id() {
-                        let last_limit = if self.module.is_member(id) { idle_limit } else { spare_limit };
-                        pool.sweep(last_limit, spare_limit);
+                        let most_recent_limit =
+                            if self.module.is_member(id) { idle_limit } else { spare_limit };
+                        pool.sweep(most_recent_limit, spare_limit);
                     }
                     self.servers.remove_gone(self.in_flight.values().map(|attempt| attempt.info.upstream));
                     self.sweep_scheduled = false;
@@ -448,7 +456,7 @@
     }
 
     fn idle_limit(&self) -> Duration {
-        Duration::from_secs_f64(self.settings.keepalive_ms() * IDLE_LIMIT_FRACTION_OF_KEEPALIVE / 1e3)
+        Duration::from_secs_f64(self.settings_object.keepalive_ms() * IDLE_LIMIT_FRACTION_OF_KEEPALIVE / 1e3)
     }
 
     /// Passes an event to the module and carries out the actions that it returns.
@@ -460,8 +468,8 @@
             self.execute(action);
         }
         self.actions = actions;
-        let skipped = self.module.ejected_count() + self.draining_count;
-        self.metrics.avoided_upstreams.store(skipped as u64, Ordering::Relaxed);
+        let avoided = self.module.ejected_count() + self.draining_count;
+        self.metrics.avoided_upstreams.store(avoided as u64, Ordering::Relaxed);
     }
 
     fn handle_event(&mut self, event: DriverEvent) {
@@ -470,7 +478,8 @@
             DriverEvent::Client(ClientEvent::Disconnected(request)) => {
                 if let Some(open) = self.remove_request(request) {
                     self.log.trace(|| self.answer_trace(&open, "none: its client has left"));
-                    if open.backstop.is_some() {
+                    // A request that was not completely received is not counted.
+                    if open.overdue_timer.is_some() {
                         self.metrics.count_outcome(open.class, RequestOutcome::ClientDisconnected);
                     }
                 }
@@ -496,7 +505,7 @@
             }
             DriverEvent::Command(InstanceCommand::GetHostList(reply)) => {
                 // The receiver may have been dropped.
-                let _ = reply.send(self.servers.to_host_list(self.seq));
+                let _ = reply.send(self.servers.to_host_list(self.host_list_version));
             }
             DriverEvent::Command(InstanceCommand::GetHandoverState(reply)) => {
                 let _ = reply.send(self.handover_state());
@@ -544,7 +553,8 @@
                 }
             }
             DiscoveryEvent::Failed { watch, seq } if watch == self.watch_id => {
-                self.seq = seq;
+                self.host_list_version = seq;
+                // The module gets the failure as a list update.
                 self.send_to_module(Event::ListReceived(ListUpdate::Unavailable));
             }
             // These come from a watch that has been replaced.
@@ -553,28 +563,29 @@
     }
 
     /// Applies a list that discovery sent to another process of this sidecar, if it is newer than the list of
-    /// this process: the rules count a change as received once either process has it. The version of this
-    /// process stays, since its own watch still has to deliver the changes in between.
+    /// this process: a change counts as received by the sidecar once one of its processes has it. The version
+    /// of this process stays, since its own watch still has to deliver the changes in between.
     fn apply_peer_list(&mut self, list: &HostList) {
-        let own_seq = self.seq;
-        if list.seq > own_seq {
+        let own_version = self.host_list_version;
+        if list.seq > own_version {
             self.apply_list(list, false);
-            self.seq = own_seq;
+            self.host_list_version = own_version;
         }
     }
 
     /// The state from which a successor continues.
     fn handover_state(&self) -> HandoverState {
-        let Snapshot { servers, all } = self.module.snapshot(self.module_time(Instant::now()));
+        let Snapshot { servers, all: overall_estimates } =
+            self.module.snapshot(self.module_time(Instant::now()));
         let server_states = servers.into_iter().filter_map(|(id, snapshot)| {
             let host = &self.servers.get(UpstreamId(id))?.host;
             Some(ServerState { host: host.name.clone(), started_ms: host.started_ms, snapshot })
         });
-        let list = self.servers.to_host_list(self.seq);
+        let list = self.servers.to_host_list(self.host_list_version);
         HandoverState {
-            names: SettingNames::from_settings(&self.settings),
+            names: SettingNames::from_settings(&self.settings_object),
             list,
-            shared: all,
+            shared: overall_estimates,
             servers: server_states.collect(),
         }
     }
@@ -584,7 +595,7 @@
         self.apply_list(&state.list, true);
         let snapshot = state.snapshot(|host, started_ms| self.servers.id_of(host, started_ms).map(|id| id.0));
         let now = self.module_time(Instant::now());
-        let estimates_restored = match state.names == SettingNames::from_settings(&self.settings) {
+        let estimates_restored = match state.names == SettingNames::from_settings(&self.settings_object) {
             true => self.module.restore(now, &snapshot).map_err(|fault| fault.to_string()),
             false => {
                 Err("classes, tenants, zones or kinds differ from the predecessor's settings".to_owned())
@@ -598,7 +609,16 @@
     }
 
     fn handle_arrival(&mut self, arrival: RequestArrival) {
-        let RequestArrival { request, class, tenant, id, received_at, time_left, forward, reply } = arrival;
+        let RequestArrival {
+            request,
+            class,
+            tenant,
+            id,
+            received_at,
+            time_left: client_timeout,
+            forward,
+            reply,
+        } = arrival;
         // Upstreams identify a request by this id, so they would take a second request with the same id for
         // another attempt of the first.
         if !self.open_client_ids.insert(id.clone()) {
@@ -606,10 +626,10 @@
             return;
         }
         let is_upload = forward.body.upload().is_some();
-        let deadline = Deadline::new(received_at, time_left, None);
+        let deadline = Deadline::new(received_at, client_timeout, None);
         let forward = Arc::new(forward);
-        let aim = self.aims.get(class.0).copied().flatten().unwrap_or(time_left);
-        let aim_at = received_at + aim.min(time_left);
+        let aim = self.aims.get(class.0).copied().flatten().unwrap_or(client_timeout);
+        let aim_at = received_at + aim.min(client_timeout);
         let open = OpenRequest {
             id,
             class,
@@ -618,8 +638,8 @@
             attempt_count: 0,
             deadline,
             aim_at,
-            time_left,
-            backstop: None,
+            client_timeout,
+            overdue_timer: None,
         };
         self.open_requests.insert(request, open);
         if !is_upload {
@@ -632,41 +652,43 @@
 
     /// Counts a request as received and sets its deadline, now that its last byte has arrived.
     fn mark_received(&mut self, request: RequestId, received_at: Instant) {
-        let Some(open) = self.open_requests.get(&request).filter(|open| open.backstop.is_none()) else {
+        let Some(open) = self.open_requests.get(&request).filter(|open| open.overdue_timer.is_none()) else {
             return;
         };
         // A request that arrives shortly before the process ends is answered before the end.
-        let process_ends = self.lifecycle.borrow().answers_due_by();
-        let deadline = Deadline::new(received_at, open.time_left, process_ends);
+        let answers_due_by = self.lifecycle.borrow().answers_due_by();
+        let deadline = Deadline::new(received_at, open.client_timeout, answers_due_by);
         self.metrics.count_accepted(open.class);
-        let backstop =
-            self.set_timer(bound(RequestState::Queued(deadline)).at, Timer::AnswerBackstop(request));
+        let overdue_timer = self.set_timer(
+            request_bound::bound(RequestState::Queued(deadline)).at,
+            Timer::AnswerOverdue(request),
+        );
         if let Some(open) = self.open_requests.get_mut(&request) {
             open.deadline = deadline;
-            open.backstop = Some(backstop);
+            open.overdue_timer = Some(overdue_timer);
         }
     }
 
-    /// Shortens the deadlines of received requests that lie beyond the end of the process, once that end is
-    /// known. Other requests get their deadlines when they are received.
+    /// Shortens the deadlines of received requests to the time by which all answers are due before the
+    /// process ends, once that time is known. Other requests get their deadlines when they are received.
     fn shorten_deadlines_to_process_end(&mut self) {
-        let Some(process_ends) = self.lifecycle.borrow_and_update().answers_due_by() else { return };
-        let beyond_end = self
+        let Some(answers_due_by) = self.lifecycle.borrow_and_update().answers_due_by() else { return };
+        let too_late = self
             .open_requests
             .iter()
-            .filter(|(_, open)| open.backstop.is_some() && open.deadline.at() > process_ends);
-        let to_shorten: Vec<RequestId> = beyond_end.map(|(request, _)| *request).collect();
+            .filter(|(_, open)| open.overdue_timer.is_some() && open.deadline.at() > answers_due_by);
+        let to_shorten: Vec<RequestId> = too_late.map(|(request, _)| *request).collect();
         for request in to_shorten {
             let Some(open) = self.open_requests.get_mut(&request) else { continue };
-            open.deadline = open.deadline.capped_at(process_ends);
-            let (old_backstop, new_bound) =
-                (open.backstop.take(), bound(RequestState::Queued(open.deadline)));
-            if let Some(timer) = old_backstop {
+            open.deadline = open.deadline.capped_at(answers_due_by);
+            let (old_timer, new_bound) =
+                (open.overdue_timer.take(), request_bound::bound(RequestState::Queued(open.deadline)));
+            if let Some(timer) = old_timer {
                 self.timers.remove(&timer);
             }
-            let backstop = self.set_timer(new_bound.at, Timer::AnswerBackstop(request));
+            let overdue_timer = self.set_timer(new_bound.at, Timer::AnswerOverdue(request));
             if let Some(open) = self.open_requests.get_mut(&request) {
-                open.backstop = Some(backstop);
+                open.overdue_timer = Some(overdue_timer);
             }
         }
     }
@@ -683,8 +705,8 @@
         }
     }
 
-    /// Reports to the module that a request has ended without a decision of the module, and cancels the
-    /// request's attempts.
+    /// Notifies the module that a request has ended without its decision, and cancels the request's attempts.
+    /// The event only means that no answer is owed any more; the client may still be connected.
     fn abandon_request(&mut self, request: RequestId) {
         self.send_to_module(Event::ClientDisconnected(request));
         self.cancel_attempts(request);
@@ -697,10 +719,10 @@
         }
     }
 
-    /// Removes an open request with its backstop and its client's id.
+    /// Removes an open request with its overdue timer and its client's id.
     fn remove_request(&mut self, request: RequestId) -> Option<OpenRequest> {
         let open = self.open_requests.remove(&request)?;
-        if let Some(timer) = &open.backstop {
+        if let Some(timer) = &open.overdue_timer {
             self.timers.remove(timer);
         }
         self.open_client_ids.remove(&open.id);
@@ -720,11 +742,12 @@
             };
             self.answer_trace(&open, &description)
         });
-        match (&answer, open.backstop) {
-            // A request that is rejected before all of it was received is not counted.
+        match (&answer, open.overdue_timer) {
+            // A request that is rejected before all of it was received does not count as accepted.
             (FinalAnswer::Rejected(_), None) => return open.reply.send(answer).is_ok(),
-            // Any other final answer counts the request, even if its body never arrived completely.
+            // A request with any other final answer does, even if its body never arrived completely.
             (_, None) => self.metrics.count_accepted(open.class),
+            // A received request has been counted.
             (_, Some(_)) => {}
         }
         match &answer {
@@ -774,7 +797,7 @@
             Action::SetTimer { at, token } => {
                 let since_epoch = Duration::try_from_secs_f64(at / 1e3).unwrap_or_default();
                 let at = self.epoch.checked_add(since_epoch).unwrap_or_else(Instant::now);
-                self.set_timer(at, Timer::Module(token));
+                self.set_timer(at, Timer::DecisionModule(token));
             }
             Action::Subscribe => self.start_watch(),
             Action::Log(text) => self.log.line(text),
@@ -833,7 +856,7 @@
             connect_timed_out: Instant::now() > attempt.connect_by + WRITE_GRACE,
             upstream: self.servers.get(attempt.upstream).map(|server| write_check::UpstreamState {
                 same_incarnation: server.incarnation == attempt.incarnation,
-                is_serving: server.listing.lifecycle == Lifecycle::Serving,
+                is_serving: server.listing.lifecycle == ServerLifecycle::Serving,
             }),
         })
     }
@@ -863,14 +886,15 @@
         tokio::spawn(connect_for_attempt(address, permit, attempt, cancelled, events));
     }
 
-    /// A permit for one more connection. If none is available, the longest idle connection is closed for it.
+    /// A permit for one more connection. If none is available, the connection that has been idle longest is
+    /// closed for it.
     fn connection_permit(&mut self, address: SocketAddr) -> Option<UpstreamPermit> {
-        if let Some(permit) = self.budgets.upstream_permit(address) {
+        if let Some(permit) = self.resource_budgets.upstream_permit(address) {
             return Some(permit);
         }
         let pools = self.servers.pools().filter(|pool| pool.oldest_idle_since().is_some());
         pools.min_by_key(|pool| pool.oldest_idle_since())?.close_oldest();
-        self.budgets.upstream_permit(address)
+        self.resource_budgets.upstream_permit(address)
     }
 
     fn handle_connect_result(&mut self, attempt: AttemptInfo, result: Result<Box<Connection>, String>) {
@@ -879,10 +903,12 @@
         let write_check = self.check_write(&attempt);
         match (result, write_check) {
             (Ok(connection), Ok(())) => self.write_attempt(attempt, *connection),
+            // No action is being carried out, so the end of an attempt need not be queued here.
             (Ok(connection), Err(outcome)) => {
                 self.return_connection(attempt.upstream, attempt.incarnation, *connection);
                 self.handle_attempt_end(attempt, AttemptEnd::Outcome(outcome, None), WireUsage::default());
             }
+            // The request is over or the attempt cancelled: the failure must not count against the upstream.
             (Err(_), Err(Outcome::NotSent)) => {
                 let end = AttemptEnd::Outcome(Outcome::NotSent, None);
                 self.handle_attempt_end(attempt, end, WireUsage::default())
@@ -961,7 +987,8 @@
             .open_requests
             .get(&attempt.request)
             .and_then(|open| Some(open.forward.body.upload()?.state()));
-        // A server begins to work on a request when its last byte arrives.
+        // A server begins to work on a request when its last byte arrives. The latency counts from then, and
+        // is 0 if that byte has not arrived.
         let work_started_at = match upload_state {
             None => Some(in_flight.started_at),
             Some(UploadState::Complete(received_at)) => Some(received_at.max(in_flight.started_at)),
@@ -969,31 +996,33 @@
         };
         let latency = work_started_at.map_or(0.0, |started_at| started_at.elapsed().as_secs_f64() * 1e3);
         let report = answer.as_ref().and_then(|answer| {
-            let text = answer.headers.get("x-server-load").filter(|_| self.settings.reports_in_answers())?;
+            let text =
+                answer.headers.get("x-server-load").filter(|_| self.settings_object.reports_in_answers())?;
             report_from_text(&self.report_columns, text.to_str().ok()?)
         });
         let now = self.module_time(Instant::now());
-        if let Some(budgets) = self.module.cross_zone_budget_mut() {
+        if let Some(cross_zone_budget) = self.module.cross_zone_budget_mut() {
             let received_bytes = answer.as_ref().and_then(|answer| answer.body.length()).unwrap_or(0);
             let body_bytes = [in_flight.body_bytes, received_bytes];
-            budgets.attempt_ended(now, attempt.request, attempt.number, outcome, body_bytes);
+            cross_zone_budget.attempt_ended(now, attempt.request, attempt.number, outcome, body_bytes);
         }
-        // The first answer ends the request without a decision of the module. So does an answer that finds
-        // the request invalid, since every upstream would reject it.
-        let mut client_answered = !self.open_requests.contains_key(&attempt.request);
+        // The first answer ends the request without a decision of the module. For the module, every ended
+        // request counts as answered, even if its client has left.
+        let mut request_ended = !self.open_requests.contains_key(&attempt.request);
         if let Some(UploadState::Failed(status)) = upload_state {
-            client_answered = true;
+            request_ended = true;
             self.finish_request(attempt.request, FinalAnswer::Rejected(status));
         }
         match (outcome, answer) {
             (Outcome::Ok, Some(answer)) => {
                 let answer = FinalAnswer::Served(client_headers(&answer.headers), answer.body);
                 self.finish_request(attempt.request, answer);
-                client_answered = true;
+                request_ended = true;
             }
+            // The upstream found the request invalid. Every upstream would reject it, so the answer is final.
             (Outcome::Cancelled, Some(answer)) => {
                 self.finish_request(attempt.request, FinalAnswer::Rejected(answer.status));
-                client_answered = true;
+                request_ended = true;
             }
             _ => {}
         }
@@ -1003,7 +1032,7 @@
             upstream: attempt.upstream,
             outcome,
             latency,
-            client_answered,
+            client_answered: request_ended,
             report,
         }));
     }
@@ -1011,7 +1040,7 @@
     /// Puts a connection back into its upstream's pool, or closes it if it is of no further use.
     fn return_connection(&mut self, upstream: UpstreamId, incarnation: u64, connection: Connection) {
         let Some(server) = self.servers.get_mut(upstream).filter(|_| !self.retired) else { return };
-        let is_serving = server.listing.lifecycle == Lifecycle::Serving;
+        let is_serving = server.listing.lifecycle == ServerLifecycle::Serving;
         if server.incarnation == incarnation && is_serving && connection.is_usable() {
             server.pool.put(connection);
             self.schedule_sweep();
@@ -1062,14 +1091,16 @@
     /// Applies a list. A `restored` list was read from a file or handed over by a predecessor, and counts as
     /// complete.
     fn apply_list(&mut self, list: &HostList, restored: bool) {
-        self.seq = list.seq;
+        self.host_list_version = list.seq;
         let is_complete = list.complete || restored;
         let now = self.module_time(Instant::now());
-        let listings = self.servers.apply(list, is_complete, &self.settings, now, &self.log);
-        self.metrics.host_list_version.store(self.seq, Ordering::Relaxed);
+        let listings = self.servers.apply(list, is_complete, &self.settings_object, now, &self.log);
+        self.metrics.host_list_version.store(self.host_list_version, Ordering::Relaxed);
         self.metrics.listed_upstreams.store(self.servers.count() as u64, Ordering::Relaxed);
         self.draining_count = self.servers.draining_count();
         self.schedule_sweep();
+        // An empty list counts only if it is complete and comes from discovery. An empty restored list means
+        // that there was none.
         if !listings.is_empty() || (is_complete && !restored) {
             self.has_list = true;
             self.announce_readiness();
@@ -1083,7 +1114,7 @@
     }
 }
 
-/// The head of the request that is sent to an upstream.
+/// The request that is sent to an upstream, with an empty body in place of the client's.
 fn upstream_request(
     forward: &ForwardedRequest,
     address: Option<SocketAddr>,
