--- a/crates/decide/src/balancer.rs
+++ b/crates/decide/src/balancer.rs
@@ -1,7 +1,7 @@
 //! The load balancer: all decisions of the module. Its interface is in `src/api.rs`.
 //!
-//! Ordinary path: for each request, two ready servers are sampled at random, and the one with the smaller
-//! projected utilisation (m+1)/κ gets it, where m is the number of its requests in flight and κ its capacity.
+//! Ordinary path: for each request, two ready servers are sampled at random. The one with the smaller
+//! projected load s·(m+1)/κ gets it, with m its requests in flight, κ its capacity and s its slowness.
 //! The functions follow a request: arrival, evaluation, sampling, outcome; then reports and the server list.
 
 use std::collections::BTreeSet;
@@ -25,33 +25,33 @@
 use crate::upload::Uploads;
 use crate::zone_outage::ZoneOutages;
 
-/// Up to this mean service time the constant times apply as they stand. Longer ones scale them, at most by
-/// [`MAX_TIME_SCALE`]. Shorter ones don't: probes cost, and the averaging time of servers is unknown.
+/// [`Balancer::time_scale`] is 1 up to this mean service time and grows with it to [`MAX_TIME_SCALE`]. It is
+/// never below 1: probes cost, and the averaging time of servers is unknown.
 const BASE_SERVICE_TIME: Millis = 40.0;
 const MAX_TIME_SCALE: f64 = 25.0;
 /// A sampled server is probed if its report is older than this, which is about one service time.
 const PROBE_AFTER: Millis = 40.0;
-/// A request waits for the probes of its pair if a report is older than this many service times.
+/// A request waits for its pair's probes if a report is older than this many service times and `PROBE_AFTER`.
 const PROBE_WAIT_SERVICE_TIMES: f64 = 4.0;
-/// Longest wait for probes, as a share of the aim and in mean probe times, and the most waits of a request.
+/// Longest wait for probes (share of the aim; mean probe times, if shorter), and most waits of a request.
 const PROBE_WAIT_AIM_SHARE: f64 = 0.15;
 const PROBE_WAIT_PROBE_TIMES: f64 = 3.0;
 const MAX_PROBE_WAITS: u32 = 2;
 /// Requests don't wait for probes that take more than this share of a service time: waiting would gain less.
 const MAX_PROBE_TIME_SHARE: f64 = 0.5;
-/// Factor on the longest acceptable answer time after a wait for probes: only the pair was probed, but a
-/// queue that long at the better of two servers is long everywhere.
+/// Factor on `max_wait`, the longest acceptable answer time, after a wait for probes: only the pair was
+/// probed, but a queue that long at the better of two servers is long everywhere.
 const WAIT_FACTOR_AFTER_PROBES: f64 = 0.6;
-/// Older reports are invalid: the mean load of the servers with valid reports is assumed instead.
+/// Older reports are invalid (the mean load of servers with valid ones is assumed), older probes lost.
 const REPORT_VALIDITY: Millis = 1_000.0;
-/// Weight of a new sample in the averages of one server, and in those over all servers or arrivals.
+/// Weight of a new sample in fast averages (of one server, of probe times) and in slow ones (all others).
 const SMOOTHING: f64 = 0.15;
 const FLEET_SMOOTHING: f64 = 0.02;
 /// The service time assumed before the first answers, as a share of the class's aim.
 const INITIAL_SERVICE_TIME_AIM_SHARE: f64 = 0.15;
 /// An unanswered send counts as this share of an answer that took as long, since service times vary.
 const UNANSWERED_WEIGHT: f64 = 0.5;
-/// The longest acceptable answer time, as a share of the time left to the aim.
+/// The longest acceptable answer time (`max_wait`), as a share of the time left to the aim.
 const MAX_WAIT_AIM_SHARE: f64 = 0.6;
 /// Effect of a request's worth per service time on its longest acceptable answer time; 0 is none.
 const WORTH_EXPONENT: f64 = 0.4;
@@ -59,7 +59,7 @@
 const CLASS_REFUSAL_WEIGHT: f64 = 0.5;
 /// A server is idle if its utilisation with one more request is at most this.
 const IDLE_UTILISATION: f64 = 0.5;
-/// Weight of the refused share: while it is small, servers with one request in flight are idle, too.
+/// Weight of the refused share: while that is at most 1/4, servers with one request in flight are idle, too.
 const IDLE_REFUSAL_WEIGHT: f64 = 2.0;
 /// Retry budget: tokens earned per request, and the most that are saved up. A further attempt takes one.
 const RETRY_RATIO: f64 = 0.1;
@@ -68,8 +68,8 @@
 const RETRY_AFTER_AIM_SHARE: f64 = 0.3;
 /// An unanswered attempt is a failure of its server if the server was unresponsive with this probability.
 const UNRESPONSIVE_PROBABILITY: f64 = 0.5;
-/// The share of a warming-up server's allowance that is used, since speeds and costs are estimates.
-const ALLOWANCE_SHARE: f64 = 0.5;
+/// Factor on the probability that a warming-up server gets a request, since speeds and costs are estimates.
+const ADMISSION_FACTOR: f64 = 0.5;
 /// When more kinds of machine than this are known, those without servers are dropped.
 const MAX_KINDS: usize = 64;
 /// The most servers examined in one sample. Among that many, all pairs with capacity are equally likely.
@@ -86,12 +86,12 @@
     pub(crate) cross_zone_budget: Option<Box<dyn CrossZoneLimiter>>,
     pub(crate) requests: FxHashMap<RequestId, PendingRequest>,
     pub(crate) upstreams: Fleet,
-    /// Unfinished attempts: the number of the send, counted over all requests, and its server.
+    /// Unfinished attempts: send number over all requests (a report lacks sends from some number on), server.
     pub(crate) sends: FxHashMap<(RequestId, AttemptNo), (u64, UpstreamId)>,
     pub(crate) next_send: u64,
     pub(crate) uploads: Uploads,
     pub(crate) check_schedule: CheckSchedule,
-    /// The timer of these calls has token 0.
+    /// Their timer has token 0, which no wait for probes has: the sidecar's request ids begin at 2.
     discovery_calls: CallSchedule,
     probe_budget: ProbeBudget,
     pub(crate) outages: ZoneOutages,
@@ -112,14 +112,14 @@
         let estimates = Estimates::new(service, settings.tenants.len(), MAX_RETRY_TOKENS);
         let probe_budget = ProbeBudget::new(settings.probe_cost);
         let ranking = ServerRanking::new(settings.identity);
-        let home = (settings.cross_zone_cost > 0.0).then_some(settings.zone);
+        let home_zone = (settings.cross_zone_cost > 0.0).then_some(settings.zone);
         Balancer {
             settings,
             rng: Rand64::new(u128::from(seed)),
             now: 0.0,
             cross_zone_budget: None,
             requests: FxHashMap::default(),
-            upstreams: Fleet::new(ranking, home),
+            upstreams: Fleet::new(ranking, home_zone),
             sends: FxHashMap::default(),
             next_send: 1,
             uploads: Uploads::default(),
@@ -153,11 +153,11 @@
             }
             Event::AttemptFinished(finished) => {
                 self.track_upload(finished.request, finished.attempt, false);
-                self.record_attempt(finished, out);
+                self.record_outcome(finished, out);
                 self.attempt_finished(finished, out);
             }
             Event::ClientDisconnected(request) => {
-                // A disconnect after the aim counts as a late answer; an earlier one shows nothing.
+                // A disconnect after the aim or deadline is a late answer; an earlier one shows nothing.
                 let is_in_flight = |p: &&PendingRequest| p.attempts.iter().any(|t| t.in_flight);
                 if self.requests.get(&request).filter(is_in_flight).is_some_and(|p| self.aim_left(p) <= 0.0) {
                     self.estimates.throttle.record_finished(false);
@@ -217,7 +217,7 @@
         self.dispatch(request, out);
     }
 
-    /// Sends a request to the best server there is, lets it wait for probes, or ends it.
+    /// Lets a request wait for probes, sends it to one of a pair (another if neither admits it), or ends it.
     fn dispatch(&mut self, request: RequestId, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&request).cloned() else { return };
         let selected = self.select_pair(&pending, out);
@@ -226,10 +226,10 @@
         if let Some(pair) = pair.filter(|pair| pair.iter().any(|c| c.awaits_probe)) {
             return self.wait_for_probes(request, pair, was_probed, out);
         }
-        let refused = f64::from(u8::from(pair.is_none()));
-        self.estimates.refused_share += FLEET_SMOOTHING * (refused - self.estimates.refused_share);
+        let has_no_pair = f64::from(u8::from(pair.is_none()));
+        self.estimates.refused_share += FLEET_SMOOTHING * (has_no_pair - self.estimates.refused_share);
         let class = &mut self.estimates.classes[pending.class.0];
-        class.refused_share += FLEET_SMOOTHING * (refused - class.refused_share);
+        class.refused_share += FLEET_SMOOTHING * (has_no_pair - class.refused_share);
         let by_load = pair.map(|[a, b]| if b.projected_load < a.projected_load { [b, a] } else { [a, b] });
         let admitted = by_load.into_iter().flatten().find(|c| self.admits(c, &pending, was_probed));
         let fallback = |_| self.select_warmed_up(&pending).or_else(|| self.find_warming_up_server(&pending));
@@ -239,11 +239,11 @@
         }
     }
 
-    /// Whether a server may get this request. While it warms up, two bounds apply. One is a probability,
-    /// since a sidecar's share of the server may be less than one request: one of `n` servers is sampled
-    /// for at most two of `n` requests, and the probability lowers this to what all sidecars together may
-    /// send. The other is an amount of work (`src/slow_start.rs`), the same for each sidecar, because a
-    /// probability bounds nothing when many sidecars start at the same time as the server.
+    /// Whether a server may get this request. While the server warms up, two bounds apply. One is a
+    /// probability, since a sidecar's share of the server may be less than one request: each of `n` servers
+    /// is in the pairs of at most 2/`n` of the requests, and the probability lowers that to what all sidecars
+    /// together may send. The other is an amount of work (`src/slow_start.rs`), the same for each sidecar,
+    /// because a probability bounds nothing when many sidecars start at the same time as the server.
     fn admits(&mut self, to: &Candidate, pending: &PendingRequest, was_probed: bool) -> bool {
         if to.warm_up_fraction >= 1.0 {
             return true;
@@ -252,14 +252,14 @@
         // While requests are refused, more arrive than servers can carry, and more of them for this server.
         let multiple = self.settings.slow_start.overload_multiple * to.warm_up_fraction;
         let probability =
-            ALLOWANCE_SHARE * multiple / 2.0 * sampled_share * (1.0 - self.estimates.refused_share);
+            ADMISSION_FACTOR * multiple / 2.0 * sampled_share * (1.0 - self.estimates.refused_share);
         self.try_spend_allowance(to, pending.class, probability)
     }
 
-    /// Lets a request wait for the probes of its pair. A timer token has 63 bits: two requests may share one.
+    /// Lets a request wait for the probes of its pair. Tokens have 63 bits: two request ids share each.
     fn wait_for_probes(&mut self, request: RequestId, pair: Pair, was_probed: bool, out: &mut Vec<Action>) {
         let Some(pending) = self.requests.get(&request) else { return };
-        // If a server is warming up, this share is fixed now: it may change while the request waits.
+        // If a server is warming up, the sampled share is fixed now: it may change while the request waits.
         let sampled_share = match pair.iter().any(|c| c.warm_up_fraction < 1.0) {
             true if !was_probed => self.sampled_share(&pending.clone()),
             _ => pending.sampled_share,
@@ -276,7 +276,7 @@
         self.waiting.extend(pair.map(|c| (c.id, request)));
     }
 
-    /// Dispatches the requests that have waited for probes until this timer.
+    /// Dispatches the requests of this token that wait for probes, even if the timer is of an earlier wait.
     fn probe_wait_ended(&mut self, token: u64, out: &mut Vec<Action>) {
         for request in [token << 1, token << 1 | 1].map(RequestId) {
             if self.requests.get(&request).is_some_and(|pending| pending.pair.is_some()) {
@@ -285,8 +285,8 @@
         }
     }
 
-    /// The longest acceptable answer time, as a share of the time left to the aim. Under overload queues grow
-    /// up to this limit, so requests of less worth per service time than the mean are refused first.
+    /// `max_wait`, the longest acceptable answer time, as a share of the time left to the aim. Under overload
+    /// queues grow up to it, so requests of less worth per service time than the mean are refused first.
     fn max_wait_share(&self, pending: &PendingRequest) -> f64 {
         let density = self.worth_density(pending);
         let mean_density = self.estimates.mean_density.unwrap_or(density);
@@ -355,7 +355,7 @@
 
     // --- Evaluation of servers ---------------------------------------------------------------
 
-    /// Factor on the constant times, for service times longer than [`BASE_SERVICE_TIME`].
+    /// Factor on the times of probes, reports and estimates, for service times over [`BASE_SERVICE_TIME`].
     fn time_scale(&self) -> f64 {
         let mean_service = self.estimates.mean_service_time.unwrap_or(BASE_SERVICE_TIME);
         (mean_service / BASE_SERVICE_TIME).clamp(1.0, MAX_TIME_SCALE)
@@ -366,10 +366,10 @@
         let aim_left = self.aim_left(pending);
         let has_time = aim_left > 2.0 * PROBE_WAIT_AIM_SHARE * self.settings.classes[pending.class.0].aim;
         // With roughly exponential answer times, an answer misses the aim with probability
-        // exp(-aim/expected_latency). While that is below the cost of crossing, crossing does not pay.
+        // exp(-aim_left/expected_latency). Crossing pays from the latency at which this equals its cost.
         let budget = self.cross_zone_budget.as_ref();
-        let costs = budget.map(|budget| budget.cross_zone_cost(self.now, pending.class));
-        let limit = |cost: f64| if cost > 0.0 { aim_left / (1.0 / cost).ln().max(1.0) } else { 0.0 };
+        let terms = budget.map(|budget| budget.cross_zone_cost(self.now, pending.class));
+        let break_even = |cost: f64| if cost > 0.0 { aim_left / (1.0 / cost).ln().max(1.0) } else { 0.0 };
         let service_time = self.estimates.classes[pending.class.0].service_time;
         let wait_factor = if pending.probe_waits > 0 { WAIT_FACTOR_AFTER_PROBES } else { 1.0 };
         SelectionContext {
@@ -384,12 +384,12 @@
                 && has_time
                 && self.estimates.probe_time.is_none_or(|time| time <= MAX_PROBE_TIME_SHARE * service_time),
             max_wait: self.max_wait_share(pending) * aim_left * wait_factor,
-            same_zone_limit: limit(costs.map_or(self.settings.cross_zone_cost, |costs| costs.cost)),
-            max_failure_rate: costs.map_or(1.0, |costs| costs.exemption_threshold),
+            same_zone_limit: break_even(terms.map_or(self.settings.cross_zone_cost, |terms| terms.cost)),
+            max_failure_rate: terms.map_or(1.0, |terms| terms.exemption_threshold),
         }
     }
 
-    /// Evaluates a server for a request, with its projected utilisation and expected answer time.
+    /// Evaluates a server for a request, with its projected load and expected answer time.
     pub(crate) fn examine(
         &self,
         slot: Slot,
@@ -403,8 +403,8 @@
         let slowness = self.current_slowness(server) / warm_up_fraction;
         let depth = ((in_flight + 1.0) / capacity).max(1.0);
         // An empty server is idle whatever its estimated capacity: only answers can correct the estimate.
-        let min_limit = (2.5 - IDLE_REFUSAL_WEIGHT * self.estimates.refused_share).max(1.0);
-        let is_lightly_loaded = in_flight + 1.0 <= (IDLE_UTILISATION * capacity).max(min_limit);
+        let idle_requests = (2.5 - IDLE_REFUSAL_WEIGHT * self.estimates.refused_share).max(1.0);
+        let is_lightly_loaded = in_flight + 1.0 <= (IDLE_UTILISATION * capacity).max(idle_requests);
         Some(Candidate {
             id,
             zone: server.zone,
@@ -434,7 +434,7 @@
         match self.settings.classes[pending.class.0].effect {
             Effect::Idempotent => Some(CandidateScope::All),
             Effect::NonIdempotent => None,
-            // The window counts from the first send that may have run; one tick is kept as a margin.
+            // The window counts from the first send that may have run; one tick is left for the time to send.
             Effect::IdempotentByKey { scope, window } => {
                 let is_in_window = self.now + self.settings.limits.tick < first.sent + window;
                 is_in_window.then_some(match scope {
@@ -450,7 +450,7 @@
         self.estimates.capacity(server, self.upstreams.members_of(server.kind), self.now, self.time_scale())
     }
 
-    /// m: the last report plus our sends since; without a valid report, our sends plus the mean of others.
+    /// Requests in flight: the last report plus our sends since; without a valid one, ours plus others' mean.
     fn estimated_in_flight(&self, server: &Upstream, means: &FleetMeans) -> f64 {
         let own = server.outstanding.len() as f64;
         if !server.has_valid_report || !self.estimates.reports_are_trusted() {
@@ -509,7 +509,7 @@
         let same_zone = if is_new { self.same_zone_pair(subset, pending, &context) } else { None };
         let mut pair = probed.or(same_zone).or_else(|| self.sample_allowed(subset, pending, &context));
         if pair.is_none() && subset != scope && self.upstreams.sizes(scope) != self.upstreams.sizes(subset) {
-            // Before a refusal, servers outside the subset are sampled. A pair found there widens the subset.
+            // Before a refusal, the whole scope is sampled if larger. A pair found there widens the subset.
             pair = self.sample_allowed(scope, pending, &SelectionContext { outside_subset: true, ..context });
             if pair.is_some() {
                 self.subset_size.widen();
@@ -524,7 +524,7 @@
         Some((pair, probed.is_some()))
     }
 
-    /// Adapts the subset to the traffic and to changes of its members.
+    /// Adapts the subset to traffic and members. The fleet is moved out, as the closure borrows `self`.
     fn update_subset(&mut self) {
         if self.estimates.observed_capacity.is_review_due(self.now) {
             let warmed_up = self.upstreams.warmed_up_servers(self.now, &self.settings.slow_start);
@@ -553,11 +553,11 @@
 
     /// The pair whose probes the request has waited for, if acceptable; one server twice if the other is not.
     fn probed_pair(&self, pending: &PendingRequest, context: &SelectionContext) -> Option<Pair> {
-        let limit = |c: &Candidate| match pending.probe_waits == 1 && c.same_zone {
+        let longest = |c: &Candidate| match pending.probe_waits == 1 && c.same_zone {
             true => context.same_zone_limit.min(context.max_wait),
             false => context.max_wait,
         };
-        let suits = |c: &Candidate| c.healthy && context.has_capacity(c) && c.expected_latency <= limit(c);
+        let suits = |c: &Candidate| c.healthy && context.has_capacity(c) && c.expected_latency <= longest(c);
         let is_allowed = |c: &Candidate| self.is_serving(c.id) && self.is_still_allowed(pending, c);
         let [a, b] = pending.pair?.map(|id| {
             let candidate = self.examine(self.upstreams.slot(id)?, pending, context);
@@ -583,7 +583,7 @@
         self.sample_pair(scope, pending, context, false, |c| c.healthy && context.suits_same_zone(c))
     }
 
-    /// Two `allowed` servers in scope with capacity. Unhealthy ones only if no server is healthy.
+    /// Two `allowed` servers in scope with capacity. Unhealthy ones only if none examined is healthy.
     pub(crate) fn sample_pair_preferring_healthy(
         &mut self,
         scope: CandidateScope,
@@ -623,7 +623,7 @@
         first.map(|only| [only, only])
     }
 
-    /// The share of the servers in scope that pairs are sampled from. Needed only if one of a pair warms up.
+    /// Servers that pairs are sampled from, as a share of the scope. Needed only if one of a pair warms up.
     fn sampled_share(&mut self, pending: &PendingRequest) -> f64 {
         let Some(scope) = self.candidate_scope(pending).map(CandidateScope::in_subset) else { return 1.0 };
         let context = self.selection_context(pending);
@@ -634,7 +634,7 @@
             _ => scope,
         };
         let same_zone = if context.same_zone_limit != 0.0 {
-            // Where no budget pays for crossing, pairs are from the zone while a server there has capacity.
+            // The pairs of a class that is confined to the zone stay there while a server there has capacity.
             let stays = self.is_confined_to_zone(pending.class);
             let suits = |c: &Candidate| context.suits_same_zone(c) || stays && c.same_zone && has_capacity(c);
             self.estimate_count(zone, pending, &context, suits)
@@ -677,8 +677,8 @@
         let (now, next_send) = (self.now, self.next_send);
         let (min_age, lost_after) = (PROBE_AFTER * self.time_scale(), REPORT_VALIDITY * self.time_scale());
         let start_if_due = |server: &mut Upstream| {
-            let is_probed = server.probe_sent.is_some_and(|sent| now - sent < lost_after);
-            let is_due = may_probe && !is_probed && now - server.reported_at > min_age;
+            let is_under_way = server.probe_sent.is_some_and(|sent| now - sent < lost_after);
+            let is_due = may_probe && !is_under_way && now - server.reported_at > min_age;
             if is_due {
                 server.probe_sent = Some(now);
                 (server.first_send_after_probe, server.sends_after_probe) = server.unreported(next_send, now);
@@ -737,15 +737,15 @@
         let Some(attempt) = pending.attempts.get_mut(number).filter(|t| t.in_flight) else { return };
         attempt.in_flight = false;
         self.check_schedule.reschedule(request, pending.check_at.take(), None);
-        // Full servers answer soon. When such answers counted as in time, they worsened an overload.
+        // Full servers answer soon. Their answers count as late: counted as in time, they worsen an overload.
         let is_full = outcome == Outcome::Full;
-        let is_late = is_full || self.now > pending.arrived + self.settings.classes[pending.class.0].aim;
-        let smoothing = if is_full { SMOOTHING } else { FLEET_SMOOTHING };
-        let step = smoothing * (TARGET_LATE_SHARE - f64::from(u8::from(is_late)));
+        let counts_late = is_full || self.now > pending.arrived + self.settings.classes[pending.class.0].aim;
+        let gain = if is_full { SMOOTHING } else { FLEET_SMOOTHING };
+        let step = gain * (TARGET_LATE_SHARE - f64::from(u8::from(counts_late)));
         self.estimates.wait_scale = (self.estimates.wait_scale * (1.0 + step)).clamp(0.25, 1.0);
         // Failures are those of one server; an overload shows in late answers.
         if matches!(outcome, Outcome::Ok | Outcome::TimedOut) {
-            self.estimates.throttle.record_finished(outcome == Outcome::Ok && !is_late);
+            self.estimates.throttle.record_finished(outcome == Outcome::Ok && !counts_late);
         }
         attempt.may_have_run = outcome.may_have_run();
         if finished.client_answered || outcome == Outcome::Ok {
@@ -773,7 +773,7 @@
     }
 
     /// Updates estimates and health by a finished attempt, whether or not its request is still pending.
-    fn record_attempt(&mut self, finished: FinishedAttempt, out: &mut Vec<Action>) {
+    fn record_outcome(&mut self, finished: FinishedAttempt, out: &mut Vec<Action>) {
         let FinishedAttempt { request, attempt, upstream: id, outcome, latency, .. } = finished;
         let key = (request, attempt);
         let Some(&(number, _)) = self.sends.get(&key).filter(|(_, to)| *to == id) else { return };
@@ -799,7 +799,7 @@
                 latencies.record_answer(relative_latency);
                 self.estimates.unresponsive.record_latency(relative_latency);
                 self.estimates.unresponsive.record_attempt(0.0);
-                self.record_latency(id, sent, latency, true);
+                self.update_slowness(id, sent, latency, true);
             }
             Outcome::Cancelled if !was_abandoned => {}
             Outcome::TimedOut | Outcome::Cancelled => {
@@ -808,7 +808,7 @@
                     self.estimates.unresponsive.record_latency(relative_latency);
                 }
                 self.estimates.unresponsive.record_attempt(unresponsive);
-                self.record_latency(id, sent, latency, false);
+                self.update_slowness(id, sent, latency, false);
             }
             _ => {}
         }
@@ -820,7 +820,7 @@
         let failed = match outcome {
             Outcome::Ok => false,
             Outcome::Error | Outcome::Unreachable | Outcome::Reset => true,
-            // Under overload, attempts at responsive servers time out, too.
+            // Under overload, responsive servers time out, too, but are not so late without other answers.
             Outcome::TimedOut if unresponsive >= UNRESPONSIVE_PROBABILITY || is_overdue => true,
             Outcome::Cancelled if was_abandoned && unresponsive >= UNRESPONSIVE_PROBABILITY => true,
             _ => return self.upstreams.remove_if_gone(id),
@@ -840,8 +840,8 @@
     }
 
     /// Updates the service time of a class and the relative service time of a server from a latency without
-    /// its share of queueing. A time-out shows that the server is at least this slow.
-    fn record_latency(&mut self, id: UpstreamId, sent: OutstandingSend, latency: Millis, answered: bool) {
+    /// its share of queueing. A time-out shows a lower bound: the server is at least this slow.
+    fn update_slowness(&mut self, id: UpstreamId, sent: OutstandingSend, latency: Millis, answered: bool) {
         let Some(server) = self.upstreams.get(id).filter(|_| latency > 0.0) else { return };
         let estimated = self.estimated_slowness(server);
         // The extra time of a warming-up server shows neither a queue nor its speed once it has warmed up.
@@ -876,10 +876,10 @@
         if answered {
             self.record_server_contact(id);
         }
-        let is_probed = |id: &UpstreamId| self.upstreams.get(*id).is_none_or(|u| u.probe_sent.is_none());
+        let is_probe_over = |id: &UpstreamId| self.upstreams.get(*id).is_none_or(|u| u.probe_sent.is_none());
         let is_ready = |request: &RequestId| {
             let pair = self.requests.get(request).and_then(|pending| pending.pair);
-            pair.is_some_and(|pair| pair.iter().all(is_probed))
+            pair.is_some_and(|pair| pair.iter().all(is_probe_over))
         };
         let waiting = self.waiting.range((id, RequestId(0))..=(id, RequestId(u64::MAX)));
         let ready: Vec<_> = waiting.map(|(_, request)| *request).filter(is_ready).collect();
@@ -890,29 +890,29 @@
         let (next_send, now) = (self.next_send, self.now);
         let end_probe = |server: &mut Upstream| {
             let probe_sent = server.probe_sent.take();
-            // A report without a probe includes all sends.
+            // A report without a probe lacks only the sends of this moment.
             if probe_sent.is_none() {
                 (server.first_send_after_probe, server.sends_after_probe) = server.unreported(next_send, now);
             }
             (server.outstanding.len() - server.sends_after_probe, probe_sent)
         };
-        let Some((own, probe_sent)) = self.upstreams.update(id, end_probe) else { return };
+        let Some((sent_before, probe_sent)) = self.upstreams.update(id, end_probe) else { return };
         if let Some(time) = probe_sent.map(|sent| now - sent) {
             let mean = self.estimates.probe_time.get_or_insert(time);
             *mean += SMOOTHING * (time - *mean);
         }
-        let own = own as f64;
+        let sent_before = sent_before as f64;
         let (Some(report), true) = (report, answered) else { return };
         // Reports carry no age. A report that lacks sends from before its probe is late. When many are late,
         // none is trusted: each server then counts as one without a valid report.
-        if let Some(in_flight) = report.in_flight.filter(|_| own > 1.0) {
-            let late = f64::from(u8::from(in_flight + 1.0 < own));
+        if let Some(in_flight) = report.in_flight.filter(|_| sent_before > 1.0) {
+            let late = f64::from(u8::from(in_flight + 1.0 < sent_before));
             self.estimates.late_report_share += FLEET_SMOOTHING * (late - self.estimates.late_report_share);
         }
         self.record_report(id, report, None);
     }
 
-    /// Records a report, which lacks the sends in `unreported`, by default those since the probe was sent.
+    /// Records a report. It lacks the sends in `unreported`, or with `None` those since its probe was sent.
     fn record_report(&mut self, id: UpstreamId, report: Report, unreported: Option<(u64, usize)>) {
         let Some(in_flight) = reports::valid_in_flight(&report) else { return };
         let (now, scale) = (self.now, self.time_scale());
@@ -937,12 +937,12 @@
 
     /// Counts an outcome for or against a server, which may eject it or end its ejection.
     fn update_health(&mut self, id: UpstreamId, failed: bool, unreachable: bool, out: &mut Vec<Action>) {
-        // The limit is a share of the subset: if more of its members fail, others take their place.
+        // At most a share of the subset may be ejected: if more of its members fail, others take their place.
         let members = self.upstreams.sizes(CandidateScope::Members).1;
         let may_eject = unreachable || outlier_ejection::may_eject(self.upstreams.ejected_count(), members);
         let (mean_failure_rate, random) = (self.upstreams.mean_failure_rate(), self.rng.rand_float());
-        let context = (self.now, mean_failure_rate, may_eject, random);
-        let record = |server: &mut Upstream| outlier_ejection::record(server, failed, unreachable, context);
+        let inputs = (self.now, mean_failure_rate, may_eject, random);
+        let record = |server: &mut Upstream| outlier_ejection::record(server, failed, unreachable, inputs);
         if let Some(change) = self.upstreams.update(id, record).flatten() {
             out.push(Action::Log(format!("server {} is {change}", id.0)));
         }
@@ -951,8 +951,8 @@
     // --- The server list ---------------------------------------------------------------------
 
     fn list_received(&mut self, update: ListUpdate, out: &mut Vec<Action>) {
-        let must_call = matches!(update, ListUpdate::Unavailable | ListUpdate::Restored(_));
-        if !must_call {
+        let lacks_answer = matches!(update, ListUpdate::Unavailable | ListUpdate::Restored(_));
+        if !lacks_answer {
             self.discovery_calls.record_answer();
         }
         match update {
@@ -969,7 +969,7 @@
             self.estimates.kinds.retain(|kind, _| self.upstreams.has_kind(*kind));
         }
         let Discovery::Subscribed { staleness_bound } = self.settings.discovery else { return };
-        if must_call {
+        if lacks_answer {
             let random = self.rng.rand_float();
             let at = self.discovery_calls.schedule_call(self.now, staleness_bound, random);
             out.extend(at.map(|at| Action::SetTimer { at, token: 0 }));
--- a/crates/pools/src/counts.rs
+++ b/crates/pools/src/counts.rs
@@ -1,6 +1,6 @@
-//! Counts of attempts, by class and destination zone, with the reasons of those that left the zone without a
-//! budget. A table of counts outlives the budgets that write to it, and may be read from any thread at any
-//! time.
+//! Counts of attempts, by class and destination zone, with the reasons of those that left the zone although
+//! no budget paid for them. A table of counts outlives the budgets that write to it, and may be read from any
+//! thread at any time.
 
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
 
@@ -18,11 +18,11 @@
 pub enum Counter {
     /// First attempts of requests.
     First,
-    /// Further attempts of requests.
+    /// Retries of requests.
     Retry,
-    /// Attempts that left the zone without a budget, for this reason.
+    /// Attempts that left the zone although no budget paid for them, for this reason.
     Exempted(BudgetExemption),
-    /// Attempts that were not sent, since no connection could be established.
+    /// Attempts that were not sent, for example since no connection could be established.
     Unsent,
     /// Attempts that were served.
     Served,
@@ -34,9 +34,11 @@
     BytesIn,
 }
 
+/// 7 counters and those of the 5 exemption reasons.
 const COUNTERS: usize = 12;
 
 impl Counter {
+    /// Position in a row of [`Counts`]. [`Counts::totals`] destructures rows in this order.
     fn index(self) -> usize {
         match self {
             Counter::First => 0,
@@ -56,14 +58,14 @@
 }
 
 /// The names that counts are kept under. The size of a table depends only on the number of names, which the
-/// settings bound.
+/// settings limit.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Names {
     /// Names of classes, by id.
     pub classes: Vec<String>,
     /// Names of zones, by id.
     pub zones: Vec<String>,
-    /// The index of the zone of the counted instance.
+    /// The index in `zones` of the counted instance's own zone.
     pub local_zone: usize,
 }
 
@@ -71,11 +73,12 @@
 #[derive(Debug)]
 pub struct Counts {
     names: Names,
-    /// By class, then destination zone.
-    attempts: Vec<[AtomicU64; COUNTERS]>,
-    /// By destination zone.
+    /// Values of [`Counter`], by class, then destination zone.
+    counters: Vec<[AtomicU64; COUNTERS]>,
+    /// Numbers of probes, by destination zone.
     probes: Vec<AtomicU64>,
-    /// The level and the burst of each budget at the last attempt, as the bits of floating-point numbers.
+    /// The tokens in the bucket of each budget (level) and the most that it holds (burst) at the last
+    /// attempt, as the bits of floating-point numbers.
     budget_levels: [[AtomicU64; 2]; MAX_BUDGETS],
     /// The number of budgets that have a level.
     budget_count: AtomicUsize,
@@ -84,12 +87,13 @@
 impl Counts {
     /// A table of zeros.
     pub fn new(names: Names) -> Counts {
+        // One more, for the zones without a name.
         let zones = names.zones.len() + 1;
-        let attempts = (0..names.classes.len() * zones).map(|_| Default::default()).collect();
+        let counters = (0..names.classes.len() * zones).map(|_| Default::default()).collect();
         let probes = (0..zones).map(|_| AtomicU64::new(0)).collect();
         Counts {
             names,
-            attempts,
+            counters,
             probes,
             budget_levels: Default::default(),
             budget_count: AtomicUsize::new(0),
@@ -106,11 +110,11 @@
         usize::try_from(zone.0).unwrap_or(usize::MAX).min(self.names.zones.len())
     }
 
-    /// Increases a counter.
+    /// Increases a counter. Attempts of a class without a name are not counted.
     pub fn add(&self, class: ClassId, to: ZoneId, counter: Counter, increment: u64) {
         let index = class.0 * self.probes.len() + self.zone_index(to);
-        if let Some(counters) = self.attempts.get(index) {
-            counters[counter.index()].fetch_add(increment, Ordering::Relaxed);
+        if let Some(row) = self.counters.get(index) {
+            row[counter.index()].fetch_add(increment, Ordering::Relaxed);
         }
     }
 
@@ -119,7 +123,7 @@
         self.probes[self.zone_index(to)].fetch_add(1, Ordering::Relaxed);
     }
 
-    /// Sets the level and the burst of each budget, in the order of the rules.
+    /// Sets the level and the burst of each budget, in the order of the budgets in the rules.
     pub fn set_budget_levels(&self, levels: impl Iterator<Item = (f64, f64)>) {
         let mut count = 0;
         for (stored, (level, burst)) in self.budget_levels.iter().zip(levels) {
@@ -130,7 +134,7 @@
         self.budget_count.store(count, Ordering::Release);
     }
 
-    /// The level and the burst of each budget at the last attempt, in the order of the rules.
+    /// The level and the burst of each budget at the last attempt, in the order of the budgets in the rules.
     pub fn budget_levels(&self) -> Vec<(f64, f64)> {
         let number = |bits: &AtomicU64| f64::from_bits(bits.load(Ordering::Relaxed));
         let count = self.budget_count.load(Ordering::Acquire);
@@ -144,7 +148,7 @@
         let from = zone_name(self.names.local_zone);
         let zones = self.probes.len();
         let mut totals = Totals::default();
-        for (index, counters) in self.attempts.iter().enumerate() {
+        for (index, row) in self.counters.iter().enumerate() {
             let [
                 first,
                 retries,
@@ -158,7 +162,7 @@
                 late,
                 failing,
                 bound,
-            ] = std::array::from_fn(|counter| counters[counter].load(Ordering::Relaxed));
+            ] = std::array::from_fn(|counter| row[counter].load(Ordering::Relaxed));
             if first + retries > 0 {
                 totals.rows.push(AttemptsRow {
                     class: self.names.classes[index / zones].clone(),
@@ -184,7 +188,8 @@
         totals
     }
 
-    /// Adds counts of an earlier table. Rows whose classes or zones no longer exist are dropped.
+    /// Adds counts of an earlier table. Rows are dropped if they are from another zone than this instance's,
+    /// or if that zone, their class or their destination zone has no name now.
     pub fn add_previous(&self, previous: &Totals) {
         let find = |names: &[String], name: &str| names.iter().position(|known| known == name);
         let find_zone = |name: &str| match find(&self.names.zones, name) {
@@ -223,10 +228,10 @@
     }
 }
 
-/// Attempts that left their zone without a budget, by reason. See [`BudgetExemption`].
+/// Attempts that left their zone although no budget paid for them, by reason. See [`BudgetExemption`].
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExemptionCounts {
-    /// The zone had no server to select.
+    /// The zone had no server to select: none was listed, or all were ejected.
     pub down: u64,
     /// No server of the zone had capacity.
     pub full: u64,
@@ -254,12 +259,12 @@
     pub from: String,
     /// The zone of the servers.
     pub to: String,
-    /// First attempts of requests.
+    /// First attempts of requests, sent or not.
     pub first: u64,
-    /// Further attempts of requests.
+    /// Retries of requests, sent or not.
     #[serde(rename = "again")]
     pub retries: u64,
-    /// First attempts and retries that were not sent, since no connection could be established.
+    /// First attempts and retries that were not sent, for example since no connection could be established.
     pub unsent: u64,
     /// First attempts and retries that were served.
     pub served: u64,
@@ -269,7 +274,7 @@
     pub bytes_out: u64,
     /// Bytes of answer bodies.
     pub bytes_in: u64,
-    /// First attempts and retries that left the zone without a budget.
+    /// First attempts and retries that left the zone although no budget paid for them.
     #[serde(rename = "bent")]
     pub exempted: ExemptionCounts,
 }
@@ -326,24 +331,24 @@
     pub fn add(&mut self, other: &Totals) {
         for row in &other.rows {
             let is_same =
-                |own: &&mut AttemptsRow| (&own.class, &own.from, &own.to) == (&row.class, &row.from, &row.to);
+                |sum: &&mut AttemptsRow| (&sum.class, &sum.from, &sum.to) == (&row.class, &row.from, &row.to);
             match self.rows.iter_mut().find(is_same) {
-                Some(own) => own.add(row),
+                Some(sum) => sum.add(row),
                 None => self.rows.push(row.clone()),
             }
         }
         for row in &other.probes {
-            match self.probes.iter_mut().find(|own| (&own.from, &own.to) == (&row.from, &row.to)) {
-                Some(own) => own.probes += row.probes,
+            match self.probes.iter_mut().find(|sum| (&sum.from, &sum.to) == (&row.from, &row.to)) {
+                Some(sum) => sum.probes += row.probes,
                 None => self.probes.push(row.clone()),
             }
         }
     }
 
-    /// All attempts of a class (`None` for all classes), and those of them that left their zone.
+    /// All attempts of a class (`None` for all classes), and the cross-zone ones among them.
     pub fn attempts_and_crossings(&self, class: Option<&str>) -> (u64, u64) {
         let rows = || self.rows.iter().filter(|row| class.is_none_or(|class| row.class == class));
-        let crossings = rows().filter(|row| row.is_cross_zone()).map(AttemptsRow::attempts).sum();
-        (rows().map(AttemptsRow::attempts).sum(), crossings)
+        let cross_zone = rows().filter(|row| row.is_cross_zone()).map(AttemptsRow::attempts).sum();
+        (rows().map(AttemptsRow::attempts).sum(), cross_zone)
     }
 }
